--- a/persimmonhinge/flows/attempt.py
+++ b/persimmonhinge/flows/attempt.py
@@ -8,7 +8,7 @@
 from persimmonhinge.peers.messages import work
 
 
-class AttemptSource(enum.Enum):
+class ResultSource(enum.Enum):
     """Who says what became of an attempt.
 
     KEEPER: The keeper.
@@ -18,11 +18,11 @@
 
     KEEPER = "keeper"
     UNREACHABLE = "unreachable"
-    LINK = "link"
+    LINK_FAILURE = "link"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Attempt:
+class AttemptResult:
     """The end of an attempt.
 
     Attributes:
@@ -31,4 +31,4 @@
     """
 
     dispatched: work.Dispatched
-    source: AttemptSource
+    source: ResultSource
--- a/persimmonhinge/flows/order.py
+++ b/persimmonhinge/flows/caller_request.py
@@ -5,14 +5,14 @@
 import dataclasses
 
 from persimmonhinge import ids
-from persimmonhinge.contracts import contract as contracts
+from persimmonhinge.contracts import contract
 from persimmonhinge.flows import port
-from persimmonhinge.flows import row as rows
+from persimmonhinge.flows import row
 from persimmonhinge.flows import tickets
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Order:
+class CallerRequest:
     """A whole request on its way to an upstream.
 
     Attributes:
@@ -28,11 +28,11 @@
     """
 
     flow: port.Flow
-    method: contracts.Method
+    method: contract.Method
     path: str
-    request: bytes
+    message: bytes
     deadline: float
-    call_class: contracts.CallClass
+    call_class: contract.CallClass
     token: bytes
     digest: bytes
     ticket: tickets.Ticket | None = None
@@ -43,21 +43,23 @@
         return self.flow.service
 
     @property
-    def held_ticket(self) -> tickets.Ticket:
+    def required_ticket(self) -> tickets.Ticket:
         """Its ticket, for work that runs only with one."""
         assert self.ticket is not None
         return self.ticket
 
     @property
-    def key(self) -> rows.RowKey:
+    def row_key(self) -> row.RowKey:
         """What its row is known by; only work with a ticket has one."""
-        ticket = self.held_ticket
-        return self.make_key(ticket.home, ticket.ticket_id)
+        ticket = self.required_ticket
+        return self.make_row_key(ticket.home, ticket.ticket_id)
 
-    def make_key(self, home: ids.HostRef, ticket: ids.TicketId) -> rows.RowKey:
+    def make_row_key(
+        self, home: ids.HostRef, ticket: ids.TicketId
+    ) -> row.RowKey:
         """Returns the key that it has under a ticket."""
-        return rows.RowKey(home, ticket, self.token, self.digest)
+        return row.RowKey(home, ticket, self.token, self.digest)
 
-    def bind(self, ticket: tickets.Ticket) -> Order:
+    def with_ticket(self, ticket: tickets.Ticket) -> CallerRequest:
         """Returns it with its ticket."""
         return dataclasses.replace(self, ticket=ticket)
--- a/persimmonhinge/flows/chooser.py
+++ b/persimmonhinge/flows/chooser.py
@@ -11,18 +11,18 @@
 
 from persimmonhinge import errors
 from persimmonhinge import ids
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.contracts import store as stores
-from persimmonhinge.flows import keeper_turns
+from persimmonhinge.contracts import contract
+from persimmonhinge.contracts import store
+from persimmonhinge.flows import keeper_scheduler
 from persimmonhinge.flows import loads
 from persimmonhinge.flows import port
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.peers import network as networks
+from persimmonhinge.membership import member as member_module
+from persimmonhinge.membership import placement as placement_module
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.peers import network as network_module
 from persimmonhinge.peers.messages import work
 from persimmonhinge.policies import builtin  # noqa: F401
-from persimmonhinge.policies import choice as policies
+from persimmonhinge.policies import choice as choice_module
 
 logger = logging.getLogger(__name__)
 
@@ -34,10 +34,10 @@
 # So many queries a second, with reports of a few hundred octets, stay below
 # the limit of what control may send. In a large fleet reports come later;
 # those that come with answers are not limited.
-_MOST_QUERIES_PER_S = 10.0
+_MAX_QUERIES_PER_S = 10.0
 # An upstream that nobody trusts still gets a trickle, by which it is seen
 # to recover; with all distrusted alike, the least bad go on serving.
-_LEAST_TRUST = 0.02
+_MIN_TRUST = 0.02
 
 
 class UpstreamChooser:
@@ -45,10 +45,10 @@
 
     def __init__(
         self,
-        view: views.View,
-        placement: placements.Placement,
-        contract_store: stores.ContractStore,
-        network: networks.PeerNetwork,
+        view: view_module.View,
+        placement: placement_module.Placement,
+        contract_store: store.ContractStore,
+        network: network_module.PeerNetwork,
         randomness: random.Random,
     ) -> None:
         self._view = view
@@ -56,39 +56,39 @@
         self._contracts = contract_store
         self._network = network
         self._random = randomness
-        self._turns = keeper_turns.KeeperTurns(randomness)
-        self._book = loads.LoadBook(trio.current_time)
-        self._used: set[ids.HostId] = set()
-        self._policies: dict[tuple[str, str], policies.ChoicePolicy] = {}
+        self._keeper_scheduler = keeper_scheduler.KeeperScheduler(randomness)
+        self._load_tracker = loads.LoadTracker(trio.current_time)
+        self._recently_used_keepers: set[ids.HostId] = set()
+        self._policies: dict[tuple[str, str], choice_module.ChoicePolicy] = {}
 
     def choose(
         self,
-        entry: stores.ContractEntry,
-        kind: contracts.CallKind,
+        entry: store.ContractEntry,
+        kind: contract.CallKind,
         *,
         exclude: frozenset[ids.UpstreamId] = frozenset(),
         among: frozenset[ids.HostRef] | None = None,
     ) -> port.Choice | None:
         """Chooses an upstream; see `flows.port.Chooser`."""
-        reachable = self._find_reachable(entry, exclude, among)
+        reachable = self._list_choices(entry, exclude, among)
         if not reachable:
             return None
         homes = self._placement.count_hosts()
         candidates = [
-            self._weigh(entry, choice.upstream, kind, homes)
+            self._make_candidate(entry, choice.upstream, kind, homes)
             for choice in reachable.values()
         ]
         policy = self._get_policy(entry, kind)
         chosen = policy.choose(candidates)
         found = reachable[chosen.upstream]
-        self._used.add(found.keeper)
-        if kind is not contracts.CallKind.REQUEST or len(reachable) < 2:
+        self._recently_used_keepers.add(found.keeper)
+        if kind is not contract.CallKind.REQUEST or len(reachable) < 2:
             return found
         may_be_busy = policy.asks and _may_be_busy(found.upstream, chosen)
         return dataclasses.replace(found, may_be_busy=may_be_busy)
 
     def pick_keepers(
-        self, entry: stores.ContractEntry, count: int
+        self, entry: store.ContractEntry, count: int
     ) -> tuple[ids.HostRef, ...]:
         """Returns keeper incarnations for a ticket, in turn by capacity.
 
@@ -100,81 +100,92 @@
         would take home and keeper at once.
         """
         weights: dict[ids.HostRef, float] = collections.defaultdict(float)
-        reachable = self._find_reachable(entry, frozenset(), None)
+        reachable = self._list_choices(entry, frozenset(), None)
         for choice in reachable.values():
             upstream = choice.upstream
-            weights[choice.keeper_ref] += self._find_capacity(entry, upstream)
+            weights[choice.keeper_ref] += self._compute_capacity(
+                entry, upstream
+            )
         me = self._view.self_member.ref
         others = {ref: w for ref, w in weights.items() if ref != me}
         service = ids.ServiceName(entry.contract.service)
-        return self._turns.pick(service, others or weights, count)
+        return self._keeper_scheduler.pick(service, others or weights, count)
 
     def begin(
         self,
         service: ids.ServiceName,
         upstream: ids.UpstreamId,
-        kind: contracts.CallKind,
+        kind: contract.CallKind,
     ) -> None:
         """Counts work that this host has begun at an upstream."""
-        self._book.begin(service, upstream, kind)
+        self._load_tracker.record_start(service, upstream, kind)
 
     def end(
         self,
         service: ids.ServiceName,
         upstream: ids.UpstreamId,
-        kind: contracts.CallKind,
+        kind: contract.CallKind,
     ) -> None:
         """Counts work that this host has ended."""
-        self._book.end(service, upstream, kind)
+        self._load_tracker.record_end(service, upstream, kind)
 
     def note(self, service: ids.ServiceName, load: work.UpstreamLoad) -> None:
         """Takes in a report that came with an answer."""
-        self._book.note(service, load)
+        self._load_tracker.record_load(service, load)
 
     def get_load(
         self, service: ids.ServiceName, upstream: ids.UpstreamId
     ) -> work.UpstreamLoad | None:
         """Returns the last report on an upstream, None if there is none."""
-        return self._book.get(service, upstream)
+        return self._load_tracker.get_load(service, upstream)
 
     async def run(self) -> None:
         """Asks the keepers for their loads, one task for each keeper."""
         async with trio.open_nursery() as nursery:
-            asked: set[ids.HostId] = set()
+            polled: set[ids.HostId] = set()
             while True:
                 version = self._view.changed.version
                 for member in self._view.role_takers():
-                    if member.host not in asked:
-                        asked.add(member.host)
-                        nursery.start_soon(self._ask_keeper, member.host, asked)
+                    if member.host not in polled:
+                        polled.add(member.host)
+                        nursery.start_soon(
+                            self._poll_keeper, member.host, polled
+                        )
                 await self._view.changed.wait_beyond(version)
 
-    async def _ask_keeper(
-        self, host: ids.HostId, asked: set[ids.HostId]
+    async def _poll_keeper(
+        self, host: ids.HostId, polled: set[ids.HostId]
     ) -> None:
         while True:
             member = self._view.get(host)
             if member is None or not member.answers:
-                asked.discard(host)
+                polled.discard(host)
                 return
-            await self._ask_once(host)
-            await self._wait_to_ask(host, len(asked) / _MOST_QUERIES_PER_S)
+            await self._query_load(host)
+            await self._wait_for_next_query(
+                host, len(polled) / _MAX_QUERIES_PER_S
+            )
 
-    async def _wait_to_ask(self, host: ids.HostId, least_s: float) -> None:
+    async def _wait_for_next_query(
+        self, host: ids.HostId, min_interval_s: float
+    ) -> None:
         """Waits a short time if the keeper is in use, else a longer one."""
-        self._used.discard(host)
+        self._recently_used_keepers.discard(host)
         idle_until = trio.current_time()
         # What this host keeps it asks without a link, and shows to operators.
         if host != self._view.me:
             idle_until += _IDLE_QUERY_INTERVAL_S
-        interval_s = max(_QUERY_INTERVAL_S, least_s)
+        interval_s = max(_QUERY_INTERVAL_S, min_interval_s)
         while True:
             # Hosts that started together would ask together.
             await trio.sleep(interval_s * self._random.uniform(0.8, 1.2))
-            if host in self._used or trio.current_time() >= idle_until:
+            if (
+                host in self._recently_used_keepers
+                or trio.current_time() >= idle_until
+            ):
                 return
 
-    async def _ask_once(self, host: ids.HostId) -> None:
+    async def _query_load(self, host: ids.HostId) -> None:
         try:
             report = await self._network.call(
                 host, work.LoadQuery(), _QUERY_TIMEOUT_S
@@ -183,11 +194,11 @@
             return
         if isinstance(report, work.LoadReport):
             for load in report.loads:
-                self._take_in(load)
+                self._record_load(load)
 
-    def _take_in(self, load: work.UpstreamLoad) -> None:
+    def _record_load(self, load: work.UpstreamLoad) -> None:
         service, _, upstream = load.upstream.partition("/")
-        self._book.note(
+        self._load_tracker.record_load(
             ids.ServiceName(service),
             work.UpstreamLoad(
                 ids.UpstreamId(upstream),
@@ -195,16 +206,18 @@
             ),
         )
 
-    def _find_reachable(
+    def _list_choices(
         self,
-        entry: stores.ContractEntry,
+        entry: store.ContractEntry,
         exclude: frozenset[ids.UpstreamId],
         among: frozenset[ids.HostRef] | None,
     ) -> dict[ids.UpstreamId, port.Choice]:
         found: dict[ids.UpstreamId, port.Choice] = {}
         for upstream in entry.contract.upstreams:
             upstream_id = ids.UpstreamId(upstream.id)
-            if upstream_id in exclude or not self._accepts(entry, upstream):
+            if upstream_id in exclude or not self._accepts_work(
+                entry, upstream
+            ):
                 continue
             keeper = self._find_keeper(entry, upstream)
             if keeper is None:
@@ -215,70 +228,70 @@
         return found
 
     def _find_keeper(
-        self, entry: stores.ContractEntry, upstream: contracts.Upstream
-    ) -> members.Member | None:
+        self, entry: store.ContractEntry, upstream: contract.Upstream
+    ) -> member_module.Member | None:
         key = ids.UpstreamId(f"{entry.contract.service}/{upstream.id}")
         return self._placement.find_keeper(key, upstream.domain)
 
-    def _accepts(
-        self, entry: stores.ContractEntry, upstream: contracts.Upstream
+    def _accepts_work(
+        self, entry: store.ContractEntry, upstream: contract.Upstream
     ) -> bool:
-        if upstream.state is not contracts.UpstreamState.ACTIVE:
+        if upstream.state is not contract.UpstreamState.ACTIVE:
             return False
-        load = self._book.get(
+        load = self._load_tracker.get_load(
             ids.ServiceName(entry.contract.service),
             ids.UpstreamId(upstream.id),
         )
         return load is None or load.accepting
 
-    def _weigh(
+    def _make_candidate(
         self,
-        entry: stores.ContractEntry,
-        upstream: contracts.Upstream,
-        kind: contracts.CallKind,
+        entry: store.ContractEntry,
+        upstream: contract.Upstream,
+        kind: contract.CallKind,
         homes: int,
-    ) -> policies.Candidate:
+    ) -> choice_module.Candidate:
         service = ids.ServiceName(entry.contract.service)
         upstream_id = ids.UpstreamId(upstream.id)
-        return policies.Candidate(
+        return choice_module.Candidate(
             upstream_id,
-            capacity=self._find_capacity(entry, upstream, kind),
-            load=self._book.estimate(service, upstream_id, kind, homes),
-            own=self._book.count_own(service, upstream_id, kind),
-            recent=self._book.count_recent(service, upstream_id, kind),
+            capacity=self._compute_capacity(entry, upstream, kind),
+            load=self._load_tracker.estimate(service, upstream_id, kind, homes),
+            own=self._load_tracker.count_own(service, upstream_id, kind),
+            recent=self._load_tracker.count_recent(service, upstream_id, kind),
         )
 
-    def _find_capacity(
+    def _compute_capacity(
         self,
-        entry: stores.ContractEntry,
-        upstream: contracts.Upstream,
-        kind: contracts.CallKind = contracts.CallKind.REQUEST,
+        entry: store.ContractEntry,
+        upstream: contract.Upstream,
+        kind: contract.CallKind = contract.CallKind.REQUEST,
     ) -> float:
         """Returns slots or connections, times the trust in the upstream."""
-        load = self._book.get(
+        load = self._load_tracker.get_load(
             ids.ServiceName(entry.contract.service),
             ids.UpstreamId(upstream.id),
         )
-        trust = max(load.trust if load else 1.0, _LEAST_TRUST)
+        trust = max(load.trust if load else 1.0, _MIN_TRUST)
         units = upstream.connections
-        if kind is contracts.CallKind.REQUEST:
+        if kind is contract.CallKind.REQUEST:
             units = load.slots if load else upstream.slots
         return max(units, 1) * trust
 
     def _get_policy(
-        self, entry: stores.ContractEntry, kind: contracts.CallKind
-    ) -> policies.ChoicePolicy:
+        self, entry: store.ContractEntry, kind: contract.CallKind
+    ) -> choice_module.ChoicePolicy:
         name = entry.contract.policies.choice
-        if kind is contracts.CallKind.FEED:
-            name = policies.choices.get(name).for_feeds or name
+        if kind is contract.CallKind.FEED:
+            name = choice_module.choices.get(name).for_feeds or name
         key = (f"{entry.contract.service}/{kind.value}", name)
         if key not in self._policies:
-            self._policies[key] = policies.choices.get(name)(self._random)
+            self._policies[key] = choice_module.choices.get(name)(self._random)
         return self._policies[key]
 
 
 def _may_be_busy(
-    upstream: contracts.Upstream, chosen: policies.Candidate
+    upstream: contract.Upstream, chosen: choice_module.Candidate
 ) -> bool:
     """Tells whether it is worth asking for a slot that is free now.
 
--- a/persimmonhinge/flows/dispatcher.py
+++ b/persimmonhinge/flows/dispatcher.py
@@ -10,16 +10,16 @@
 
 from persimmonhinge import errors
 from persimmonhinge import ids
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.contracts import store as stores
-from persimmonhinge.flows import attempt as attempts
-from persimmonhinge.flows import order as orders
+from persimmonhinge.contracts import contract
+from persimmonhinge.contracts import store
+from persimmonhinge.flows import attempt as attempt_module
+from persimmonhinge.flows import caller_request
 from persimmonhinge.flows import port
-from persimmonhinge.flows import recovery as recoveries
+from persimmonhinge.flows import recovery as recovery_module
 from persimmonhinge.flows import retries
 from persimmonhinge.flows import tickets
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.peers import network as networks
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.peers import network as network_module
 from persimmonhinge.peers.messages import work
 
 logger = logging.getLogger(__name__)
@@ -28,24 +28,24 @@
 # answer needs a moment to get here.
 _ANSWER_MARGIN_S = 1.0
 # Hosts differ in contract or membership for this long, as a rule.
-_CONVERGE_S = 0.05
-_MOST_CONVERGE_S = 0.4
+_INITIAL_CONVERGENCE_PAUSE_S = 0.05
+_MAX_CONVERGENCE_PAUSE_S = 0.4
 # So many upstreams are asked for a free slot before the work waits.
-_MOST_QUESTIONS = 2
+_MAX_FREE_SLOT_QUERIES = 2
 # Uptimes that a keeper compares count milliseconds.
-_NEXT_UPTIME_S = 0.001
+_UPTIME_RESOLUTION_S = 0.001
 _RETRY_AFTER_S = 1
 
 Outcome = work.Outcome
-Source = attempts.AttemptSource
-_REQUEST = contracts.CallKind.REQUEST
-_NOWHERE = work.Dispatched(
+Source = attempt_module.ResultSource
+_REQUEST = contract.CallKind.REQUEST
+_NO_UPSTREAM = work.Dispatched(
     Outcome.NOT_RUN, retry_after_s=_RETRY_AFTER_S, reason="no upstream is free"
 )
-_ELSEWHERE = (Outcome.NOT_KEEPER, Outcome.STALE)
+_ROUTING_MISMATCHES = (Outcome.NOT_KEEPER, Outcome.STALE)
 
 
-class _Course:
+class _RetryState:
     """How far an order has come over its attempts.
 
     Attributes:
@@ -55,30 +55,33 @@
         busy: Upstreams that had no free slot.
     """
 
-    def __init__(self, order: orders.Order) -> None:
-        self.busy: set[ids.UpstreamId] = set()
-        self.last = _NOWHERE
-        self.exclude: set[ids.UpstreamId] = set()
-        self.among: frozenset[ids.HostRef] | None = None
-        if order.ticket is not None:
-            self.among = frozenset(order.ticket.keepers)
-        self._pause_s = _CONVERGE_S
+    def __init__(self, request: caller_request.CallerRequest) -> None:
+        self.busy_upstreams: set[ids.UpstreamId] = set()
+        self.last_result = _NO_UPSTREAM
+        self.excluded_upstreams: set[ids.UpstreamId] = set()
+        self.allowed_keepers: frozenset[ids.HostRef] | None = None
+        if request.ticket is not None:
+            self.allowed_keepers = frozenset(request.ticket.keepers)
+        self._pause_s = _INITIAL_CONVERGENCE_PAUSE_S
 
-    def pass_over(self, keeper: ids.HostRef) -> None:
+    def exclude_keeper(self, keeper: ids.HostRef) -> None:
         """Leaves out a keeper that can't be reached."""
-        if self.among is not None:
-            self.among -= {keeper}
+        if self.allowed_keepers is not None:
+            self.allowed_keepers -= {keeper}
 
     def must_wait(self, choice: port.Choice) -> bool:
         """Tells whether the work is to wait for a slot where it goes next."""
-        if choice.upstream.id in self.busy:
+        if choice.upstream.id in self.busy_upstreams:
             return True
-        return len(self.busy) >= _MOST_QUESTIONS or not choice.may_be_busy
+        return (
+            len(self.busy_upstreams) >= _MAX_FREE_SLOT_QUERIES
+            or not choice.may_be_busy
+        )
 
-    async def wait(self) -> None:
+    async def wait_for_convergence(self) -> None:
         """Waits for the hosts to agree, longer each time."""
         await trio.sleep(self._pause_s * random.uniform(0.5, 1.5))
-        self._pause_s = min(2 * self._pause_s, _MOST_CONVERGE_S)
+        self._pause_s = min(2 * self._pause_s, _MAX_CONVERGENCE_PAUSE_S)
 
 
 class Dispatcher:
@@ -86,12 +89,12 @@
 
     def __init__(
         self,
-        contract_store: stores.ContractStore,
+        contract_store: store.ContractStore,
         chooser: port.Chooser,
-        network: networks.PeerNetwork,
+        network: network_module.PeerNetwork,
         mint: tickets.TicketMint,
-        recovery: recoveries.Recovery,
-        counts: host_counts.Counts,
+        recovery: recovery_module.Recovery,
+        counts: counts_module.Counts,
     ) -> None:
         self._contracts = contract_store
         self._chooser = chooser
@@ -101,7 +104,9 @@
         self._counts = counts
         self._budget = retries.RetryBudget()
 
-    async def run(self, order: orders.Order) -> work.Dispatched:
+    async def run_request(
+        self, request: caller_request.CallerRequest
+    ) -> work.Dispatched:
         """Has an order run.
 
         Idempotent work may be tried again whatever happened. Work with a
@@ -110,145 +115,149 @@
         Returns:
             ANSWERED, NOT_RUN or UNKNOWN.
         """
-        course = _Course(order)
-        self._earn(order)
+        state = _RetryState(request)
+        self._refill_budget(request)
         while True:
-            if trio.current_time() >= order.deadline:
-                return course.last
-            entry = self._contracts.get(order.service)
-            if entry is None or not _still_fits(order, entry):
-                return course.last
+            if trio.current_time() >= request.deadline:
+                return state.last_result
+            entry = self._contracts.get(request.service)
+            if entry is None or not _is_still_allowed(request, entry):
+                return state.last_result
             choice = self._chooser.choose(
                 entry,
                 _REQUEST,
-                exclude=frozenset(course.exclude),
-                among=course.among,
+                exclude=frozenset(state.excluded_upstreams),
+                among=state.allowed_keepers,
             )
             if choice is None:
-                return course.last
-            if choice.upstream.id in course.busy:
+                return state.last_result
+            if choice.upstream.id in state.busy_upstreams:
                 # The keeper takes a second dispatch for the same upstream
                 # only if it left the home later than the refused one.
-                await trio.sleep(_NEXT_UPTIME_S)
-            waits = course.must_wait(choice)
-            attempt = await self._attempt(order, entry, choice, waits=waits)
-            if _is_final(order, attempt):
-                return await self._settle(order, choice, attempt)
-            if not await self._may_retry(order, course, choice, attempt):
-                return course.last
-
-    async def _may_retry(
+                await trio.sleep(_UPTIME_RESOLUTION_S)
+            waits = state.must_wait(choice)
+            attempt = await self._attempt_dispatch(
+                request, entry, choice, waits=waits
+            )
+            if _is_final(request, attempt):
+                return await self._resolve_result(request, choice, attempt)
+            if not await self._prepare_retry(request, state, choice, attempt):
+                return state.last_result
+
+    async def _prepare_retry(
         self,
-        order: orders.Order,
-        course: _Course,
+        request: caller_request.CallerRequest,
+        state: _RetryState,
         choice: port.Choice,
-        attempt: attempts.Attempt,
+        attempt: attempt_module.AttemptResult,
     ) -> bool:
         """Prepares the next attempt; False if there may be none."""
-        if attempt.dispatched.outcome in _ELSEWHERE:
+        if attempt.dispatched.outcome in _ROUTING_MISMATCHES:
             # Nothing ran, so it costs the upstreams nothing; the hosts
             # agree in a moment, whereas asking at once is in vain.
-            await course.wait()
+            await state.wait_for_convergence()
             return True
         if attempt.dispatched.outcome is Outcome.BUSY:
             # Nothing ran; the answer told the load, so the next choice is
             # made by what is true now.
-            course.busy.add(ids.UpstreamId(choice.upstream.id))
+            state.busy_upstreams.add(ids.UpstreamId(choice.upstream.id))
             return True
-        course.last = attempt.dispatched
-        course.exclude.add(ids.UpstreamId(choice.upstream.id))
+        state.last_result = attempt.dispatched
+        state.excluded_upstreams.add(ids.UpstreamId(choice.upstream.id))
         if attempt.source is Source.UNREACHABLE:
-            course.pass_over(choice.keeper_ref)
+            state.exclude_keeper(choice.keeper_ref)
             return True
-        if self._budget.spend(order.service):
+        if self._budget.spend(request.service):
             self._counts.add("home_retries_total")
             return True
         self._counts.add("home_retries_denied_total")
         return False
 
-    def _earn(self, order: orders.Order) -> None:
-        entry = self._contracts.get(order.service)
+    def _refill_budget(self, request: caller_request.CallerRequest) -> None:
+        entry = self._contracts.get(request.service)
         if entry is not None:
             ratio = entry.contract.limits.retry_budget
-            self._budget.earn(order.service, ratio)
+            self._budget.refill(request.service, ratio)
 
-    async def _settle(
+    async def _resolve_result(
         self,
-        order: orders.Order,
+        request: caller_request.CallerRequest,
         choice: port.Choice,
-        attempt: attempts.Attempt,
+        attempt: attempt_module.AttemptResult,
     ) -> work.Dispatched:
         """Returns the final outcome of an attempt.
 
         Guards against an outcome that is unknown only because a link broke:
         the keeper may still be there and know.
         """
-        if attempt.source is not Source.LINK or order.ticket is None:
+        if attempt.source is not Source.LINK_FAILURE or request.ticket is None:
             return attempt.dispatched
-        return await self._recovery.ask_keeper(order, choice.keeper_ref)
+        return await self._recovery.query_keeper(request, choice.keeper_ref)
 
-    async def _attempt(
+    async def _attempt_dispatch(
         self,
-        order: orders.Order,
-        entry: stores.ContractEntry,
+        request: caller_request.CallerRequest,
+        entry: store.ContractEntry,
         choice: port.Choice,
         *,
         waits: bool,
-    ) -> attempts.Attempt:
+    ) -> attempt_module.AttemptResult:
         upstream = ids.UpstreamId(choice.upstream.id)
-        message = self._write_dispatch(order, entry, upstream, waits=waits)
-        timeout_s = order.deadline - trio.current_time() + _ANSWER_MARGIN_S
-        self._chooser.begin(order.service, upstream, _REQUEST)
+        message = self._build_dispatch(request, entry, upstream, waits=waits)
+        timeout_s = request.deadline - trio.current_time() + _ANSWER_MARGIN_S
+        self._chooser.begin(request.service, upstream, _REQUEST)
         try:
             answer = await self._network.call(choice.keeper, message, timeout_s)
         except errors.PeerUnreachableError:
-            return _fail(Outcome.NOT_RUN, Source.UNREACHABLE)
+            return _make_failure(Outcome.NOT_RUN, Source.UNREACHABLE)
         except errors.PeerError:
-            return _fail(Outcome.UNKNOWN, Source.LINK)
+            return _make_failure(Outcome.UNKNOWN, Source.LINK_FAILURE)
         finally:
-            self._chooser.end(order.service, upstream, _REQUEST)
+            self._chooser.end(request.service, upstream, _REQUEST)
         if not isinstance(answer, work.Dispatched):
-            return _fail(Outcome.UNKNOWN, Source.LINK)
+            return _make_failure(Outcome.UNKNOWN, Source.LINK_FAILURE)
         if answer.load is not None:
-            self._chooser.note(order.service, answer.load)
+            self._chooser.note(request.service, answer.load)
         self._counts.add("home_dispatched_total", outcome=answer.outcome.value)
-        return attempts.Attempt(answer, Source.KEEPER)
+        return attempt_module.AttemptResult(answer, Source.KEEPER)
 
-    def _write_dispatch(
+    def _build_dispatch(
         self,
-        order: orders.Order,
-        entry: stores.ContractEntry,
+        request: caller_request.CallerRequest,
+        entry: store.ContractEntry,
         upstream: ids.UpstreamId,
         *,
         waits: bool,
     ) -> work.Dispatch:
-        call_class = order.call_class
-        left_s = order.deadline - trio.current_time()
-        plain = work.Dispatch(
-            order.service,
+        call_class = request.call_class
+        remaining_s = request.deadline - trio.current_time()
+        dispatch = work.Dispatch(
+            request.service,
             entry.revision,
             upstream,
             ids.CallClassName(call_class.name),
-            order.request,
-            max(1, int(left_s * 1000)),
+            request.message,
+            max(1, int(remaining_s * 1000)),
             waits=waits,
         )
-        if order.ticket is None:
-            return plain
-        key = order.key
+        if request.ticket is None:
+            return dispatch
+        key = request.row_key
         return msgspec.structs.replace(
-            plain,
+            dispatch,
             idempotent=False,
             ticket=key.ticket,
             token=key.token,
             digest=key.digest,
             home=key.home,
             home_uptime_ms=self._mint.uptime_ms(),
-            ticket_expiry_ms=order.ticket.expiry_ms,
+            ticket_expiry_ms=request.ticket.expiry_ms,
         )
 
 
-def _still_fits(order: orders.Order, entry: stores.ContractEntry) -> bool:
+def _is_still_allowed(
+    request: caller_request.CallerRequest, entry: store.ContractEntry
+) -> bool:
     """Tells whether an order may run under a newer contract.
 
     Guards against idempotent work that the contract has since declared not
@@ -256,23 +265,27 @@
     for one.
     """
     call_class = entry.contract.classify(
-        order.method, order.path, observes=False
+        request.method, request.path, observes=False
     )
-    if call_class is None or order.ticket is not None:
+    if call_class is None or request.ticket is not None:
         return True
     return not call_class.runs_at_most_once
 
 
-def _is_final(order: orders.Order, attempt: attempts.Attempt) -> bool:
+def _is_final(
+    request: caller_request.CallerRequest, attempt: attempt_module.AttemptResult
+) -> bool:
     outcome = attempt.dispatched.outcome
     if outcome is Outcome.ANSWERED:
         return True
-    return outcome is Outcome.UNKNOWN and order.ticket is not None
+    return outcome is Outcome.UNKNOWN and request.ticket is not None
 
 
-def _fail(outcome: Outcome, source: Source) -> attempts.Attempt:
+def _make_failure(
+    outcome: Outcome, source: Source
+) -> attempt_module.AttemptResult:
     reason = "keeper can't be reached"
     dispatched = work.Dispatched(
         outcome, retry_after_s=_RETRY_AFTER_S, reason=reason
     )
-    return attempts.Attempt(dispatched, source)
+    return attempt_module.AttemptResult(dispatched, source)
--- a/persimmonhinge/flows/home.py
+++ b/persimmonhinge/flows/home.py
@@ -14,7 +14,7 @@
 from persimmonhinge.flows import dispatcher as dispatchers
 from persimmonhinge.flows import exchanges
 from persimmonhinge.flows import home_port
-from persimmonhinge.flows import once
+from persimmonhinge.flows import non_idempotent
 from persimmonhinge.flows import port
 from persimmonhinge.flows import recovery as recoveries
 from persimmonhinge.flows import request as requests
@@ -64,7 +64,7 @@
         issuer = ticket_issuer.TicketIssuer(
             settings, view, mint, chooser, counts
         )
-        self._once = once.Once(
+        self._once = non_idempotent.NonIdempotentRequests(
             settings, view, mint, issuer, dispatcher, recovery, counts
         )
         life_s = settings.flows.answer_life_s
@@ -99,7 +99,7 @@
         A caller that does not confirm its answer, because it went away, is
         not waited for longer than two repetitions take.
         """
-        self._once.leave()
+        self._once.start_leaving()
         while self._server.count_running():
             await trio.sleep(_LEAVE_CHECK_S)
         with trio.move_on_after(_LEAVE_CONFIRM_S):
--- a/persimmonhinge/flows/keeper_turns.py
+++ b/persimmonhinge/flows/keeper_scheduler.py
@@ -8,7 +8,7 @@
 from persimmonhinge import ids
 
 
-class KeeperTurns:
+class KeeperScheduler:
     """Names keepers in turn, each as often as its capacity asks for.
 
     Stride scheduling: a keeper that was named moves back by the inverse of
@@ -34,7 +34,7 @@
             weights: Capacity of each keeper, above 0.
             count: How many are wanted.
         """
-        passes = self._read(service, weights)
+        passes = self._compute_passes(service, weights)
         ranked = sorted(
             passes, key=lambda ref: (passes[ref], self._random.random())
         )
@@ -44,7 +44,7 @@
         self._passes[service] = passes
         return picked
 
-    def _read(
+    def _compute_passes(
         self, service: ids.ServiceName, weights: Mapping[ids.HostRef, float]
     ) -> dict[ids.HostRef, float]:
         """Returns where each keeper stands.
--- a/persimmonhinge/flows/presence.py
+++ b/persimmonhinge/flows/liveness.py
@@ -7,14 +7,14 @@
 import trio
 
 from persimmonhinge import ids
-from persimmonhinge.membership import view as views
+from persimmonhinge.membership import view as view_module
 
 # Hosts that took each other for dead in a cut have all refuted it in this time
 # after it healed, seconds.
-REJOIN_S = 3.0
+PARTITION_RECOVERY_S = 3.0
 
 
-class Presence(enum.Enum):
+class Liveness(enum.Enum):
     """What is believed of a keeper without an answer.
 
     LIVES: It counts as alive; its link may come up.
@@ -22,12 +22,12 @@
     GONE: It is dead, or so paused that it comes back as another incarnation.
     """
 
-    LIVES = "lives"
-    BEYOND_CUT = "beyond-cut"
-    GONE = "gone"
+    ALIVE = "lives"
+    PARTITIONED = "beyond-cut"
+    ENDED = "gone"
 
 
-class PresenceJudge:
+class LivenessEstimator:
     """Tells dead keepers from those beyond a cut, by the view of this host.
 
     A cut takes a whole failure domain away, or this host. Where others of its
@@ -35,21 +35,24 @@
     known is gone, too.
     """
 
-    def __init__(self, view: views.View) -> None:
+    def __init__(self, view: view_module.View) -> None:
         self._view = view
 
-    def judge(self, keeper: ids.HostRef) -> Presence:
+    def assess(self, keeper: ids.HostRef) -> Liveness:
         """Returns what is believed of a keeper."""
         for member in self._view.all():
             if member.ref != keeper:
                 continue
             if member.answers:
-                return Presence.LIVES
-            if self._is_dark(member.domain) or self._is_isolated():
-                return Presence.BEYOND_CUT
-        return Presence.GONE
-
-    def _is_dark(self, domain: ids.DomainId) -> bool:
+                return Liveness.ALIVE
+            if (
+                self._is_domain_unreachable(member.domain)
+                or self._is_isolated()
+            ):
+                return Liveness.PARTITIONED
+        return Liveness.ENDED
+
+    def _is_domain_unreachable(self, domain: ids.DomainId) -> bool:
         return not any(
             member.domain == domain and member.answers
             for member in self._view.all()
@@ -61,7 +64,9 @@
         Failure domains don't die together, so silence of all of them means
         that this host can't hear them.
         """
-        mine = self._view.self_member.domain
-        if all(member.domain == mine for member in self._view.all()):
+        own_domain = self._view.self_member.domain
+        if all(member.domain == own_domain for member in self._view.all()):
             return False
-        return self._view.silence.is_recent(trio.current_time(), REJOIN_S)
+        return self._view.silence.is_recent(
+            trio.current_time(), PARTITION_RECOVERY_S
+        )
--- a/persimmonhinge/flows/loads.py
+++ b/persimmonhinge/flows/loads.py
@@ -8,12 +8,12 @@
 import math
 
 from persimmonhinge import ids
-from persimmonhinge.contracts import contract as contracts
+from persimmonhinge.contracts import contract
 from persimmonhinge.peers.messages import work
 
 UpstreamKey = tuple[ids.ServiceName, ids.UpstreamId]
-_WorkKey = tuple[ids.ServiceName, ids.UpstreamId, contracts.CallKind]
-_RECENT_S = 10.0
+_WorkKey = tuple[ids.ServiceName, ids.UpstreamId, contract.CallKind]
+_RECENT_DECAY_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -24,12 +24,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Recent:
+class _RecentWork:
     amount: float
     counted_at: float
 
 
-class LoadBook:
+class LoadTracker:
     """The last report on each upstream, corrected by this host's own work.
 
     A report is old by the time it is used. What this host has begun and
@@ -44,36 +44,38 @@
             read_clock: Returns the time, seconds.
         """
         self._read_clock = read_clock
-        self._recent: dict[_WorkKey, _Recent] = {}
+        self._recent: dict[_WorkKey, _RecentWork] = {}
         self._reports: dict[UpstreamKey, _Report] = {}
         self._own: collections.Counter[_WorkKey] = collections.Counter()
 
-    def note(self, service: ids.ServiceName, load: work.UpstreamLoad) -> None:
+    def record_load(
+        self, service: ids.ServiceName, load: work.UpstreamLoad
+    ) -> None:
         """Takes in a keeper's report."""
         key = (service, load.upstream)
         self._reports[key] = _Report(
             load,
-            self.count_own(*key, contracts.CallKind.REQUEST),
-            self.count_own(*key, contracts.CallKind.FEED),
+            self.count_own(*key, contract.CallKind.REQUEST),
+            self.count_own(*key, contract.CallKind.FEED),
         )
 
-    def begin(
+    def record_start(
         self,
         service: ids.ServiceName,
         upstream: ids.UpstreamId,
-        kind: contracts.CallKind,
+        kind: contract.CallKind,
     ) -> None:
         """Counts work that this host has begun."""
         key = (service, upstream, kind)
         self._own[key] += 1
         amount = self.count_recent(service, upstream, kind) + 1
-        self._recent[key] = _Recent(amount, self._read_clock())
+        self._recent[key] = _RecentWork(amount, self._read_clock())
 
-    def end(
+    def record_end(
         self,
         service: ids.ServiceName,
         upstream: ids.UpstreamId,
-        kind: contracts.CallKind,
+        kind: contract.CallKind,
     ) -> None:
         """Counts work that this host has ended."""
         key = (service, upstream, kind)
@@ -85,7 +87,7 @@
         self,
         service: ids.ServiceName,
         upstream: ids.UpstreamId,
-        kind: contracts.CallKind,
+        kind: contract.CallKind,
     ) -> int:
         """Returns how much work of this host an upstream has."""
         return self._own[(service, upstream, kind)]
@@ -94,7 +96,7 @@
         self,
         service: ids.ServiceName,
         upstream: ids.UpstreamId,
-        kind: contracts.CallKind,
+        kind: contract.CallKind,
     ) -> float:
         """Returns how much work this host gave an upstream lately.
 
@@ -105,9 +107,9 @@
         if recent is None:
             return 0.0
         age_s = self._read_clock() - recent.counted_at
-        return recent.amount * math.exp(-age_s / _RECENT_S)
+        return recent.amount * math.exp(-age_s / _RECENT_DECAY_S)
 
-    def get(
+    def get_load(
         self, service: ids.ServiceName, upstream: ids.UpstreamId
     ) -> work.UpstreamLoad | None:
         """Returns the last report, None if there is none."""
@@ -118,7 +120,7 @@
         self,
         service: ids.ServiceName,
         upstream: ids.UpstreamId,
-        kind: contracts.CallKind,
+        kind: contract.CallKind,
         homes: int = 1,
     ) -> float:
         """Returns requests running and waiting, or open feeds, by now.
@@ -136,7 +138,7 @@
         report = self._reports.get((service, upstream))
         if report is None:
             return own
-        if kind is contracts.CallKind.FEED:
+        if kind is contract.CallKind.FEED:
             change = own - report.own_feeds
             if change > 0:
                 change *= homes
--- a/persimmonhinge/flows/outcome.py
+++ b/persimmonhinge/flows/no_reply.py
@@ -3,5 +3,5 @@
 from __future__ import annotations
 
 
-class Silence:
+class NoReply:
     """No answer: the caller's next copy finds a host that can answer."""
--- a/persimmonhinge/flows/once.py
+++ b/persimmonhinge/flows/non_idempotent.py
@@ -10,52 +10,54 @@
 import trio
 
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import store as stores
-from persimmonhinge.flows import dispatcher as dispatchers
-from persimmonhinge.flows import order as orders
-from persimmonhinge.flows import outcome
+from persimmonhinge.contracts import store
+from persimmonhinge.flows import caller_request
+from persimmonhinge.flows import dispatcher as dispatcher_module
+from persimmonhinge.flows import no_reply
 from persimmonhinge.flows import port
-from persimmonhinge.flows import recovery as recoveries
+from persimmonhinge.flows import recovery as recovery_module
 from persimmonhinge.flows import replies
-from persimmonhinge.flows import row as rows
-from persimmonhinge.flows import table as tables
+from persimmonhinge.flows import row as row_module
+from persimmonhinge.flows import table
 from persimmonhinge.flows import ticket_issuer
 from persimmonhinge.flows import tickets
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
 from persimmonhinge.peers.messages import work
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.settings import entry as entry_module
 
 logger = logging.getLogger(__name__)
 
 _EXPIRE_INTERVAL_S = 1.0
 _RETRY_AFTER_S = 1
 _CANCELLED = work.Dispatched(work.Outcome.UNKNOWN, reason="cancelled")
-_UNASKED = work.Dispatched(work.Outcome.UNKNOWN, reason="its home died")
+_HOME_DIED = work.Dispatched(work.Outcome.UNKNOWN, reason="its home died")
 
 
 # No host takes them for this service, so nothing ran under them.
-_FOREIGN_FAULTS = (
+_UNUSABLE_TICKET_FAULTS = (
     tickets.TicketFault.MALFORMED,
     tickets.TicketFault.OTHER_SERVICE,
 )
-_RunRow = Callable[[rows.Row, orders.Order], Awaitable[None]]
+_RunFunction = Callable[
+    [row_module.Row, caller_request.CallerRequest], Awaitable[None]
+]
 # A row to wait for, an answer at once, or none.
-Admission = rows.Row | codec.Message | outcome.Silence
+Admission = row_module.Row | codec.Message | no_reply.NoReply
 
 
-class Once:
+class NonIdempotentRequests:
     """Runs non-idempotent requests at most once, and remembers them."""
 
     def __init__(
         self,
-        settings: settings_entry.EntrySettings,
-        view: views.View,
+        settings: entry_module.EntrySettings,
+        view: view_module.View,
         mint: tickets.TicketMint,
         issuer: ticket_issuer.TicketIssuer,
-        dispatcher: dispatchers.Dispatcher,
-        recovery: recoveries.Recovery,
-        counts: host_counts.Counts,
+        dispatcher: dispatcher_module.Dispatcher,
+        recovery: recovery_module.Recovery,
+        counts: counts_module.Counts,
     ) -> None:
         self._settings = settings.flows
         self._view = view
@@ -64,11 +66,11 @@
         self._dispatcher = dispatcher
         self._recovery = recovery
         self._counts = counts
-        self._table = tables.RequestTable(settings.flows.most_flows)
-        self._recovering: dict[rows.RowKey, rows.Row] = {}
+        self._table = table.RequestTable(settings.flows.most_flows)
+        self._recovering: dict[row_module.RowKey, row_module.Row] = {}
         self._nursery: trio.Nursery | None = None
 
-    def leave(self) -> None:
+    def start_leaving(self) -> None:
         """Mints no more tickets and begins nothing new."""
         self._issuer.leaving = True
 
@@ -81,15 +83,15 @@
             task_status.started()
             while True:
                 await trio.sleep(_EXPIRE_INTERVAL_S)
-                self._table.expire(self._mint.uptime_ms())
+                self._table.remove_expired(self._mint.uptime_ms())
 
     def admit(
         self,
-        order: orders.Order,
-        entry: stores.ContractEntry,
+        request: caller_request.CallerRequest,
+        entry: store.ContractEntry,
         echo: bytes,
         *,
-        has_room: bool = True,
+        has_capacity: bool = True,
     ) -> Admission:
         """Decides on a request with the ticket that it came with.
 
@@ -100,22 +102,22 @@
             has_room: False if the host can begin no more work.
         """
         if not echo:
-            return self._issuer.ask(order.flow, entry, "none")
+            return self._issuer.ask(request.flow, entry, "none")
         try:
-            ticket = self._mint.read(echo, order.flow)
+            ticket = self._mint.read(echo, request.flow)
         except tickets.RefusedTicketError as error:
-            return self._refuse_ticket(order, entry, echo, error.fault)
-        order = order.bind(ticket)
-        row = self._table.find(order.key)
+            return self._refuse_ticket(request, entry, echo, error.fault)
+        request = request.with_ticket(ticket)
+        row = self._table.find(request.row_key)
         if row is not None:
             return row
         if not self._mint.is_current(ticket.home):
-            return self._recover(order)
-        return self._begin(order, entry, has_room=has_room)
+            return self._start_recovery(request)
+        return self._start_request(request, entry, has_capacity=has_capacity)
 
-    def screen(
-        self, flow: port.Flow, entry: stores.ContractEntry, echo: bytes
-    ) -> codec.Message | outcome.Silence | None:
+    def check_block(
+        self, flow: port.Flow, entry: store.ContractEntry, echo: bytes
+    ) -> codec.Message | no_reply.NoReply | None:
         """Decides on a block of a body before it is kept.
 
         The last block decides whether the request runs. So a ticket that no
@@ -130,13 +132,16 @@
         try:
             ticket = self._mint.read(echo, flow)
         except tickets.RefusedTicketError as error:
-            if error.fault in _FOREIGN_FAULTS:
+            if error.fault in _UNUSABLE_TICKET_FAULTS:
                 return self._issuer.ask(flow, entry, error.fault.value)
             return self._issuer.report_unverified(flow, entry, error.fault)
-        return self._find_elsewhere(ticket)
+        return self._defer_to_home(ticket)
 
-    def find_answer(
-        self, order: orders.Order, entry: stores.ContractEntry, echo: bytes
+    def recover_answer(
+        self,
+        request: caller_request.CallerRequest,
+        entry: store.ContractEntry,
+        echo: bytes,
     ) -> Admission:
         """Finds the answer of a request that ran, for its later blocks.
 
@@ -144,18 +149,18 @@
         the keepers are asked by ticket and token alone.
         """
         try:
-            ticket = self._mint.read(echo, order.flow)
+            ticket = self._mint.read(echo, request.flow)
         except tickets.RefusedTicketError as error:
             return self._issuer.report_unverified(
-                order.flow, entry, error.fault
+                request.flow, entry, error.fault
             )
-        order = dataclasses.replace(order, ticket=ticket, digest=b"")
-        return self._recover(order)
+        request = dataclasses.replace(request, ticket=ticket, digest=b"")
+        return self._start_recovery(request)
 
     def _refuse_ticket(
         self,
-        order: orders.Order,
-        entry: stores.ContractEntry,
+        request: caller_request.CallerRequest,
+        entry: store.ContractEntry,
         echo: bytes,
         fault: tickets.TicketFault,
     ) -> codec.Message:
@@ -167,52 +172,56 @@
         caller's address changed on the way, its key was retired early, or
         this host hasn't learned its key yet.
         """
-        if fault in _FOREIGN_FAULTS:
-            return self._issuer.ask(order.flow, entry, fault.value)
+        if fault in _UNUSABLE_TICKET_FAULTS:
+            return self._issuer.ask(request.flow, entry, fault.value)
         home = tickets.peek_home(echo)
         if home is not None and self._mint.is_own(home):
-            key = order.make_key(home, tickets.peek_id(echo))
+            key = request.make_row_key(home, tickets.peek_id(echo))
             if self._table.find(key) is None:
-                return self._issuer.ask(order.flow, entry, fault.value)
-        return self._issuer.report_unverified(order.flow, entry, fault)
+                return self._issuer.ask(request.flow, entry, fault.value)
+        return self._issuer.report_unverified(request.flow, entry, fault)
 
-    def _begin(
+    def _start_request(
         self,
-        order: orders.Order,
-        entry: stores.ContractEntry,
+        request: caller_request.CallerRequest,
+        entry: store.ContractEntry,
         *,
-        has_room: bool,
+        has_capacity: bool,
     ) -> Admission:
-        ticket = order.held_ticket
+        ticket = request.required_ticket
         if not self._mint.begins(ticket):
-            return self._issuer.ask(order.flow, entry, "expired")
+            return self._issuer.ask(request.flow, entry, "expired")
         if self._issuer.leaving:
             # Never undone, so a late copy of it is refused as well.
-            return replies.refuse(0, "host leaves")
+            return replies.make_unavailable(0, "host leaves")
         row = None
-        if has_room:
-            row = self._table.begin(order.key, ticket.expiry_ms)
+        if has_capacity:
+            row = self._table.add(request.row_key, ticket.expiry_ms)
         if row is None:
             self._counts.add("home_refused_total", cause="table-full")
             self._mint.close_issued()
-            echo = self._issuer.renew(order.flow, entry)
-            return replies.refuse(_RETRY_AFTER_S, "host is full", echo)
-        self._start(self._run_row, row, order)
+            echo = self._issuer.renew(request.flow, entry)
+            return replies.make_unavailable(
+                _RETRY_AFTER_S, "host is full", echo
+            )
+        self._start_task(self._run_request, row, request)
         return row
 
-    def _recover(self, order: orders.Order) -> Admission:
-        elsewhere = self._find_elsewhere(order.held_ticket)
+    def _start_recovery(
+        self, request: caller_request.CallerRequest
+    ) -> Admission:
+        elsewhere = self._defer_to_home(request.required_ticket)
         if elsewhere is not None:
             return elsewhere
-        key = order.key
+        key = request.row_key
         row = self._recovering.get(key)
         if row is None:
-            row = rows.Row(key, is_recovered=True)
+            row = row_module.Row(key, is_recovered=True)
             self._recovering[key] = row
-            self._start(self._run_recovery, row, order)
+            self._start_task(self._run_recovery, row, request)
         return row
 
-    def _find_elsewhere(self, ticket: tickets.Ticket) -> outcome.Silence | None:
+    def _defer_to_home(self, ticket: tickets.Ticket) -> no_reply.NoReply | None:
         """Returns silence for a ticket whose home lives.
 
         It can't be reached from here, or the request would be there. It
@@ -224,42 +233,56 @@
         if self._view.find_ref(ticket.home) is None:
             return None
         self._counts.add("home_elsewhere_total")
-        return outcome.Silence()
+        return no_reply.NoReply()
 
-    def _start(self, run: _RunRow, row: rows.Row, order: orders.Order) -> None:
+    def _start_task(
+        self,
+        run: _RunFunction,
+        row: row_module.Row,
+        request: caller_request.CallerRequest,
+    ) -> None:
         assert self._nursery is not None
-        self._nursery.start_soon(self._contain, run, row, order)
+        self._nursery.start_soon(self._run_guarded, run, row, request)
 
-    async def _contain(
-        self, run: _RunRow, row: rows.Row, order: orders.Order
+    async def _run_guarded(
+        self,
+        run: _RunFunction,
+        row: row_module.Row,
+        request: caller_request.CallerRequest,
     ) -> None:
         """Runs a row; a fault of ours ends neither its copies nor the host."""
         try:
-            with row.scope:
-                await run(row, order)
+            with row.cancel_scope:
+                await run(row, request)
         except Exception:
-            logger.exception("A request of %s failed.", order.service)
+            logger.exception("A request of %s failed.", request.service)
             self._counts.add("home_faults_total")
         row.finish(_CANCELLED)
 
-    async def _run_row(self, row: rows.Row, order: orders.Order) -> None:
+    async def _run_request(
+        self, row: row_module.Row, request: caller_request.CallerRequest
+    ) -> None:
         try:
-            row.finish(await self._dispatcher.run(order))
+            row.finish(await self._dispatcher.run_request(request))
         finally:
             row.finish(_CANCELLED)
-            self._table.count_kept(row)
+            self._table.count_answer(row)
 
-    async def _run_recovery(self, row: rows.Row, order: orders.Order) -> None:
+    async def _run_recovery(
+        self, row: row_module.Row, request: caller_request.CallerRequest
+    ) -> None:
         try:
             if self._settings.recovery:
-                result = await self._recovery.ask_all(order)
-                row.finish(_check_found(result, row.key))
-            row.finish(_UNASKED)
+                result = await self._recovery.query_all_keepers(request)
+                row.finish(_downgrade_not_run(result, row.key))
+            row.finish(_HOME_DIED)
         finally:
             del self._recovering[row.key]
 
 
-def _check_found(result: work.Dispatched, key: rows.RowKey) -> work.Dispatched:
+def _downgrade_not_run(
+    result: work.Dispatched, key: row_module.RowKey
+) -> work.Dispatched:
     """Returns what may be told to the caller.
 
     Guards against "not run" for a request that ran: a plain CoAP caller
--- a/persimmonhinge/flows/recovery.py
+++ b/persimmonhinge/flows/recovery.py
@@ -10,27 +10,27 @@
 
 from persimmonhinge import errors
 from persimmonhinge import ids
-from persimmonhinge.contracts import store as stores
-from persimmonhinge.flows import order as orders
-from persimmonhinge.flows import presence as presences
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.peers import network as networks
+from persimmonhinge.contracts import store
+from persimmonhinge.flows import caller_request
+from persimmonhinge.flows import liveness
+from persimmonhinge.membership import placement as placement_module
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.peers import network as network_module
 from persimmonhinge.peers.messages import work
 
 logger = logging.getLogger(__name__)
 
 # A keeper that still runs the request answers once it is done, so it is
 # waited for as long as the caller waits, and at least this long.
-LEAST_WAIT_S = 1.0
-_ATTEMPTS = 3
-_PAUSE_S = 0.2
+MIN_ANSWER_TIMEOUT_S = 1.0
+_MAX_ATTEMPTS = 3
+_RETRY_PAUSE_S = 0.2
 # Between rounds of questions while a keeper can't be reached.
 _ROUND_PAUSE_S = 0.5
 
 Outcome = work.Outcome
-Presence = presences.Presence
+Liveness = liveness.Liveness
 # What each keeper of a ticket says; None without an answer.
 Findings = dict[ids.HostRef, work.Dispatched | None]
 
@@ -49,65 +49,73 @@
 
     def __init__(
         self,
-        view: views.View,
-        placement: placements.Placement,
-        contract_store: stores.ContractStore,
-        network: networks.PeerNetwork,
-        counts: host_counts.Counts,
+        view: view_module.View,
+        placement: placement_module.Placement,
+        contract_store: store.ContractStore,
+        network: network_module.PeerNetwork,
+        counts: counts_module.Counts,
     ) -> None:
         self._view = view
-        self._presence = presences.PresenceJudge(view)
+        self._liveness = liveness.LivenessEstimator(view)
         self._placement = placement
         self._contracts = contract_store
         self._network = network
         self._counts = counts
 
-    async def ask_all(self, order: orders.Order) -> work.Dispatched:
+    async def query_all_keepers(
+        self, request: caller_request.CallerRequest
+    ) -> work.Dispatched:
         """Returns what the keepers of an order's ticket know of it.
 
         Returns:
             ANSWERED with the kept answer; NOT_RUN if all keepers say and
             promise so; UNKNOWN otherwise.
         """
-        found = await self._ask_in_rounds(order, order.held_ticket.keepers)
-        result = _conclude(list(found.values()))
+        found = await self._query_in_rounds(
+            request, request.required_ticket.keepers
+        )
+        result = _combine_findings(list(found.values()))
         self._counts.add("home_recoveries_total", outcome=result.outcome.value)
         return result
 
-    async def ask_keeper(
-        self, order: orders.Order, keeper: ids.HostRef
+    async def query_keeper(
+        self, request: caller_request.CallerRequest, keeper: ids.HostRef
     ) -> work.Dispatched:
         """Returns what one keeper knows of an order."""
-        found = await self._ask_in_rounds(order, (keeper,))
-        return found[keeper] or _unknown("keeper does not answer")
+        found = await self._query_in_rounds(request, (keeper,))
+        return found[keeper] or _make_unknown("keeper does not answer")
 
-    async def _ask_in_rounds(
-        self, order: orders.Order, keepers: Sequence[ids.HostRef]
+    async def _query_in_rounds(
+        self,
+        request: caller_request.CallerRequest,
+        keepers: Sequence[ids.HostRef],
     ) -> Findings:
         """Asks keepers until another round could change nothing."""
         rounds = 1
-        cut_seen_at = -math.inf
+        partition_seen_at = -math.inf
         while True:
-            found = await self._ask_each(order, keepers)
+            found = await self._query_each(request, keepers)
             now = trio.current_time()
-            silent = self._judge_silent(found)
-            if Presence.BEYOND_CUT in silent:
-                cut_seen_at = now
-            healed = now < cut_seen_at + presences.REJOIN_S
-            may_change = bool(silent) and (
-                Presence.GONE not in silent or healed
+            unanswered = self._assess_unanswered(found)
+            if Liveness.PARTITIONED in unanswered:
+                partition_seen_at = now
+            may_have_healed = (
+                now < partition_seen_at + liveness.PARTITION_RECOVERY_S
             )
-            again_at = now + _ROUND_PAUSE_S
-            if not may_change or again_at >= order.deadline:
+            may_change = bool(unanswered) and (
+                Liveness.ENDED not in unanswered or may_have_healed
+            )
+            next_round_at = now + _ROUND_PAUSE_S
+            if not may_change or next_round_at >= request.deadline:
                 break
             rounds += 1
-            await trio.sleep_until(again_at)
-        self._log_findings(order, found, rounds, may_change=may_change)
+            await trio.sleep_until(next_round_at)
+        self._log_findings(request, found, rounds, may_change=may_change)
         return found
 
     def _log_findings(
         self,
-        order: orders.Order,
+        request: caller_request.CallerRequest,
         found: Findings,
         rounds: int,
         *,
@@ -122,23 +130,25 @@
         logger.info(
             "Outcome of %s of %s:%d, token %s: keepers say %s after %d rounds;"
             " %.1f s left, %s.",
-            order.service,
-            *order.flow.caller,
-            order.token.hex(),
+            request.service,
+            *request.flow.caller,
+            request.token.hex(),
             told,
             rounds,
-            order.deadline - trio.current_time(),
+            request.deadline - trio.current_time(),
             "some may return" if may_change else "none may return",
         )
 
-    async def _ask_each(
-        self, order: orders.Order, keepers: Sequence[ids.HostRef]
+    async def _query_each(
+        self,
+        request: caller_request.CallerRequest,
+        keepers: Sequence[ids.HostRef],
     ) -> Findings:
         """Returns what keepers say; the first answer ends the questions."""
         found: Findings = {}
 
         async def ask(keeper: ids.HostRef) -> None:
-            told = await self._find(order, keeper)
+            told = await self._query_keeper_or_successor(request, keeper)
             found[keeper] = told
             if told is not None and told.outcome is Outcome.ANSWERED:
                 nursery.cancel_scope.cancel()
@@ -148,7 +158,7 @@
                 nursery.start_soon(ask, keeper)
         return found
 
-    def _judge_silent(self, found: Findings) -> set[presences.Presence]:
+    def _assess_unanswered(self, found: Findings) -> set[liveness.Liveness]:
         """Returns what is believed of silent keepers that could still tell.
 
         Returns:
@@ -158,13 +168,13 @@
         if any(d.outcome is not Outcome.NOT_RUN for d in told):
             return set()
         return {
-            self._presence.judge(keeper)
+            self._liveness.assess(keeper)
             for keeper, told in found.items()
             if told is None
         }
 
-    async def _find(
-        self, order: orders.Order, keeper: ids.HostRef
+    async def _query_keeper_or_successor(
+        self, request: caller_request.CallerRequest, keeper: ids.HostRef
     ) -> work.Dispatched | None:
         """Returns what one keeper knows; None if nobody answers for it.
 
@@ -172,32 +182,36 @@
         answers for it. That is one of the present keepers of the service;
         any other host answers NOT_KEEPER, which tells nothing.
         """
-        message = _write_question(order, keeper)
+        message = _build_query(request, keeper)
         member = self._view.find_ref(keeper)
         if member is not None:
-            result = await self._ask(member.host, message, order.deadline)
+            result = await self._query_host(
+                member.host, message, request.deadline
+            )
             if result is not None:
                 return result
-        return await self._ask_successors(order, message)
+        return await self._query_successors(request, message)
 
-    async def _ask_successors(
-        self, order: orders.Order, message: work.Recover
+    async def _query_successors(
+        self, request: caller_request.CallerRequest, message: work.Recover
     ) -> work.Dispatched | None:
         known: work.Dispatched | None = None
 
         async def ask(host: ids.HostId) -> None:
             nonlocal known
-            result = await self._ask(host, message, order.deadline)
+            result = await self._query_host(host, message, request.deadline)
             if result is not None and result.outcome is not Outcome.UNKNOWN:
                 known = known or result
                 nursery.cancel_scope.cancel()
 
         async with trio.open_nursery() as nursery:
-            for host in self._list_keepers(order.service):
+            for host in self._list_current_keepers(request.service):
                 nursery.start_soon(ask, host)
         return known
 
-    def _list_keepers(self, service: ids.ServiceName) -> set[ids.HostId]:
+    def _list_current_keepers(
+        self, service: ids.ServiceName
+    ) -> set[ids.HostId]:
         entry = self._contracts.get(service)
         if entry is None:
             return set()
@@ -209,17 +223,17 @@
                 found.add(member.host)
         return found
 
-    async def _ask(
+    async def _query_host(
         self, host: ids.HostId, message: work.Recover, deadline: float
     ) -> work.Dispatched | None:
         """Returns what a host says; None if it gives no answer."""
-        for attempt in range(_ATTEMPTS):
+        for attempt in range(_MAX_ATTEMPTS):
             if attempt:
-                await trio.sleep(_PAUSE_S)
-            left_s = deadline - trio.current_time()
+                await trio.sleep(_RETRY_PAUSE_S)
+            remaining_s = deadline - trio.current_time()
             try:
                 answer = await self._network.call(
-                    host, message, max(left_s, LEAST_WAIT_S)
+                    host, message, max(remaining_s, MIN_ANSWER_TIMEOUT_S)
                 )
             except errors.PeerCallTimeoutError:
                 break
@@ -227,25 +241,27 @@
                 # A question may be asked twice; a new link may come up.
                 continue
             if isinstance(answer, work.Dispatched):
-                return _check(answer)
+                return _normalize_answer(answer)
             break
         return None
 
 
-def _write_question(order: orders.Order, keeper: ids.HostRef) -> work.Recover:
-    key = order.key
+def _build_query(
+    request: caller_request.CallerRequest, keeper: ids.HostRef
+) -> work.Recover:
+    key = request.row_key
     return work.Recover(
-        order.service,
+        request.service,
         key.ticket,
         key.token,
         key.digest,
         key.home,
-        order.held_ticket.expiry_ms,
+        request.required_ticket.expiry_ms,
         keeper,
     )
 
 
-def _conclude(found: list[work.Dispatched | None]) -> work.Dispatched:
+def _combine_findings(found: list[work.Dispatched | None]) -> work.Dispatched:
     for dispatched in found:
         if dispatched and dispatched.outcome is Outcome.ANSWERED:
             return dispatched
@@ -253,15 +269,15 @@
         return work.Dispatched(
             Outcome.NOT_RUN, reason="its home died before it ran"
         )
-    return _unknown("its home died")
+    return _make_unknown("its home died")
 
 
-def _check(answer: work.Dispatched) -> work.Dispatched:
+def _normalize_answer(answer: work.Dispatched) -> work.Dispatched:
     """Takes NOT_KEEPER, from another incarnation of the host, as unknown."""
     if answer.outcome in (Outcome.ANSWERED, Outcome.NOT_RUN):
         return answer
-    return _unknown(answer.reason or "keeper does not know")
+    return _make_unknown(answer.reason or "keeper does not know")
 
 
-def _unknown(reason: str) -> work.Dispatched:
+def _make_unknown(reason: str) -> work.Dispatched:
     return work.Dispatched(Outcome.UNKNOWN, reason=reason)
--- a/persimmonhinge/flows/replies.py
+++ b/persimmonhinge/flows/replies.py
@@ -15,7 +15,9 @@
 _UNKNOWN = b"outcome unknown"
 
 
-def refuse(retry_after_s: int, reason: str, echo: bytes = b"") -> codec.Message:
+def make_unavailable(
+    retry_after_s: int, reason: str, echo: bytes = b""
+) -> codec.Message:
     """Returns 5.03: it did not run and never will; come back later.
 
     Args:
@@ -27,17 +29,17 @@
         code=Code.SERVICE_UNAVAILABLE, payload=reason.encode()
     )
     reply.opt.max_age = max(0, retry_after_s)
-    return _attach(reply, echo)
+    return _attach_ticket(reply, echo)
 
 
-def report_unknown(reason: str, echo: bytes = b"") -> codec.Message:
+def make_outcome_unknown(reason: str, echo: bytes = b"") -> codec.Message:
     """Returns 5.04: it may have run."""
     payload = _UNKNOWN + (f": {reason}".encode() if reason else b"")
     reply = codec.Message(code=Code.GATEWAY_TIMEOUT, payload=payload)
-    return _attach(reply, echo)
+    return _attach_ticket(reply, echo)
 
 
-def ask_for_ticket(echo: bytes, life_s: int) -> codec.Message:
+def make_ticket_required(echo: bytes, lifetime_s: int) -> codec.Message:
     """Returns 4.01 with a fresh ticket (RFC 9175 section 2.3).
 
     Args:
@@ -45,25 +47,27 @@
         life_s: How long it serves, seconds; told in Max-Age.
     """
     reply = codec.Message(code=Code.UNAUTHORIZED)
-    reply.opt.max_age = life_s
-    return _attach(reply, echo)
+    reply.opt.max_age = lifetime_s
+    return _attach_ticket(reply, echo)
 
 
-def reject(code: Code, reason: str = "") -> codec.Message:
+def make_reply(code: Code, reason: str = "") -> codec.Message:
     """Returns an error answer to a request that can't be served as it is."""
     return codec.Message(code=code, payload=reason.encode())
 
 
-def forward(dispatched: work.Dispatched, echo: bytes = b"") -> codec.Message:
+def convert_outcome(
+    dispatched: work.Dispatched, echo: bytes = b""
+) -> codec.Message:
     """Returns the answer to a caller that an outcome calls for."""
     if dispatched.outcome is work.Outcome.ANSWERED:
-        return _attach(read_answer(dispatched.answer), echo)
+        return _attach_ticket(decode_answer(dispatched.answer), echo)
     if dispatched.outcome is work.Outcome.UNKNOWN:
-        return report_unknown(dispatched.reason, echo)
-    return refuse(dispatched.retry_after_s, dispatched.reason, echo)
+        return make_outcome_unknown(dispatched.reason, echo)
+    return make_unavailable(dispatched.retry_after_s, dispatched.reason, echo)
 
 
-def read_answer(data: bytes) -> codec.Message:
+def decode_answer(data: bytes) -> codec.Message:
     """Returns an upstream's answer without what was meant for one hop."""
     answer = codec.decode(data, limit=codec.MAX_WHOLE_OCTETS)
     reply = codec.Message(code=answer.code, payload=answer.payload)
@@ -73,7 +77,7 @@
     return reply
 
 
-def _attach(reply: codec.Message, echo: bytes) -> codec.Message:
+def _attach_ticket(reply: codec.Message, echo: bytes) -> codec.Message:
     if echo:
         reply.opt.echo = echo
     return reply
--- a/persimmonhinge/flows/retries.py
+++ b/persimmonhinge/flows/retries.py
@@ -6,7 +6,7 @@
 
 # Few requests would earn no whole retry; a little is given in advance.
 _INITIAL_RETRIES = 10.0
-_MOST_RETRIES = 100.0
+_MAX_RETRIES = 100.0
 
 
 class RetryBudget:
@@ -18,22 +18,22 @@
     """
 
     def __init__(self) -> None:
-        self._left: dict[ids.ServiceName, float] = {}
+        self._remaining: dict[ids.ServiceName, float] = {}
 
-    def earn(self, service: ids.ServiceName, ratio: float) -> None:
+    def refill(self, service: ids.ServiceName, ratio: float) -> None:
         """Counts a request.
 
         Args:
             service: Its service.
             ratio: Retries that a request earns, `Limits.retry_budget`.
         """
-        left = self._left.get(service, _INITIAL_RETRIES)
-        self._left[service] = min(left + ratio, _MOST_RETRIES)
+        left = self._remaining.get(service, _INITIAL_RETRIES)
+        self._remaining[service] = min(left + ratio, _MAX_RETRIES)
 
     def spend(self, service: ids.ServiceName) -> bool:
         """Takes one retry; returns False if there is none left."""
-        left = self._left.get(service, _INITIAL_RETRIES)
+        left = self._remaining.get(service, _INITIAL_RETRIES)
         if left < 1.0:
             return False
-        self._left[service] = left - 1.0
+        self._remaining[service] = left - 1.0
         return True
--- a/persimmonhinge/flows/row.py
+++ b/persimmonhinge/flows/row.py
@@ -43,8 +43,8 @@
     key: RowKey
     result: work.Dispatched | None = None
     done: trio.Event = dataclasses.field(default_factory=trio.Event)
-    waiting: int = 0
-    scope: trio.CancelScope = dataclasses.field(
+    waiter_count: int = 0
+    cancel_scope: trio.CancelScope = dataclasses.field(
         default_factory=trio.CancelScope
     )
     is_recovered: bool = False
@@ -60,12 +60,12 @@
 
         The last one that is cancelled while it waits cancels the work.
         """
-        self.waiting += 1
+        self.waiter_count += 1
         try:
             await self.done.wait()
         finally:
-            self.waiting -= 1
-            if self.waiting == 0 and self.result is None:
-                self.scope.cancel()
+            self.waiter_count -= 1
+            if self.waiter_count == 0 and self.result is None:
+                self.cancel_scope.cancel()
         assert self.result is not None
         return self.result
--- a/persimmonhinge/flows/server.py
+++ b/persimmonhinge/flows/server.py
@@ -10,14 +10,14 @@
 from persimmonhinge.coap import codec
 from persimmonhinge.contracts import contract as contracts
 from persimmonhinge.contracts import store as stores
+from persimmonhinge.flows import caller_request as orders
 from persimmonhinge.flows import digests
 from persimmonhinge.flows import dispatcher as dispatchers
 from persimmonhinge.flows import exchange as exchange_types
 from persimmonhinge.flows import exchanges
 from persimmonhinge.flows import home_port
-from persimmonhinge.flows import once
-from persimmonhinge.flows import order as orders
-from persimmonhinge.flows import outcome
+from persimmonhinge.flows import no_reply
+from persimmonhinge.flows import non_idempotent
 from persimmonhinge.flows import replies
 from persimmonhinge.flows import request as requests
 from persimmonhinge.flows import row as rows
@@ -32,7 +32,7 @@
 
 Code = codes.Code
 # An answer at once, none at all, or None if a task will give it.
-Served = codec.Message | outcome.Silence | None
+Served = codec.Message | no_reply.NoReply | None
 
 # Each takes a task and its messages, about 10 kB.
 MAX_IN_PROGRESS = 20_000
@@ -48,7 +48,7 @@
         self,
         message_layer: exchanges.Exchanges,
         dispatcher: dispatchers.Dispatcher,
-        at_most_once: once.Once,
+        at_most_once: non_idempotent.NonIdempotentRequests,
         issuer: ticket_issuer.TicketIssuer,
         feeds: home_port.FeedServer,
         counts: host_counts.Counts,
@@ -94,7 +94,7 @@
     ) -> None:
         """Takes a request that is not a copy."""
         served = self._serve(exchange, message, entry)
-        if isinstance(served, outcome.Silence):
+        if isinstance(served, no_reply.NoReply):
             self._exchanges.abandon(exchange)
         elif served is not None:
             self._finish(exchange, served)
@@ -113,14 +113,14 @@
     ) -> Served:
         fault = requests.find_fault(message)
         if fault is not None:
-            return replies.reject(fault)
+            return replies.make_reply(fault)
         if entry is None:
             return _refuse_without_contract(message)
         closes = message.opt.observe == requests.OBSERVE_CLOSE
         closed = closes and self._feeds.close(exchange.flow, message)
         method = requests.get_method(message)
         if method is None:
-            return replies.reject(Code.METHOD_NOT_ALLOWED)
+            return replies.make_reply(Code.METHOD_NOT_ALLOWED)
         call_class = entry.contract.classify(
             method, requests.get_path(message), observes=False
         )
@@ -146,7 +146,7 @@
                 return state
         # A feed that ends is answered like a plain GET (RFC 7641 section
         # 3.6), without a call of the upstream.
-        return replies.reject(Code.CONTENT if closed else Code.NOT_FOUND)
+        return replies.make_reply(Code.CONTENT if closed else Code.NOT_FOUND)
 
     def _serve_idempotent(
         self,
@@ -169,7 +169,7 @@
             return whole
         if not self._has_room():
             self._counts.add("home_refused_total", cause="overload")
-            return replies.refuse(_OVERLOAD_RETRY_S, "host is full")
+            return replies.make_unavailable(_OVERLOAD_RETRY_S, "host is full")
         self._start(exchange, order, entry, None)
         return None
 
@@ -182,7 +182,7 @@
     ) -> Served:
         echo = message.opt.echo or b""
         if message.opt.block1 is not None:
-            refusal = self._once.screen(exchange.flow, entry, echo)
+            refusal = self._once.check_block(exchange.flow, entry, echo)
             if refusal is not None:
                 return refusal
         taken = self._take_body(exchange, message, entry)
@@ -194,10 +194,10 @@
         if whole is not None:
             return whole
         if exchange.shape.is_later:
-            admission = self._once.find_answer(order, entry, echo)
+            admission = self._once.recover_answer(order, entry, echo)
         else:
             admission = self._once.admit(
-                order, entry, echo, has_room=self._has_room()
+                order, entry, echo, has_capacity=self._has_room()
             )
         if isinstance(admission, rows.Row):
             return self._join(exchange, order, entry, admission)
@@ -213,7 +213,7 @@
         if message.opt.block1 is not None:
             return self._uploads.take(exchange.flow, message, limit)
         if len(message.payload) > limit:
-            return replies.reject(Code.REQUEST_ENTITY_TOO_LARGE)
+            return replies.make_reply(Code.REQUEST_ENTITY_TOO_LARGE)
         return upload_types.Whole(message, exchange.token)
 
     def _find_whole(
@@ -230,23 +230,23 @@
     def _join(
         self,
         exchange: exchange_types.Exchange,
-        order: orders.Order,
+        order: orders.CallerRequest,
         entry: stores.ContractEntry,
         row: rows.Row,
     ) -> Served:
         if row.result is not None:
             echo = self._issuer.renew(order.flow, entry)
-            return replies.forward(row.result, echo)
+            return replies.convert_outcome(row.result, echo)
         if not self._has_room():
             # It runs, so "not run" would be wrong; a later copy finds it.
-            return outcome.Silence()
+            return no_reply.NoReply()
         self._start(exchange, order, entry, row)
         return None
 
     def _start(
         self,
         exchange: exchange_types.Exchange,
-        order: orders.Order,
+        order: orders.CallerRequest,
         entry: stores.ContractEntry,
         row: rows.Row | None,
     ) -> None:
@@ -262,7 +262,7 @@
     async def _work(
         self,
         exchange: exchange_types.Exchange,
-        order: orders.Order,
+        order: orders.CallerRequest,
         entry: stores.ContractEntry,
         row: rows.Row | None,
     ) -> None:
@@ -275,7 +275,7 @@
             # with it: a fault of ours that some datagram brings out.
             logger.exception("A request of %s failed.", order.service)
             self._counts.add("home_faults_total")
-            reply = replies.report_unknown("internal fault")
+            reply = replies.make_outcome_unknown("internal fault")
         finally:
             self._running -= 1
         if scope.cancelled_caught:
@@ -290,21 +290,25 @@
 
     async def _get_reply(
         self,
-        order: orders.Order,
+        order: orders.CallerRequest,
         entry: stores.ContractEntry,
         row: rows.Row | None,
     ) -> codec.Message:
         if row is None:
-            return replies.forward(await self._dispatcher.run(order))
+            return replies.convert_outcome(
+                await self._dispatcher.run_request(order)
+            )
         result = await row.wait()
-        return replies.forward(result, self._issuer.renew(order.flow, entry))
+        return replies.convert_outcome(
+            result, self._issuer.renew(order.flow, entry)
+        )
 
 
 def _refuse_without_contract(message: codec.Message) -> codec.Message:
     if message.opt.echo:
         # An earlier copy may have run while the contract was known.
-        return replies.report_unknown("no contract")
-    return replies.refuse(_NO_CONTRACT_RETRY_S, "no contract")
+        return replies.make_outcome_unknown("no contract")
+    return replies.make_unavailable(_NO_CONTRACT_RETRY_S, "no contract")
 
 
 def _make_once_shape(
@@ -331,9 +335,9 @@
     exchange: exchange_types.Exchange,
     whole: upload_types.Whole,
     call_class: contracts.CallClass,
-) -> orders.Order:
+) -> orders.CallerRequest:
     deadline_s = requests.get_deadline_s(whole.message, call_class)
-    return orders.Order(
+    return orders.CallerRequest(
         exchange.flow,
         call_class.method,
         requests.get_path(whole.message),
--- a/persimmonhinge/flows/table.py
+++ b/persimmonhinge/flows/table.py
@@ -5,10 +5,10 @@
 import heapq
 import itertools
 
-from persimmonhinge.flows import row as rows
+from persimmonhinge.flows import row as row_module
 
 # Octets of answers that are kept over all rows.
-MAX_KEPT_OCTETS = 64 * 1024 * 1024
+MAX_STORED_ANSWER_OCTETS = 64 * 1024 * 1024
 
 
 class RequestTable:
@@ -20,21 +20,23 @@
     instead.
     """
 
-    def __init__(self, most_rows: int) -> None:
-        self._most_rows = most_rows
-        self._rows: dict[rows.RowKey, rows.Row] = {}
-        self._expiries: list[tuple[int, int, rows.RowKey]] = []
-        self._numbers = itertools.count()
-        self._kept_octets = 0
+    def __init__(self, max_rows: int) -> None:
+        self._max_rows = max_rows
+        self._rows: dict[row_module.RowKey, row_module.Row] = {}
+        self._expiries: list[tuple[int, int, row_module.RowKey]] = []
+        self._sequence_numbers = itertools.count()
+        self._answer_octets = 0
 
     def __len__(self) -> int:
         return len(self._rows)
 
-    def find(self, key: rows.RowKey) -> rows.Row | None:
+    def find(self, key: row_module.RowKey) -> row_module.Row | None:
         """Returns the row of a request that has begun, else None."""
         return self._rows.get(key)
 
-    def begin(self, key: rows.RowKey, expiry_ms: int) -> rows.Row | None:
+    def add(
+        self, key: row_module.RowKey, expiry_ms: int
+    ) -> row_module.Row | None:
         """Adds a row.
 
         Args:
@@ -47,31 +49,31 @@
         assert key not in self._rows
         if self.is_full():
             return None
-        row = rows.Row(key)
+        row = row_module.Row(key)
         self._rows[key] = row
-        entry = (expiry_ms, next(self._numbers), key)
+        entry = (expiry_ms, next(self._sequence_numbers), key)
         heapq.heappush(self._expiries, entry)
         return row
 
     def is_full(self) -> bool:
         """Tells whether there is no room for another row."""
-        if len(self._rows) >= self._most_rows:
+        if len(self._rows) >= self._max_rows:
             return True
-        return self._kept_octets >= MAX_KEPT_OCTETS
+        return self._answer_octets >= MAX_STORED_ANSWER_OCTETS
 
-    def count_kept(self, row: rows.Row) -> None:
+    def count_answer(self, row: row_module.Row) -> None:
         """Counts the answer of a row that has finished."""
         if row.result is not None:
-            self._kept_octets += len(row.result.answer)
+            self._answer_octets += len(row.result.answer)
 
-    def expire(self, uptime_ms: int) -> None:
+    def remove_expired(self, uptime_ms: int) -> None:
         """Forgets the rows whose tickets have expired and that finished."""
         while self._expiries and self._expiries[0][0] <= uptime_ms:
             _, _, key = heapq.heappop(self._expiries)
             row = self._rows[key]
             if row.result is None:
-                retry = (uptime_ms + 1000, next(self._numbers), key)
+                retry = (uptime_ms + 1000, next(self._sequence_numbers), key)
                 heapq.heappush(self._expiries, retry)
                 continue
-            self._kept_octets -= len(row.result.answer)
+            self._answer_octets -= len(row.result.answer)
             del self._rows[key]
--- a/persimmonhinge/flows/ticket_issuer.py
+++ b/persimmonhinge/flows/ticket_issuer.py
@@ -57,8 +57,10 @@
         self._counts.add("tickets_asked_for_total", cause=cause)
         echo = self.renew(flow, entry)
         if not echo:
-            return replies.refuse(_RETRY_AFTER_S, "no ticket can be minted")
-        return replies.ask_for_ticket(echo, self._life_s)
+            return replies.make_unavailable(
+                _RETRY_AFTER_S, "no ticket can be minted"
+            )
+        return replies.make_ticket_required(echo, self._life_s)
 
     def report_unverified(
         self,
@@ -69,7 +71,7 @@
         """Answers a ticket that can't be checked; it may have run before."""
         self._counts.add("tickets_unverified_total", cause=fault.value)
         echo = self.renew(flow, entry)
-        return replies.report_unknown("ticket can't be checked", echo)
+        return replies.make_outcome_unknown("ticket can't be checked", echo)
 
     def _pick_keepers(
         self, entry: stores.ContractEntry
--- a/persimmonhinge/flows/uploads.py
+++ b/persimmonhinge/flows/uploads.py
@@ -10,7 +10,7 @@
 from persimmonhinge.coap import codec
 from persimmonhinge.flows import blocks
 from persimmonhinge.flows import digests
-from persimmonhinge.flows import outcome
+from persimmonhinge.flows import no_reply
 from persimmonhinge.flows import port
 from persimmonhinge.flows import upload as uploads
 from persimmonhinge.metrics import counts as host_counts
@@ -20,7 +20,7 @@
 # A body that grew lately is not dropped for another one.
 _BUSY_S = 5.0
 
-Taken = uploads.Whole | codec.Message | outcome.Silence
+Taken = uploads.Whole | codec.Message | no_reply.NoReply
 
 
 class Uploads:
@@ -64,7 +64,7 @@
         )
         if block.block_number == 0 and not self._restart(key):
             self._counts.add("home_uploads_without_room_total")
-            return outcome.Silence()
+            return no_reply.NoReply()
         upload = self._known.get(key)
         if upload is None or not self._add(key, upload, message):
             self._drop(key)
--- a/tests/test_flows/test_flows_free_slot.py
+++ b/tests/test_flows/test_flows_free_slot.py
@@ -7,7 +7,7 @@
 
 from aiocoap.numbers import codes
 
-from persimmonhinge.contracts import store as stores
+from persimmonhinge.contracts import store
 from persimmonhinge.flows import port
 from persimmonhinge.peers.messages import base
 from persimmonhinge.peers.messages import work
@@ -17,11 +17,11 @@
 POST = codes.Code.POST
 
 
-class _AskingChooser(home_fakes.FakeChooser):
+class _FreeSlotChooser(home_fakes.FakeChooser):
     """Says of each upstream that it may be busy."""
 
     def choose(
-        self, entry: stores.ContractEntry, kind: Any, **limits: Any
+        self, entry: store.ContractEntry, kind: Any, **limits: Any
     ) -> port.Choice | None:
         """Returns the first choice that is left."""
         choice = super().choose(entry, kind, **limits)
@@ -31,7 +31,7 @@
 
 
 def _make_world() -> home_fakes.HomeWorld:
-    return home_fakes.HomeWorld(make_chooser=_AskingChooser)
+    return home_fakes.HomeWorld(make_chooser=_FreeSlotChooser)
 
 
 def _get_dispatch(message: base.Message) -> work.Dispatch:
--- a/tests/test_flows/test_flows_keeper_turns.py
+++ b/tests/test_flows/test_flows_keeper_scheduler.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies
 
 from persimmonhinge import ids
-from persimmonhinge.flows import keeper_turns
+from persimmonhinge.flows import keeper_scheduler
 
 _SERVICE = ids.ServiceName("floor-trading")
 _ROUNDS = 200
@@ -23,7 +23,7 @@
     weights: list[float], seed: int
 ) -> None:
     """One keeper is named twice as often as another by chance."""
-    turns = keeper_turns.KeeperTurns(random.Random(seed))
+    turns = keeper_scheduler.KeeperScheduler(random.Random(seed))
     table = {ids.HostRef(n + 1): weight for n, weight in enumerate(weights)}
     counts: collections.Counter[ids.HostRef] = collections.Counter()
     for _ in range(_ROUNDS):
@@ -35,7 +35,7 @@
 
 @hypothesis.given(weights=_WEIGHTS, count=strategies.integers(1, 4))
 def test_keepers_of_a_ticket_differ(weights: list[float], count: int) -> None:
-    turns = keeper_turns.KeeperTurns(random.Random(1))
+    turns = keeper_scheduler.KeeperScheduler(random.Random(1))
     table = {ids.HostRef(n + 1): weight for n, weight in enumerate(weights)}
     for _ in range(20):
         picked = turns.pick(_SERVICE, table, count)
@@ -48,7 +48,7 @@
 
     Or it gets all tickets, because it was named less than the others.
     """
-    turns = keeper_turns.KeeperTurns(random.Random(1))
+    turns = keeper_scheduler.KeeperScheduler(random.Random(1))
     one, two, new = ids.HostRef(1), ids.HostRef(2), ids.HostRef(3)
     for _ in range(100):
         turns.pick(_SERVICE, {one: 2.0, two: 0.04}, 1)
--- a/tests/test_flows/test_flows_loads.py
+++ b/tests/test_flows/test_flows_loads.py
@@ -6,25 +6,25 @@
 from hypothesis import strategies
 
 from persimmonhinge import ids
-from persimmonhinge.contracts import contract as contracts
+from persimmonhinge.contracts import contract
 from persimmonhinge.flows import loads
 from persimmonhinge.peers.messages import work
 
 _SERVICE = ids.ServiceName("floor-trading")
 _UPSTREAM = ids.UpstreamId("u1")
-_REQUEST = contracts.CallKind.REQUEST
-_FEED = contracts.CallKind.FEED
+_REQUEST = contract.CallKind.REQUEST
+_FEED = contract.CallKind.FEED
 _KINDS = strategies.sampled_from([_REQUEST, _FEED])
 
 
-def _report(
+def _make_load(
     busy: int = 0, queued: int = 0, feeds: int = 0
 ) -> work.UpstreamLoad:
     return work.UpstreamLoad(_UPSTREAM, 2, busy, queued, feeds)
 
 
 def _estimate(
-    book: loads.LoadBook, kind: contracts.CallKind, homes: int = 1
+    book: loads.LoadTracker, kind: contract.CallKind, homes: int = 1
 ) -> float:
     return book.estimate(_SERVICE, _UPSTREAM, kind, homes)
 
@@ -36,23 +36,23 @@
     ),
 )
 def test_estimate_is_exact_while_no_other_host_works(
-    kind: contracts.CallKind, steps: list[str]
+    kind: contract.CallKind, steps: list[str]
 ) -> None:
     """A host alone sees an upstream as fuller or emptier than it is.
 
     Its own work counts twice, or is taken off twice, around a report.
     """
-    book = loads.LoadBook(lambda: 0.0)
+    book = loads.LoadTracker(lambda: 0.0)
     running = 0
     for step in steps:
         if step == "begin":
             running += 1
-            book.begin(_SERVICE, _UPSTREAM, kind)
+            book.record_start(_SERVICE, _UPSTREAM, kind)
         elif step == "end" and running:
             running -= 1
-            book.end(_SERVICE, _UPSTREAM, kind)
+            book.record_end(_SERVICE, _UPSTREAM, kind)
         elif step == "note":
-            book.note(_SERVICE, _report(running, 0, running))
+            book.record_load(_SERVICE, _make_load(running, 0, running))
         assert _estimate(book, kind) == running
         assert book.count_own(_SERVICE, _UPSTREAM, kind) == running
 
@@ -64,21 +64,21 @@
     ended=strategies.integers(0, 9),
 )
 def test_estimate_is_never_negative(
-    kind: contracts.CallKind, reported: int, begun: int, ended: int
+    kind: contract.CallKind, reported: int, begun: int, ended: int
 ) -> None:
-    book = loads.LoadBook(lambda: 0.0)
+    book = loads.LoadTracker(lambda: 0.0)
     for _ in range(begun):
-        book.begin(_SERVICE, _UPSTREAM, kind)
-    book.note(_SERVICE, _report(reported, 0, reported))
+        book.record_start(_SERVICE, _UPSTREAM, kind)
+    book.record_load(_SERVICE, _make_load(reported, 0, reported))
     for _ in range(min(begun, ended)):
-        book.end(_SERVICE, _UPSTREAM, kind)
+        book.record_end(_SERVICE, _UPSTREAM, kind)
     assert _estimate(book, kind, homes=6) >= 0
 
 
 def test_queue_counts_as_load_and_feeds_of_other_hosts_too() -> None:
-    book = loads.LoadBook(lambda: 0.0)
+    book = loads.LoadTracker(lambda: 0.0)
     assert _estimate(book, _FEED) == 0
-    book.note(_SERVICE, _report(busy=2, queued=3, feeds=40))
+    book.record_load(_SERVICE, _make_load(busy=2, queued=3, feeds=40))
     assert _estimate(book, _REQUEST) == 5
     assert _estimate(book, _FEED) == 40
     other = ids.ServiceName("grower-intake")
@@ -91,13 +91,13 @@
     Boards come on at the same minute on all hosts, which share a report
     of half a second ago; each adds its own few to it and sees it empty.
     """
-    book = loads.LoadBook(lambda: 0.0)
-    book.note(_SERVICE, _report(busy=1, feeds=10))
+    book = loads.LoadTracker(lambda: 0.0)
+    book.record_load(_SERVICE, _make_load(busy=1, feeds=10))
     for _ in range(2):
-        book.begin(_SERVICE, _UPSTREAM, _FEED)
-        book.begin(_SERVICE, _UPSTREAM, _REQUEST)
+        book.record_start(_SERVICE, _UPSTREAM, _FEED)
+        book.record_start(_SERVICE, _UPSTREAM, _REQUEST)
     assert _estimate(book, _FEED, homes=6) == 22
     assert _estimate(book, _REQUEST, homes=6) == 3
-    book.note(_SERVICE, _report(busy=1, feeds=22))
-    book.end(_SERVICE, _UPSTREAM, _FEED)
+    book.record_load(_SERVICE, _make_load(busy=1, feeds=22))
+    book.record_end(_SERVICE, _UPSTREAM, _FEED)
     assert _estimate(book, _FEED, homes=6) == 21
--- a/tests/test_flows/test_flows_recovery.py
+++ b/tests/test_flows/test_flows_recovery.py
@@ -14,7 +14,7 @@
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
 from persimmonhinge.flows import port
-from persimmonhinge.membership import member as members
+from persimmonhinge.membership import member as member_module
 from persimmonhinge.peers.messages import base
 from persimmonhinge.peers.messages import work
 from tests.support import trios
@@ -23,13 +23,13 @@
 Code = codes.Code
 POST = codes.Code.POST
 Outcome = work.Outcome
-State = members.MemberState
+State = member_module.MemberState
 _SUCCESSOR = ids.HostId("entry-4")
-_FAR = ids.HostId("entry-9")
+_OTHER_DOMAIN_HOST = ids.HostId("entry-9")
 _outcomes = strategies.sampled_from([*Outcome, None])
 
 
-async def _get_ticket(flow: port.Flow = home_fakes.FLOW) -> bytes:
+async def _get_ticket_of_ended_home(flow: port.Flow = home_fakes.FLOW) -> bytes:
     """Returns a ticket of a home that is then no more."""
     world = home_fakes.HomeWorld()
     async with world.running():
@@ -68,7 +68,7 @@
     The home dies with the request dispatched. The next home asks both
     keepers of the ticket; "not run" takes the word of both of them.
     """
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     for host, outcome in zip(home_fakes.KEEPERS, (first, second), strict=True):
         world.network.keep[host] = _make_keeper(host, outcome)
@@ -87,7 +87,7 @@
 
 @trios.clock_test
 async def test_dead_keeper_leaves_the_outcome_unknown() -> None:
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     _keep_all(world, Outcome.NOT_RUN)
     world.view.remove(home_fakes.KEEPERS[0])
@@ -103,7 +103,7 @@
 
     The home died after the keeper had handed its table over and left.
     """
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     left = home_fakes.make_member(home_fakes.KEEPERS[0]).ref
     world.view.remove(home_fakes.KEEPERS[0])
@@ -122,7 +122,7 @@
 
 @trios.clock_test
 async def test_without_recovery_the_outcome_is_unknown() -> None:
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR, recovery=False)
     _keep_all(world, Outcome.NOT_RUN)
     async with world.running():
@@ -138,7 +138,7 @@
     A copy of the request meets a host whose link to the home is down for
     the moment, while the home is at work on it.
     """
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     _keep_all(world, Outcome.NOT_RUN)
     world.view.put(home_fakes.make_member(home_fakes.ME))
@@ -192,7 +192,7 @@
     off, has not learned, and ran the request. With 4.01 the caller would
     send it again.
     """
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     world.keys.offer(home_fakes.make_key_record(5, key_9="current"))
     async with world.running():
@@ -208,7 +208,7 @@
     acknowledges nothing, so that the caller repeats and may find the other
     side. The cut heals before the deadline, and the keepers are asked again.
     """
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     for host in home_fakes.KEEPERS:
         world.network.keep[host] = _make_keeper(host, None)
@@ -227,7 +227,7 @@
 
 @trios.clock_test
 async def test_keeper_that_is_never_reached_ends_at_the_deadline() -> None:
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     for host in home_fakes.KEEPERS:
         world.network.keep[host] = _make_keeper(host, None)
@@ -238,13 +238,13 @@
     assert trio.current_time() - began < 30
 
 
-def _bury(world: home_fakes.HomeWorld, domain: str) -> None:
+def _mark_keepers_dead(world: home_fakes.HomeWorld, domain: str) -> None:
     for host in home_fakes.KEEPERS:
         member = home_fakes.make_member(host)
         dead = dataclasses.replace(
             member,
             domain=ids.DomainId(domain),
-            state=members.MemberState.DEAD,
+            state=member_module.MemberState.DEAD,
         )
         world.view.put(dead)
         world.network.keep[host] = _make_keeper(host, None)
@@ -258,9 +258,9 @@
     one of these. Cause: it asked the dead until the deadline, as in a cut,
     although nobody but they could have told.
     """
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
-    _bury(world, "north")
+    _mark_keepers_dead(world, "north")
     began = trio.current_time()
     async with world.running():
         reply = await world.ask(POST, "/reserve", echo=echo)
@@ -271,9 +271,9 @@
 @trios.clock_test
 async def test_keepers_of_a_dark_domain_are_asked_until_the_deadline() -> None:
     """A domain without a sign of life may be cut off and run the request."""
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
-    _bury(world, "south")
+    _mark_keepers_dead(world, "south")
     message = home_fakes.make_request(
         POST, "/reserve", echo=echo, mtype=types.CON
     )
@@ -286,16 +286,16 @@
     assert reply.code is Code.GATEWAY_TIMEOUT
 
 
-def _show_all(
+def _set_all_states(
     world: home_fakes.HomeWorld,
-    state: members.MemberState,
+    state: member_module.MemberState,
     outcome: Outcome | None,
 ) -> None:
     """Shows all hosts in a state; keepers tell an outcome, None if cut off."""
     if outcome is not None:
         world.view.silence.note_heard(trio.current_time())
     far = dataclasses.replace(
-        home_fakes.make_member(_FAR), domain=ids.DomainId("south")
+        home_fakes.make_member(_OTHER_DOMAIN_HOST), domain=ids.DomainId("south")
     )
     keepers = [home_fakes.make_member(host) for host in home_fakes.KEEPERS]
     for member in (far, *keepers):
@@ -303,7 +303,7 @@
         world.network.keep[member.host] = _make_keeper(member.host, outcome)
 
 
-def _make_world_that_hears() -> home_fakes.HomeWorld:
+def _make_connected_world() -> home_fakes.HomeWorld:
     """Returns a home that hears other hosts until now."""
     world = home_fakes.HomeWorld()
     world.view.silence.limit_s = 0.9
@@ -311,7 +311,9 @@
     return world
 
 
-async def _post_over(world: home_fakes.HomeWorld, keep: home_fakes.Keep) -> int:
+async def _post_reservation(
+    world: home_fakes.HomeWorld, keep: home_fakes.Keep
+) -> int:
     """Sends a reservation to the home, whose keepers do as told.
 
     Returns:
@@ -327,28 +329,28 @@
     return before
 
 
-def _show_far(world: home_fakes.HomeWorld) -> None:
+def _add_other_domain_host(world: home_fakes.HomeWorld) -> None:
     """Shows a host of another domain as alive."""
-    far = home_fakes.make_member(_FAR)
+    far = home_fakes.make_member(_OTHER_DOMAIN_HOST)
     world.view.put(dataclasses.replace(far, domain=ids.DomainId("south")))
 
 
 @trios.clock_test
 async def test_home_that_is_cut_off_waits_for_the_keeper() -> None:
     """A buyer hears "unknown" of a lot from a home whose cut soon heals."""
-    world = _make_world_that_hears()
+    world = _make_connected_world()
 
     async def lose_link(message: base.Message) -> base.Message:
-        _show_all(world, State.SUSPECT, None)
+        _set_all_states(world, State.SUSPECT, None)
         raise errors.PeerLinkLostError("cut", step="call")
 
     async with world.running():
-        before = await _post_over(world, lose_link)
+        before = await _post_reservation(world, lose_link)
         await trio.sleep(2)
-        _show_all(world, State.DEAD, None)
+        _set_all_states(world, State.DEAD, None)
         await trio.sleep(3)
         assert _list_replies(world, before) == []
-        _show_all(world, State.ALIVE, Outcome.ANSWERED)
+        _set_all_states(world, State.ALIVE, Outcome.ANSWERED)
         await trio.sleep(2)
         (reply,) = _list_replies(world, before)
     assert reply.payload == b"kept"
@@ -367,22 +369,22 @@
     None
 ):
     """A buyer hears "unknown" of a lot just as the cut of its home heals."""
-    world = _make_world_that_hears()
+    world = _make_connected_world()
 
     async def lose_link(message: base.Message) -> base.Message:
         await trio.sleep(1.2)
-        _show_all(world, State.DEAD, None)
+        _set_all_states(world, State.DEAD, None)
         raise errors.PeerLinkLostError("cut", step="call")
 
     async with world.running():
-        before = await _post_over(world, lose_link)
+        before = await _post_reservation(world, lose_link)
         await trio.sleep(2)
         # Another domain is heard first.
         world.view.silence.note_heard(trio.current_time())
-        _show_far(world)
+        _add_other_domain_host(world)
         await trio.sleep(1)
         assert _list_replies(world, before) == []
-        _show_all(world, State.ALIVE, Outcome.ANSWERED)
+        _set_all_states(world, State.ALIVE, Outcome.ANSWERED)
         await trio.sleep(1)
         (reply,) = _list_replies(world, before)
     assert reply.payload == b"kept"
@@ -395,19 +397,19 @@
     Deaths are concluded one after the other: the keeper counts as dead while
     other hosts beyond the cut still count as alive.
     """
-    world = _make_world_that_hears()
+    world = _make_connected_world()
 
     async def lose_link(message: base.Message) -> base.Message:
         await trio.sleep(1.2)
-        _show_all(world, State.DEAD, None)
-        _show_far(world)
+        _set_all_states(world, State.DEAD, None)
+        _add_other_domain_host(world)
         raise errors.PeerLinkLostError("cut", step="call")
 
     async with world.running():
-        before = await _post_over(world, lose_link)
+        before = await _post_reservation(world, lose_link)
         await trio.sleep(4)
         assert _list_replies(world, before) == []
-        _show_all(world, State.ALIVE, Outcome.ANSWERED)
+        _set_all_states(world, State.ALIVE, Outcome.ANSWERED)
         await trio.sleep(1)
         (reply,) = _list_replies(world, before)
     assert reply.payload == b"kept"
@@ -421,7 +423,7 @@
         echo = await world.get_ticket()
 
         async def die(message: base.Message) -> base.Message:
-            _bury(world, "north")
+            _mark_keepers_dead(world, "north")
             raise errors.PeerLinkLostError("killed", step="call")
 
         world.keep_all(die)
@@ -439,7 +441,7 @@
 @trios.clock_test
 async def test_answer_of_one_keeper_is_not_held_back_by_another() -> None:
     """A buyer waits for a booked lot because an idle keeper is silent."""
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     answering, silent = home_fakes.KEEPERS
     world.network.keep[answering] = _make_keeper(answering, Outcome.ANSWERED)
@@ -454,17 +456,17 @@
 @trios.clock_test
 async def test_answer_of_a_successor_is_not_held_back_by_another() -> None:
     """A buyer waits for a booked lot because one of the successors hangs."""
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     left, answering = home_fakes.KEEPERS
     world.view.remove(left)
-    world.view.put(home_fakes.make_member(_FAR))
+    world.view.put(home_fakes.make_member(_OTHER_DOMAIN_HOST))
 
     async def answer_for_both(message: base.Message) -> base.Message:
         return home_fakes.answered(b"handed over")
 
     world.network.keep[answering] = answer_for_both
-    world.network.keep[_FAR] = _hang
+    world.network.keep[_OTHER_DOMAIN_HOST] = _hang
     world.network.keep[_SUCCESSOR] = _hang
     began = trio.current_time()
     async with world.running():
--- a/tests/test_flows/test_flows_requests_ends.py
+++ b/tests/test_flows/test_flows_requests_ends.py
@@ -55,16 +55,16 @@
             )
             world.home.handle(home_fakes.FLOW, message)
         await trio.sleep(1)
-        _reset(world, 70)
+        _send_reset(world, 70)
         await trio.sleep(1)
         assert not cancelled
-        _reset(world, 71)
+        _send_reset(world, 71)
         await trio.sleep(1)
         assert len(cancelled) == 1
 
 
-def _reset(world: home_fakes.HomeWorld, mid: int) -> None:
-    message = replies.reject(Code.EMPTY)
+def _send_reset(world: home_fakes.HomeWorld, mid: int) -> None:
+    message = replies.make_reply(Code.EMPTY)
     message.mtype, message.mid, message.token = types.RST, mid, b""
     world.home.handle(home_fakes.FLOW, codec.decode(codec.encode(message)))
 
--- a/tests/test_flows/test_flows_requests_keepers.py
+++ b/tests/test_flows/test_flows_requests_keepers.py
@@ -47,7 +47,7 @@
     assert reply.payload == b"done"
 
 
-def _make_lost_link(found: work.Dispatched) -> home_fakes.Keep:
+def _make_keeper_with_failing_link(found: work.Dispatched) -> home_fakes.Keep:
     async def keep(message: base.Message) -> base.Message:
         if isinstance(message, work.Dispatch):
             raise errors.PeerLinkLostError("cut", step="call")
@@ -64,7 +64,7 @@
     lives and a new link opens.
     """
     world = home_fakes.HomeWorld()
-    world.keep_all(_make_lost_link(home_fakes.answered(b"kept")))
+    world.keep_all(_make_keeper_with_failing_link(home_fakes.answered(b"kept")))
     async with world.running():
         echo = await world.get_ticket()
         reply = await world.ask(POST, "/reserve", echo=echo)
@@ -81,7 +81,7 @@
     """
     world = home_fakes.HomeWorld()
     other = work.Dispatched(work.Outcome.NOT_KEEPER)
-    world.keep_all(_make_lost_link(other))
+    world.keep_all(_make_keeper_with_failing_link(other))
     async with world.running():
         echo = await world.get_ticket()
         reply = await world.ask(POST, "/reserve", echo=echo)
