--- a/persimmonhinge/flows/attempt.py
+++ b/persimmonhinge/flows/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a keeper run an order."""
+"""The result of one attempt to dispatch a request to a keeper."""
 
 from __future__ import annotations
 
@@ -9,11 +9,13 @@
 
 
 class ResultSource(enum.Enum):
-    """Who says what became of an attempt.
+    """Where the outcome of an attempt comes from.
 
-    KEEPER: The keeper.
-    UNREACHABLE: No link could be opened, so nothing was delivered.
-    LINK: The link was lost, or no answer came in time.
+    KEEPER: The keeper sent the outcome.
+    UNREACHABLE: No link to the keeper could be opened, so the dispatch was
+        not delivered.
+    LINK_FAILURE: The link failed during the call, or no valid answer arrived
+        in time.
     """
 
     KEEPER = "keeper"
@@ -23,11 +25,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """The end of an attempt.
+    """The result of an attempt.
 
     Attributes:
-        dispatched: What became of it.
-        source: Who says so.
+        dispatched: Outcome of the attempt, with the answer if there is one.
+        source: Where the outcome comes from.
     """
 
     dispatched: work.Dispatched
--- a/persimmonhinge/flows/caller_request.py
+++ b/persimmonhinge/flows/caller_request.py
@@ -1,4 +1,4 @@
-"""One piece of work that a home has dispatched for a caller."""
+"""A complete request of a caller that its home dispatches."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A whole request on its way to an upstream.
+    """A complete request that is to run at an upstream.
 
     Attributes:
-        flow: Whose it is.
-        method: Its method.
-        path: Its path, `/` first.
-        request: CoAP message for the upstream.
-        deadline: When the caller gives up, on trio's clock.
-        call_class: The class it had when it came.
-        token: The caller's token.
+        flow: Flow that the request belongs to.
+        method: Method of the request.
+        path: Path of the request, with a leading `/`.
+        message: Encoded CoAP message for the upstream.
+        deadline: Time on trio's clock at which the caller gives up, seconds.
+        call_class: Call class of the request when it arrived.
+        token: CoAP token that the caller used.
         digest: Hash of the request.
-        ticket: Its ticket; None for idempotent work.
+        ticket: Ticket of the request; None if it is idempotent.
     """
 
     flow: port.Flow
@@ -39,27 +39,27 @@
 
     @property
     def service(self) -> ids.ServiceName:
-        """The service that the caller addressed."""
+        """Service that the caller addressed."""
         return self.flow.service
 
     @property
     def required_ticket(self) -> tickets.Ticket:
-        """Its ticket, for work that runs only with one."""
+        """Ticket of a request that may run only with one."""
         assert self.ticket is not None
         return self.ticket
 
     @property
     def row_key(self) -> row.RowKey:
-        """What its row is known by; only work with a ticket has one."""
+        """Key of the request's row; the request must have a ticket."""
         ticket = self.required_ticket
         return self.make_row_key(ticket.home, ticket.ticket_id)
 
     def make_row_key(
         self, home: ids.HostRef, ticket: ids.TicketId
     ) -> row.RowKey:
-        """Returns the key that it has under a ticket."""
+        """Returns the row key of the request for a given ticket."""
         return row.RowKey(home, ticket, self.token, self.digest)
 
     def with_ticket(self, ticket: tickets.Ticket) -> CallerRequest:
-        """Returns it with its ticket."""
+        """Returns a copy of the request with a ticket."""
         return dataclasses.replace(self, ticket=ticket)
--- a/persimmonhinge/flows/dispatcher.py
+++ b/persimmonhinge/flows/dispatcher.py
@@ -1,4 +1,4 @@
-"""Has orders run by keepers, and tries again where that is safe."""
+"""Dispatches requests to keepers and retries them where that is safe."""
 
 from __future__ import annotations
 
@@ -24,15 +24,17 @@
 
 logger = logging.getLogger(__name__)
 
-# The keeper ends the work at the deadline and says what became of it; the
-# answer needs a moment to get here.
+# A keeper ends a request at the deadline and then sends its outcome. This
+# margin covers the time that the outcome takes to arrive.
 _ANSWER_MARGIN_S = 1.0
-# Hosts differ in contract or membership for this long, as a rule.
+# Pauses before a dispatch is repeated because hosts disagree about a contract
+# or the membership. The hosts usually converge within the initial pause.
 _INITIAL_CONVERGENCE_PAUSE_S = 0.05
 _MAX_CONVERGENCE_PAUSE_S = 0.4
-# So many upstreams are asked for a free slot before the work waits.
+# Upstreams per request that are queried for a free slot before the request
+# waits in a queue.
 _MAX_FREE_SLOT_QUERIES = 2
-# Uptimes that a keeper compares count milliseconds.
+# Keepers compare uptimes of homes in whole milliseconds.
 _UPTIME_RESOLUTION_S = 0.001
 _RETRY_AFTER_S = 1
 
@@ -46,13 +48,14 @@
 
 
 class _RetryState:
-    """How far an order has come over its attempts.
+    """Progress of one request over its dispatch attempts.
 
     Attributes:
-        last: What is told if there is no further attempt.
-        exclude: Upstreams that are not tried again.
-        among: Keepers that may run it; None for all.
-        busy: Upstreams that had no free slot.
+        last_result: Result that is returned if no further attempt is made.
+        excluded_upstreams: Upstreams that are not tried again.
+        allowed_keepers: Keeper incarnations that may run the request; None
+            for all keepers.
+        busy_upstreams: Upstreams that had no free slot.
     """
 
     def __init__(self, request: caller_request.CallerRequest) -> None:
@@ -65,12 +68,12 @@
         self._pause_s = _INITIAL_CONVERGENCE_PAUSE_S
 
     def exclude_keeper(self, keeper: ids.HostRef) -> None:
-        """Leaves out a keeper that can't be reached."""
+        """Excludes an unreachable keeper from further attempts."""
         if self.allowed_keepers is not None:
             self.allowed_keepers -= {keeper}
 
     def must_wait(self, choice: port.Choice) -> bool:
-        """Tells whether the work is to wait for a slot where it goes next."""
+        """Tells whether the next dispatch waits if no slot is free."""
         if choice.upstream.id in self.busy_upstreams:
             return True
         return (
@@ -79,13 +82,13 @@
         )
 
     async def wait_for_convergence(self) -> None:
-        """Waits for the hosts to agree, longer each time."""
+        """Waits for the hosts to converge, with an exponential backoff."""
         await trio.sleep(self._pause_s * random.uniform(0.5, 1.5))
         self._pause_s = min(2 * self._pause_s, _MAX_CONVERGENCE_PAUSE_S)
 
 
 class Dispatcher:
-    """Runs orders at the keepers that the chooser picks."""
+    """Dispatches requests to the keepers that the chooser selects."""
 
     def __init__(
         self,
@@ -107,13 +110,14 @@
     async def run_request(
         self, request: caller_request.CallerRequest
     ) -> work.Dispatched:
-        """Has an order run.
+        """Dispatches a request, with retries where they are safe.
 
-        Idempotent work may be tried again whatever happened. Work with a
-        ticket is tried again only where the attempt surely did not run.
+        An idempotent request may be retried after any failure. A request
+        with a ticket is retried only if the previous attempt certainly did
+        not run.
 
         Returns:
-            ANSWERED, NOT_RUN or UNKNOWN.
+            The result, with the outcome ANSWERED, NOT_RUN or UNKNOWN.
         """
         state = _RetryState(request)
         self._refill_budget(request)
@@ -132,8 +136,8 @@
             if choice is None:
                 return state.last_result
             if choice.upstream.id in state.busy_upstreams:
-                # The keeper takes a second dispatch for the same upstream
-                # only if it left the home later than the refused one.
+                # The keeper accepts a second dispatch to the same upstream
+                # only if its home uptime is later than in the refused one.
                 await trio.sleep(_UPTIME_RESOLUTION_S)
             waits = state.must_wait(choice)
             attempt = await self._attempt_dispatch(
@@ -151,15 +155,15 @@
         choice: port.Choice,
         attempt: attempt_module.AttemptResult,
     ) -> bool:
-        """Prepares the next attempt; False if there may be none."""
+        """Prepares the next attempt; returns False if none is allowed."""
         if attempt.dispatched.outcome in _ROUTING_MISMATCHES:
-            # Nothing ran, so it costs the upstreams nothing; the hosts
-            # agree in a moment, whereas asking at once is in vain.
+            # Nothing ran, so the retry adds no load to the upstreams. The
+            # hosts converge soon; an immediate retry would fail again.
             await state.wait_for_convergence()
             return True
         if attempt.dispatched.outcome is Outcome.BUSY:
-            # Nothing ran; the answer told the load, so the next choice is
-            # made by what is true now.
+            # Nothing ran. The answer reported the load of the upstream, so
+            # the next choice is based on its current load.
             state.busy_upstreams.add(ids.UpstreamId(choice.upstream.id))
             return True
         state.last_result = attempt.dispatched
@@ -185,10 +189,11 @@
         choice: port.Choice,
         attempt: attempt_module.AttemptResult,
     ) -> work.Dispatched:
-        """Returns the final outcome of an attempt.
+        """Returns the final result of an attempt.
 
-        Guards against an outcome that is unknown only because a link broke:
-        the keeper may still be there and know.
+        Guards against an unknown outcome that is due only to a failed link:
+        the keeper may still be running and have the outcome, so it is
+        queried.
         """
         if attempt.source is not Source.LINK_FAILURE or request.ticket is None:
             return attempt.dispatched
@@ -258,11 +263,11 @@
 def _is_still_allowed(
     request: caller_request.CallerRequest, entry: store.ContractEntry
 ) -> bool:
-    """Tells whether an order may run under a newer contract.
+    """Tells whether a request may run under a newer contract.
 
-    Guards against idempotent work that the contract has since declared not
-    to be: it would run without a ticket. The caller comes back and is asked
-    for one.
+    Guards against running a non-idempotent request without a ticket, which
+    would happen if a newer contract no longer declares its call class
+    idempotent. The caller repeats the request and is asked for a ticket.
     """
     call_class = entry.contract.classify(
         request.method, request.path, observes=False
