--- a/persimmonhinge/flows/no_reply.py
+++ b/persimmonhinge/flows/no_reply.py
@@ -1,7 +1,11 @@
-"""What a part of the home may decide instead of an answer."""
+"""The decision of a home to leave a request without a reply."""
 
 from __future__ import annotations
 
 
 class NoReply:
-    """No answer: the caller's next copy finds a host that can answer."""
+    """Decision to send no reply to a copy of a request.
+
+    The caller repeats the request, and a later copy reaches a host that can
+    answer it.
+    """
--- a/persimmonhinge/flows/non_idempotent.py
+++ b/persimmonhinge/flows/non_idempotent.py
@@ -1,4 +1,4 @@
-"""Non-idempotent requests at their home: admitted, run once, remembered."""
+"""Admission and execution of non-idempotent requests at their home."""
 
 from __future__ import annotations
 
@@ -34,7 +34,8 @@
 _HOME_DIED = work.Dispatched(work.Outcome.UNKNOWN, reason="its home died")
 
 
-# No host takes them for this service, so nothing ran under them.
+# No host accepts a ticket with one of these faults for this service, so no
+# request has run with it.
 _UNUSABLE_TICKET_FAULTS = (
     tickets.TicketFault.MALFORMED,
     tickets.TicketFault.OTHER_SERVICE,
@@ -42,12 +43,12 @@
 _RunFunction = Callable[
     [row_module.Row, caller_request.CallerRequest], Awaitable[None]
 ]
-# A row to wait for, an answer at once, or none.
+# A row whose result is awaited, an immediate reply, or no reply.
 Admission = row_module.Row | codec.Message | no_reply.NoReply
 
 
 class NonIdempotentRequests:
-    """Runs non-idempotent requests at most once, and remembers them."""
+    """Runs non-idempotent requests at most once and stores their results."""
 
     def __init__(
         self,
@@ -71,13 +72,13 @@
         self._nursery: trio.Nursery | None = None
 
     def start_leaving(self) -> None:
-        """Mints no more tickets and begins nothing new."""
+        """Stops minting tickets and starting new requests."""
         self._issuer.leaving = True
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Runs what is admitted and forgets it in time."""
+        """Runs admitted requests and removes their rows after expiry."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
@@ -93,13 +94,13 @@
         *,
         has_capacity: bool = True,
     ) -> Admission:
-        """Decides on a request with the ticket that it came with.
+        """Decides on a request by the ticket in its Echo option.
 
         Args:
-            order: The request; its ticket is still missing.
-            entry: The contract.
-            echo: Its Echo option; empty without one.
-            has_room: False if the host can begin no more work.
+            request: The request, with its ticket not yet set.
+            entry: Contract of the service.
+            echo: Value of the Echo option; empty if the request has none.
+            has_capacity: False if this host can start no more requests.
         """
         if not echo:
             return self._issuer.ask(request.flow, entry, "none")
@@ -118,14 +119,14 @@
     def check_block(
         self, flow: port.Flow, entry: store.ContractEntry, echo: bytes
     ) -> codec.Message | no_reply.NoReply | None:
-        """Decides on a block of a body before it is kept.
+        """Checks the ticket of a request block before the block is stored.
 
-        The last block decides whether the request runs. So a ticket that no
-        longer begins work is let pass: the body may be sent once more for a
-        request that has run.
+        Whether the request runs is decided at its last block. A ticket that
+        can no longer start a request is therefore accepted here: the caller
+        may be repeating the body of a request that has already run.
 
         Returns:
-            None if it may be kept.
+            None if the block may be stored, else the decision on it.
         """
         if not echo:
             return self._issuer.ask(flow, entry, "none")
@@ -143,10 +144,10 @@
         entry: store.ContractEntry,
         echo: bytes,
     ) -> Admission:
-        """Finds the answer of a request that ran, for its later blocks.
+        """Recovers the answer to a request to serve its later blocks.
 
-        The request itself is not at hand then, so nothing is ever begun;
-        the keepers are asked by ticket and token alone.
+        The body of the request is not available here, so the request is
+        never started. The keepers are queried by ticket and token alone.
         """
         try:
             ticket = self._mint.read(echo, request.flow)
@@ -166,11 +167,13 @@
     ) -> codec.Message:
         """Answers a request whose ticket can't be accepted.
 
-        4.01 makes a caller send the request again, so it is given only
-        where an earlier copy surely did not run: at the home that the
-        ticket names, without a row. Guards against a second run where a
-        caller's address changed on the way, its key was retired early, or
-        this host hasn't learned its key yet.
+        A 4.01 reply makes the caller send the request again, so it is
+        returned only if an earlier copy certainly did not run: if no host
+        accepts the ticket for this service, or if this host is the home
+        that the ticket names and has no row for the request. Guards against
+        a second run if the caller's address changed in transit, the
+        ticket's key was retired early, or this host has not received that
+        key yet.
         """
         if fault in _UNUSABLE_TICKET_FAULTS:
             return self._issuer.ask(request.flow, entry, fault.value)
@@ -192,7 +195,8 @@
         if not self._mint.begins(ticket):
             return self._issuer.ask(request.flow, entry, "expired")
         if self._issuer.leaving:
-            # Never undone, so a late copy of it is refused as well.
+            # A host that leaves never resumes service, so a late copy of
+            # the request is refused, too.
             return replies.make_unavailable(0, "host leaves")
         row = None
         if has_capacity:
@@ -210,9 +214,9 @@
     def _start_recovery(
         self, request: caller_request.CallerRequest
     ) -> Admission:
-        elsewhere = self._defer_to_home(request.required_ticket)
-        if elsewhere is not None:
-            return elsewhere
+        deferral = self._defer_to_home(request.required_ticket)
+        if deferral is not None:
+            return deferral
         key = request.row_key
         row = self._recovering.get(key)
         if row is None:
@@ -222,11 +226,15 @@
         return row
 
     def _defer_to_home(self, ticket: tickets.Ticket) -> no_reply.NoReply | None:
-        """Returns silence for a ticket whose home lives.
+        """Decides on no reply if the ticket's home is another live host.
 
-        It can't be reached from here, or the request would be there. It
-        alone knows what became of the request; the caller's next copy gets
-        there by another host, or finds it dead.
+        That home is unreachable from this host, since the request would
+        otherwise have been relayed to it. Only the home knows the outcome of
+        the request. The caller's next copy reaches it through another host,
+        or arrives after the home was declared dead.
+
+        Returns:
+            None if this host may decide on the request itself.
         """
         if self._mint.is_own(ticket.home):
             return None
@@ -250,12 +258,18 @@
         row: row_module.Row,
         request: caller_request.CallerRequest,
     ) -> None:
-        """Runs a row; a fault of ours ends neither its copies nor the host."""
+        """Runs the task of a row and handles its exceptions.
+
+        An internal error must not stop the host, and the exchanges that wait
+        for the row still receive a result.
+        """
         try:
             with row.cancel_scope:
                 await run(row, request)
         except Exception:
-            logger.exception("A request of %s failed.", request.service)
+            logger.exception(
+                "Unhandled error in a request to service %s.", request.service
+            )
             self._counts.add("home_faults_total")
         row.finish(_CANCELLED)
 
@@ -283,10 +297,11 @@
 def _downgrade_not_run(
     result: work.Dispatched, key: row_module.RowKey
 ) -> work.Dispatched:
-    """Returns what may be told to the caller.
+    """Returns a recovered result, with an unproven NOT_RUN made UNKNOWN.
 
-    Guards against "not run" for a request that ran: a plain CoAP caller
-    asks for later blocks under a new token, which no keeper knows.
+    Guards against reporting "not run" for a request that ran: a plain CoAP
+    caller requests later blocks under a new token, and no keeper has an entry
+    for that token. A key without a digest belongs to such a request.
     """
     if key.digest or result.outcome is not work.Outcome.NOT_RUN:
         return result
--- a/persimmonhinge/flows/row.py
+++ b/persimmonhinge/flows/row.py
@@ -1,4 +1,4 @@
-"""One non-idempotent request as its home remembers it."""
+"""The state of a non-idempotent request at its home."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RowKey:
-    """What makes two requests the same one.
+    """Identity of a request, equal for all copies and retries of it.
 
     Attributes:
-        home: The incarnation that minted the ticket.
-        ticket: Number of the ticket.
-        token: The caller's token.
+        home: Host incarnation that minted the ticket.
+        ticket: Id of the ticket.
+        token: CoAP token that the caller used.
         digest: Hash of the request.
     """
 
@@ -29,15 +29,16 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Row:
-    """A request that has begun.
+    """A request that runs or has run.
 
     Attributes:
-        key: What it is known by.
-        result: What became of it; None while it runs.
-        done: Set once the result is there.
-        waiting: Exchanges that wait for it.
-        scope: Cancels the work once nobody waits.
-        is_recovered: True if the home is gone and keepers are asked.
+        key: Identity of the request.
+        result: Result of the request; None until it is available.
+        done: Event that is set when the result is available.
+        waiter_count: Number of exchanges that wait for the result.
+        cancel_scope: Cancels the request when no exchange waits for it.
+        is_recovered: True if the ticket's home has ended and the keepers are
+            queried for the result.
     """
 
     key: RowKey
@@ -50,15 +51,16 @@
     is_recovered: bool = False
 
     def finish(self, result: work.Dispatched) -> None:
-        """Sets the result, once."""
+        """Sets the result; has no effect if there is one already."""
         if self.result is None:
             self.result = result
             self.done.set()
 
     async def wait(self) -> work.Dispatched:
-        """Returns the result once it is there.
+        """Waits for the result and returns it.
 
-        The last one that is cancelled while it waits cancels the work.
+        The request is cancelled when the last task that waits for its result
+        is cancelled.
         """
         self.waiter_count += 1
         try:
--- a/persimmonhinge/flows/table.py
+++ b/persimmonhinge/flows/table.py
@@ -1,4 +1,4 @@
-"""The requests that a home has begun under its own tickets."""
+"""The table of requests that a home has started under its own tickets."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 from persimmonhinge.flows import row as row_module
 
-# Octets of answers that are kept over all rows.
+# Total size of the answers that are stored in all rows.
 MAX_STORED_ANSWER_OCTETS = 64 * 1024 * 1024
 
 
 class RequestTable:
-    """Rows by key, each kept until its ticket is forgotten.
+    """Rows by key, each stored until its ticket has expired.
 
-    Guards against a second run: a copy or retry of a request finds the row
-    of the first and waits for, or gets, the same result. No row is dropped
-    before its ticket expires; when the table is full, new work is refused
-    instead.
+    Guards against running a request twice: a copy or retry of a request
+    finds the row of the first copy, and waits for its result or gets it at
+    once. No row is removed before its ticket expires. When the table is full,
+    new requests are refused instead.
     """
 
     def __init__(self, max_rows: int) -> None:
@@ -31,20 +31,21 @@
         return len(self._rows)
 
     def find(self, key: row_module.RowKey) -> row_module.Row | None:
-        """Returns the row of a request that has begun, else None."""
+        """Returns the row of a request; None if there is none."""
         return self._rows.get(key)
 
     def add(
         self, key: row_module.RowKey, expiry_ms: int
     ) -> row_module.Row | None:
-        """Adds a row.
+        """Adds a row for a new request.
 
         Args:
-            key: A key without a row.
-            expiry_ms: Uptime of this host at which it may be forgotten.
+            key: Key of the request, which must not have a row yet.
+            expiry_ms: Uptime of this host at which the row may be removed,
+                milliseconds.
 
         Returns:
-            None if the table is full.
+            The new row; None if the table is full.
         """
         assert key not in self._rows
         if self.is_full():
@@ -56,18 +57,18 @@
         return row
 
     def is_full(self) -> bool:
-        """Tells whether there is no room for another row."""
+        """Tells whether the table has no capacity for another row."""
         if len(self._rows) >= self._max_rows:
             return True
         return self._answer_octets >= MAX_STORED_ANSWER_OCTETS
 
     def count_answer(self, row: row_module.Row) -> None:
-        """Counts the answer of a row that has finished."""
+        """Adds the size of a finished row's answer to the stored total."""
         if row.result is not None:
             self._answer_octets += len(row.result.answer)
 
     def remove_expired(self, uptime_ms: int) -> None:
-        """Forgets the rows whose tickets have expired and that finished."""
+        """Removes the finished rows whose tickets have expired."""
         while self._expiries and self._expiries[0][0] <= uptime_ms:
             _, _, key = heapq.heappop(self._expiries)
             row = self._rows[key]
