--- a/persimmonhinge/flows/liveness.py
+++ b/persimmonhinge/flows/liveness.py
@@ -1,4 +1,4 @@
-"""Whether a keeper that does not answer may come back."""
+"""Whether a keeper that does not answer may become reachable again."""
 
 from __future__ import annotations
 
@@ -9,17 +9,20 @@
 from persimmonhinge import ids
 from persimmonhinge.membership import view as view_module
 
-# Hosts that took each other for dead in a cut have all refuted it in this time
-# after it healed, seconds.
+# Time after the end of a network partition within which all hosts that declared
+# each other dead because of it have refuted that, seconds.
 PARTITION_RECOVERY_S = 3.0
 
 
 class Liveness(enum.Enum):
-    """What is believed of a keeper without an answer.
-
-    LIVES: It counts as alive; its link may come up.
-    BEYOND_CUT: It counts as dead, but a cut would look the same.
-    GONE: It is dead, or so paused that it comes back as another incarnation.
+    """Assumed state of a keeper incarnation that does not answer.
+
+    ALIVE: This host's view does not have it as dead, so a link to it may open
+        again.
+    PARTITIONED: This host's view has it as dead, but a network partition
+        would look the same.
+    ENDED: It is dead, or was paused for so long that its host returns as
+        another incarnation.
     """
 
     ALIVE = "lives"
@@ -28,18 +31,18 @@
 
 
 class LivenessEstimator:
-    """Tells dead keepers from those beyond a cut, by the view of this host.
+    """Distinguishes dead keepers from partitioned ones by this host's view.
 
-    A cut takes a whole failure domain away, or this host. Where others of its
-    domain answer, a keeper that is believed dead is dead; one that is not even
-    known is gone, too.
+    A network partition separates a whole failure domain, or this host. If
+    other hosts of a keeper's domain answer, a keeper that the view has as dead
+    is in fact dead. A keeper that is missing from the view has ended, too.
     """
 
     def __init__(self, view: view_module.View) -> None:
         self._view = view
 
     def assess(self, keeper: ids.HostRef) -> Liveness:
-        """Returns what is believed of a keeper."""
+        """Returns the assumed state of a keeper incarnation."""
         for member in self._view.all():
             if member.ref != keeper:
                 continue
@@ -59,10 +62,10 @@
         )
 
     def _is_isolated(self) -> bool:
-        """Tells whether this host itself is, or just was, cut off from all.
+        """Tells whether this host is, or recently was, isolated.
 
-        Failure domains don't die together, so silence of all of them means
-        that this host can't hear them.
+        Failure domains don't fail together. If no host of any domain sends a
+        datagram, this host is cut off from the network.
         """
         own_domain = self._view.self_member.domain
         if all(member.domain == own_domain for member in self._view.all()):
--- a/persimmonhinge/flows/recovery.py
+++ b/persimmonhinge/flows/recovery.py
@@ -1,4 +1,4 @@
-"""Asks keepers what became of requests whose outcome is not known."""
+"""Queries keepers for requests whose outcome the home does not have."""
 
 from __future__ import annotations
 
@@ -21,30 +21,33 @@
 
 logger = logging.getLogger(__name__)
 
-# A keeper that still runs the request answers once it is done, so it is
-# waited for as long as the caller waits, and at least this long.
+# A keeper that still runs the request answers when it has finished. A query
+# therefore waits until the caller's deadline, and at least this long.
 MIN_ANSWER_TIMEOUT_S = 1.0
 _MAX_ATTEMPTS = 3
 _RETRY_PAUSE_S = 0.2
-# Between rounds of questions while a keeper can't be reached.
+# Pause between rounds of queries while a keeper is unreachable.
 _ROUND_PAUSE_S = 0.5
 
 Outcome = work.Outcome
 Liveness = liveness.Liveness
-# What each keeper of a ticket says; None without an answer.
+# Result that each keeper of a ticket reported; None if it did not answer.
 Findings = dict[ids.HostRef, work.Dispatched | None]
 
 
 class Recovery:
-    """Asks the keepers that a ticket names.
-
-    Only they can have run its work, so they can tell together: one has the
-    answer, or all promise that it did not run and never will. While one of
-    them may come back, they are asked again until the caller's deadline.
-    Guards against "unknown" from one side of a cut for a request that the
-    other side runs and answers: the caller's packets reach both sides, and
-    the side that can't reach the keeper would be the first to speak. A keeper
-    that is gone is not waited for: the caller gets its final answer at once.
+    """Queries the keepers that a ticket names for the outcome of a request.
+
+    Only these keepers can have run the request, so together they determine
+    its outcome: either one of them has the answer, or all of them promise
+    that the request did not run and never will. While one of them may become
+    reachable again, they are queried in rounds until the caller's deadline.
+
+    Guards against an "unknown" reply from one side of a network partition for
+    a request that the other side runs and answers: the caller's packets reach
+    both sides, and the side that can't reach the keeper would reply first.
+    There is no wait for a keeper incarnation that has ended, so the caller
+    gets its final reply without that delay.
     """
 
     def __init__(
@@ -65,11 +68,12 @@
     async def query_all_keepers(
         self, request: caller_request.CallerRequest
     ) -> work.Dispatched:
-        """Returns what the keepers of an order's ticket know of it.
+        """Queries all keepers of a request's ticket for its outcome.
 
         Returns:
-            ANSWERED with the kept answer; NOT_RUN if all keepers say and
-            promise so; UNKNOWN otherwise.
+            ANSWERED with the stored answer; NOT_RUN if all keepers report
+            that the request did not run and promise that it never will;
+            UNKNOWN otherwise.
         """
         found = await self._query_in_rounds(
             request, request.required_ticket.keepers
@@ -81,7 +85,7 @@
     async def query_keeper(
         self, request: caller_request.CallerRequest, keeper: ids.HostRef
     ) -> work.Dispatched:
-        """Returns what one keeper knows of an order."""
+        """Queries one keeper for the outcome of a request."""
         found = await self._query_in_rounds(request, (keeper,))
         return found[keeper] or _make_unknown("keeper does not answer")
 
@@ -90,7 +94,7 @@
         request: caller_request.CallerRequest,
         keepers: Sequence[ids.HostRef],
     ) -> Findings:
-        """Asks keepers until another round could change nothing."""
+        """Queries keepers until no further round could change the result."""
         rounds = 1
         partition_seen_at = -math.inf
         while True:
@@ -99,11 +103,11 @@
             unanswered = self._assess_unanswered(found)
             if Liveness.PARTITIONED in unanswered:
                 partition_seen_at = now
-            may_have_healed = (
+            is_recovering = (
                 now < partition_seen_at + liveness.PARTITION_RECOVERY_S
             )
             may_change = bool(unanswered) and (
-                Liveness.ENDED not in unanswered or may_have_healed
+                Liveness.ENDED not in unanswered or is_recovering
             )
             next_round_at = now + _ROUND_PAUSE_S
             if not may_change or next_round_at >= request.deadline:
@@ -121,22 +125,25 @@
         *,
         may_change: bool,
     ) -> None:
-        told = {
+        reported = {
             f"{keeper:08x}": dispatched.outcome.value
             if dispatched
             else "silent"
             for keeper, dispatched in found.items()
         }
         logger.info(
-            "Outcome of %s of %s:%d, token %s: keepers say %s after %d rounds;"
-            " %.1f s left, %s.",
+            "Queried the outcome of a request to service %s from caller"
+            " %s:%d, token %s: keepers reported %s after %d rounds; %.1f s to"
+            " the deadline, %s.",
             request.service,
             *request.flow.caller,
             request.token.hex(),
-            told,
+            reported,
             rounds,
             request.deadline - trio.current_time(),
-            "some may return" if may_change else "none may return",
+            "another round could change the result"
+            if may_change
+            else "no further round is needed",
         )
 
     async def _query_each(
@@ -144,43 +151,47 @@
         request: caller_request.CallerRequest,
         keepers: Sequence[ids.HostRef],
     ) -> Findings:
-        """Returns what keepers say; the first answer ends the questions."""
+        """Queries keepers concurrently until one reports ANSWERED."""
         found: Findings = {}
 
-        async def ask(keeper: ids.HostRef) -> None:
-            told = await self._query_keeper_or_successor(request, keeper)
-            found[keeper] = told
-            if told is not None and told.outcome is Outcome.ANSWERED:
+        async def query(keeper: ids.HostRef) -> None:
+            result = await self._query_keeper_or_successor(request, keeper)
+            found[keeper] = result
+            if result is not None and result.outcome is Outcome.ANSWERED:
                 nursery.cancel_scope.cancel()
 
         async with trio.open_nursery() as nursery:
             for keeper in keepers:
-                nursery.start_soon(ask, keeper)
+                nursery.start_soon(query, keeper)
         return found
 
     def _assess_unanswered(self, found: Findings) -> set[liveness.Liveness]:
-        """Returns what is believed of silent keepers that could still tell.
+        """Assesses the keepers whose missing answers could decide the result.
 
         Returns:
-            An empty set if another round can't change the conclusion.
+            Liveness of the keepers that did not answer; an empty set if
+            another round can't change the result.
         """
-        told = [dispatched for dispatched in found.values() if dispatched]
-        if any(d.outcome is not Outcome.NOT_RUN for d in told):
+        reported = [dispatched for dispatched in found.values() if dispatched]
+        if any(d.outcome is not Outcome.NOT_RUN for d in reported):
             return set()
         return {
             self._liveness.assess(keeper)
-            for keeper, told in found.items()
-            if told is None
+            for keeper, dispatched in found.items()
+            if dispatched is None
         }
 
     async def _query_keeper_or_successor(
         self, request: caller_request.CallerRequest, keeper: ids.HostRef
     ) -> work.Dispatched | None:
-        """Returns what one keeper knows; None if nobody answers for it.
+        """Queries a keeper, or the host that took over its table.
+
+        After a keeper has left, the host that took over its table answers for
+        it. That host is one of the current keepers of the service. All other
+        hosts answer NOT_KEEPER, which says nothing about the request.
 
-        Where the keeper has left, the host that took over what it knew
-        answers for it. That is one of the present keepers of the service;
-        any other host answers NOT_KEEPER, which tells nothing.
+        Returns:
+            None if no host answers for the keeper.
         """
         message = _build_query(request, keeper)
         member = self._view.find_ref(keeper)
@@ -195,19 +206,19 @@
     async def _query_successors(
         self, request: caller_request.CallerRequest, message: work.Recover
     ) -> work.Dispatched | None:
-        known: work.Dispatched | None = None
+        conclusive: work.Dispatched | None = None
 
-        async def ask(host: ids.HostId) -> None:
-            nonlocal known
+        async def query(host: ids.HostId) -> None:
+            nonlocal conclusive
             result = await self._query_host(host, message, request.deadline)
             if result is not None and result.outcome is not Outcome.UNKNOWN:
-                known = known or result
+                conclusive = conclusive or result
                 nursery.cancel_scope.cancel()
 
         async with trio.open_nursery() as nursery:
             for host in self._list_current_keepers(request.service):
-                nursery.start_soon(ask, host)
-        return known
+                nursery.start_soon(query, host)
+        return conclusive
 
     def _list_current_keepers(
         self, service: ids.ServiceName
@@ -226,7 +237,7 @@
     async def _query_host(
         self, host: ids.HostId, message: work.Recover, deadline: float
     ) -> work.Dispatched | None:
-        """Returns what a host says; None if it gives no answer."""
+        """Queries a host; returns None if it sends no valid answer."""
         for attempt in range(_MAX_ATTEMPTS):
             if attempt:
                 await trio.sleep(_RETRY_PAUSE_S)
@@ -238,7 +249,8 @@
             except errors.PeerCallTimeoutError:
                 break
             except errors.PeerError:
-                # A question may be asked twice; a new link may come up.
+                # A query may safely be repeated, and a new link may be
+                # available by then.
                 continue
             if isinstance(answer, work.Dispatched):
                 return _normalize_answer(answer)
@@ -273,7 +285,11 @@
 
 
 def _normalize_answer(answer: work.Dispatched) -> work.Dispatched:
-    """Takes NOT_KEEPER, from another incarnation of the host, as unknown."""
+    """Replaces every outcome but ANSWERED and NOT_RUN by UNKNOWN.
+
+    One of these is NOT_KEEPER, which another incarnation of the queried host
+    sends.
+    """
     if answer.outcome in (Outcome.ANSWERED, Outcome.NOT_RUN):
         return answer
     return _make_unknown(answer.reason or "keeper does not know")
