--- a/persimmonhinge/flows/keeper_scheduler.py
+++ b/persimmonhinge/flows/keeper_scheduler.py
@@ -1,4 +1,4 @@
-"""Whose turn it is to be named in a ticket."""
+"""Weighted scheduling of the keepers that are named in tickets."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class KeeperScheduler:
-    """Names keepers in turn, each as often as its capacity asks for.
+    """Picks keepers in proportion to their capacity, by stride scheduling.
 
-    Stride scheduling: a keeper that was named moves back by the inverse of
-    its weight, and the one that is farthest in front is next. Guards against
-    keepers that by chance are named twice as often as others, and then get
-    twice the work, because a ticket leaves little choice.
+    The keepers with the lowest pass values are picked, and the pass of a
+    picked keeper grows by the inverse of its weight. Guards against random
+    imbalance: a keeper that is named twice as often as others gets twice the
+    work, because a request may run only at the few keepers of its ticket.
     """
 
     def __init__(self, randomness: random.Random) -> None:
@@ -27,12 +27,15 @@
         weights: Mapping[ids.HostRef, float],
         count: int,
     ) -> tuple[ids.HostRef, ...]:
-        """Returns so many different keepers, fewer if there are not enough.
+        """Picks distinct keepers for a ticket of a service.
 
         Args:
-            service: The service.
+            service: Service of the ticket.
             weights: Capacity of each keeper, above 0.
-            count: How many are wanted.
+            count: Number of keepers to pick.
+
+        Returns:
+            The picked keepers; all of them if there are fewer than `count`.
         """
         passes = self._compute_passes(service, weights)
         ranked = sorted(
@@ -47,16 +50,18 @@
     def _compute_passes(
         self, service: ids.ServiceName, weights: Mapping[ids.HostRef, float]
     ) -> dict[ids.HostRef, float]:
-        """Returns where each keeper stands.
+        """Returns the pass value of each keeper.
 
-        A newcomer stands with the first, so that it need not catch up. One
-        that was trusted little for a while stands no farther back than its
-        weight of now would have put it.
+        A new keeper starts with the lowest known pass, so that it is not
+        picked repeatedly to catch up. A keeper whose weight was low for a
+        while, because of low trust in its upstreams, is not left out for
+        long: its pass exceeds the lowest one by at most the stride of its
+        current weight.
         """
-        former = self._passes.get(service, {})
-        known = [former[ref] for ref in weights if ref in former]
-        first = min(known, default=0.0)
+        previous = self._passes.get(service, {})
+        known = [previous[ref] for ref in weights if ref in previous]
+        lowest = min(known, default=0.0)
         return {
-            ref: min(former.get(ref, first), first + 1 / weight)
+            ref: min(previous.get(ref, lowest), lowest + 1 / weight)
             for ref, weight in weights.items()
         }
--- a/persimmonhinge/flows/replies.py
+++ b/persimmonhinge/flows/replies.py
@@ -1,4 +1,4 @@
-"""Answers that a home gives of its own."""
+"""CoAP replies that a home sends to callers."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 def make_unavailable(
     retry_after_s: int, reason: str, echo: bytes = b""
 ) -> codec.Message:
-    """Returns 5.03: it did not run and never will; come back later.
+    """Returns 5.03: the request did not run and never will; retry later.
 
     Args:
-        retry_after_s: When to come back, seconds.
-        reason: Cause, for people.
-        echo: Fresh ticket to come back with.
+        retry_after_s: Time after which the caller may retry, seconds.
+        reason: Human-readable cause.
+        echo: Fresh ticket for the retry; empty for none.
     """
     reply = codec.Message(
         code=Code.SERVICE_UNAVAILABLE, payload=reason.encode()
@@ -33,7 +33,7 @@
 
 
 def make_outcome_unknown(reason: str, echo: bytes = b"") -> codec.Message:
-    """Returns 5.04: it may have run."""
+    """Returns 5.04: the request may have run."""
     payload = _UNKNOWN + (f": {reason}".encode() if reason else b"")
     reply = codec.Message(code=Code.GATEWAY_TIMEOUT, payload=payload)
     return _attach_ticket(reply, echo)
@@ -43,8 +43,8 @@
     """Returns 4.01 with a fresh ticket (RFC 9175 section 2.3).
 
     Args:
-        echo: The ticket.
-        life_s: How long it serves, seconds; told in Max-Age.
+        echo: The ticket, sent in the Echo option.
+        lifetime_s: Lifetime of the ticket, seconds; sent in Max-Age.
     """
     reply = codec.Message(code=Code.UNAUTHORIZED)
     reply.opt.max_age = lifetime_s
@@ -52,14 +52,17 @@
 
 
 def make_reply(code: Code, reason: str = "") -> codec.Message:
-    """Returns an error answer to a request that can't be served as it is."""
+    """Returns a reply with a code and an optional human-readable reason.
+
+    It answers a request that can't be served as it was sent.
+    """
     return codec.Message(code=code, payload=reason.encode())
 
 
 def convert_outcome(
     dispatched: work.Dispatched, echo: bytes = b""
 ) -> codec.Message:
-    """Returns the answer to a caller that an outcome calls for."""
+    """Converts the result of a request to the reply to its caller."""
     if dispatched.outcome is work.Outcome.ANSWERED:
         return _attach_ticket(decode_answer(dispatched.answer), echo)
     if dispatched.outcome is work.Outcome.UNKNOWN:
@@ -68,7 +71,7 @@
 
 
 def decode_answer(data: bytes) -> codec.Message:
-    """Returns an upstream's answer without what was meant for one hop."""
+    """Returns an upstream's answer without its hop-by-hop options."""
     answer = codec.decode(data, limit=codec.MAX_WHOLE_OCTETS)
     reply = codec.Message(code=answer.code, payload=answer.payload)
     for option in answer.opt.option_list():
