--- a/persimmonhinge/flows/chooser.py
+++ b/persimmonhinge/flows/chooser.py
@@ -1,4 +1,4 @@
-"""Chooses an upstream by the policy that its contract names."""
+"""Selection of an upstream by the choice policy of the contract."""
 
 from __future__ import annotations
 
@@ -28,20 +28,21 @@
 
 _QUERY_INTERVAL_S = 0.5
 _QUERY_TIMEOUT_S = 1.0
-# A keeper that this host has given nothing since the last question is asked
-# again after this time: its report is of use only for the next choice.
+# Query interval for a keeper that this host has not chosen since the last
+# query: a report is only needed for the next choice.
 _IDLE_QUERY_INTERVAL_S = 2.0
-# So many queries a second, with reports of a few hundred octets, stay below
-# the limit of what control may send. In a large fleet reports come later;
-# those that come with answers are not limited.
+# At this rate, with reports of a few hundred octets, load queries stay below
+# the limit for control traffic. In a large fleet, reports are requested less
+# often. Reports that arrive with answers are not limited.
 _MAX_QUERIES_PER_S = 10.0
-# An upstream that nobody trusts still gets a trickle, by which it is seen
-# to recover; with all distrusted alike, the least bad go on serving.
+# Lower bound of an upstream's trust (0 to 1). An upstream without any trust
+# still gets a small share of the requests, so that its recovery is detected.
+# If no upstream has any trust, the least loaded ones continue to serve.
 _MIN_TRUST = 0.02
 
 
 class UpstreamChooser:
-    """Implements `flows.port.Chooser` from the keepers' reports."""
+    """Implements `flows.port.Chooser` by means of the keepers' load reports."""
 
     def __init__(
         self,
@@ -92,12 +93,12 @@
     ) -> tuple[ids.HostRef, ...]:
         """Returns keeper incarnations for a ticket, in turn by capacity.
 
-        Load plays no part. A ticket is used seconds after it was minted:
-        by then all callers that got one would come to the keepers that were
-        idle at that time.
+        The load of the keepers is ignored. A ticket is used seconds after it
+        was minted, so all callers with a ticket from the same time would then
+        send their requests to the keepers that were idle at that time.
 
-        This host is named only if no other keeps an upstream: its death
-        would take home and keeper at once.
+        This host is picked only if no other host is the keeper of an
+        upstream, since its failure would end home and keeper together.
         """
         weights: dict[ids.HostRef, float] = collections.defaultdict(float)
         reachable = self._list_choices(entry, frozenset(), None)
@@ -117,7 +118,7 @@
         upstream: ids.UpstreamId,
         kind: contract.CallKind,
     ) -> None:
-        """Counts work that this host has begun at an upstream."""
+        """Counts a request or feed that this host has started."""
         self._load_tracker.record_start(service, upstream, kind)
 
     def end(
@@ -126,21 +127,21 @@
         upstream: ids.UpstreamId,
         kind: contract.CallKind,
     ) -> None:
-        """Counts work that this host has ended."""
+        """Counts a request or feed that this host has ended."""
         self._load_tracker.record_end(service, upstream, kind)
 
     def note(self, service: ids.ServiceName, load: work.UpstreamLoad) -> None:
-        """Takes in a report that came with an answer."""
+        """Records a load report that arrived with an answer."""
         self._load_tracker.record_load(service, load)
 
     def get_load(
         self, service: ids.ServiceName, upstream: ids.UpstreamId
     ) -> work.UpstreamLoad | None:
-        """Returns the last report on an upstream, None if there is none."""
+        """Returns the last load report on an upstream; None without one."""
         return self._load_tracker.get_load(service, upstream)
 
     async def run(self) -> None:
-        """Asks the keepers for their loads, one task for each keeper."""
+        """Queries the load of the keepers, with one task for each keeper."""
         async with trio.open_nursery() as nursery:
             polled: set[ids.HostId] = set()
             while True:
@@ -169,15 +170,21 @@
     async def _wait_for_next_query(
         self, host: ids.HostId, min_interval_s: float
     ) -> None:
-        """Waits a short time if the keeper is in use, else a longer one."""
+        """Waits until a keeper's next query is due.
+
+        The interval is longer for a keeper that this host has not chosen
+        since its last query.
+        """
         self._recently_used_keepers.discard(host)
         idle_until = trio.current_time()
-        # What this host keeps it asks without a link, and shows to operators.
+        # This host queries itself at the short interval in any case: that
+        # needs no link, and operators see the loads of its own upstreams.
         if host != self._view.me:
             idle_until += _IDLE_QUERY_INTERVAL_S
         interval_s = max(_QUERY_INTERVAL_S, min_interval_s)
         while True:
-            # Hosts that started together would ask together.
+            # Without jitter, hosts that started together would send their
+            # queries together.
             await trio.sleep(interval_s * self._random.uniform(0.8, 1.2))
             if (
                 host in self._recently_used_keepers
@@ -267,7 +274,7 @@
         upstream: contract.Upstream,
         kind: contract.CallKind = contract.CallKind.REQUEST,
     ) -> float:
-        """Returns slots or connections, times the trust in the upstream."""
+        """Returns the slots or connections of an upstream times its trust."""
         load = self._load_tracker.get_load(
             ids.ServiceName(entry.contract.service),
             ids.UpstreamId(upstream.id),
@@ -293,10 +300,11 @@
 def _may_be_busy(
     upstream: contract.Upstream, chosen: choice_module.Candidate
 ) -> bool:
-    """Tells whether it is worth asking for a slot that is free now.
+    """Tells whether to query the chosen upstream for a free slot.
 
-    Reports are older than most requests run for. But once the least loaded
-    has a queue, all are likely to be busy, and asking would only add to the
-    work of hosts under overload.
+    A load report is older than the run time of most requests, so the chosen
+    upstream may have no free slot although another one has. But if the least
+    loaded upstream already has a queue, all are probably busy, and a query
+    would only add load to overloaded hosts.
     """
     return chosen.load <= upstream.slots
--- a/persimmonhinge/flows/loads.py
+++ b/persimmonhinge/flows/loads.py
@@ -1,4 +1,4 @@
-"""What this host knows of the load of each upstream."""
+"""Estimates of the load of upstreams from the keepers' reports."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
 class LoadTracker:
     """The last report on each upstream, corrected by this host's own work.
 
-    A report is old by the time it is used. What this host has begun and
-    ended since is known exactly, so it is added; what other hosts did in
-    the meantime is not known.
+    A report is outdated by the time it is used. The requests and feeds that
+    this host has started and ended since then are known exactly, so the
+    estimate includes them. Those of other hosts are not known.
     """
 
     def __init__(self, read_clock: Callable[[], float]) -> None:
-        """Makes a book without reports.
+        """Creates a tracker without reports.
 
         Args:
-            read_clock: Returns the time, seconds.
+            read_clock: Function that returns the current time, seconds.
         """
         self._read_clock = read_clock
         self._recent: dict[_WorkKey, _RecentWork] = {}
@@ -51,7 +51,7 @@
     def record_load(
         self, service: ids.ServiceName, load: work.UpstreamLoad
     ) -> None:
-        """Takes in a keeper's report."""
+        """Records a keeper's report on an upstream."""
         key = (service, load.upstream)
         self._reports[key] = _Report(
             load,
@@ -65,7 +65,7 @@
         upstream: ids.UpstreamId,
         kind: contract.CallKind,
     ) -> None:
-        """Counts work that this host has begun."""
+        """Counts a request or feed that this host has started."""
         key = (service, upstream, kind)
         self._own[key] += 1
         amount = self.count_recent(service, upstream, kind) + 1
@@ -77,7 +77,7 @@
         upstream: ids.UpstreamId,
         kind: contract.CallKind,
     ) -> None:
-        """Counts work that this host has ended."""
+        """Counts a request or feed that this host has ended."""
         key = (service, upstream, kind)
         self._own[key] -= 1
         if self._own[key] <= 0:
@@ -89,7 +89,7 @@
         upstream: ids.UpstreamId,
         kind: contract.CallKind,
     ) -> int:
-        """Returns how much work of this host an upstream has."""
+        """Returns the number of this host's open requests or feeds."""
         return self._own[(service, upstream, kind)]
 
     def count_recent(
@@ -98,10 +98,11 @@
         upstream: ids.UpstreamId,
         kind: contract.CallKind,
     ) -> float:
-        """Returns how much work this host gave an upstream lately.
+        """Returns the amount of work that this host recently started.
 
-        What is older counts less, so that an upstream that was away does
-        not get all work until it has caught up.
+        The weight of each request or feed decays exponentially with its age.
+        Without this decay, an upstream that returns after an absence would
+        get all new work until its total equals that of the others.
         """
         recent = self._recent.get((service, upstream, kind))
         if recent is None:
@@ -112,7 +113,7 @@
     def get_load(
         self, service: ids.ServiceName, upstream: ids.UpstreamId
     ) -> work.UpstreamLoad | None:
-        """Returns the last report, None if there is none."""
+        """Returns the last report on an upstream; None without one."""
         report = self._reports.get((service, upstream))
         return report.load if report else None
 
@@ -123,16 +124,20 @@
         kind: contract.CallKind,
         homes: int = 1,
     ) -> float:
-        """Returns requests running and waiting, or open feeds, by now.
+        """Estimates the current load of an upstream.
 
         Args:
-            service: The service.
-            upstream: Its upstream.
-            kind: REQUEST or FEED.
-            homes: Hosts that choose from the same reports. Guards against
-                a burst of feeds that all hosts open at the one upstream
-                which had the fewest: what this host has opened since the
-                report, each of the others is likely to have opened too.
+            service: Service of the upstream.
+            upstream: Upstream whose load is estimated.
+            kind: REQUEST to count running and queued requests, FEED to count
+                open feeds.
+            homes: Number of hosts that choose from the same reports. Guards
+                against a burst of feeds that all hosts open at the upstream
+                with the fewest feeds: each of the other hosts has probably
+                opened as many feeds since the report as this host has.
+
+        Returns:
+            Number of requests or feeds.
         """
         own = self.count_own(service, upstream, kind)
         report = self._reports.get((service, upstream))
