--- a/tests/test_flows/test_flows_chooser.py
+++ b/tests/test_flows/test_flows_chooser.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of upstreams from the keepers' reports."""
+"""Tests of the choice of upstreams from the keepers' load reports."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class _ChooserFixture:
-    """A chooser with a view, a contract and a network of fakes."""
+    """A chooser with a view, a contract and a fake network."""
 
     def __init__(self, policy: str = "free-slot", hosts: int = 3) -> None:
         self.view = view.View(home_fakes.make_member(home_fakes.ME))
@@ -50,7 +50,7 @@
         )
 
     def record_load(self, upstream: ids.UpstreamId, **changes: object) -> None:
-        """Takes in a report on an upstream."""
+        """Records a load report on an upstream."""
         load = work.UpstreamLoad(upstream, 2, 0, 0, 0)
         self.chooser.note(_SERVICE, msgspec.structs.replace(load, **changes))
 
@@ -59,199 +59,202 @@
         kind: contract_module.CallKind = _REQUEST,
         among: frozenset[ids.HostRef] | None = None,
     ) -> ids.UpstreamId:
-        """Returns the upstream that is chosen."""
+        """Returns the id of the chosen upstream."""
         choice = self.chooser.choose(self.entry, kind, among=among)
         assert choice is not None
         return ids.UpstreamId(choice.upstream.id)
 
 
 def test_draining_upstream_gets_nothing_new() -> None:
-    bench = _ChooserFixture()
-    bench.record_load(_ONE, accepting=False)
-    bench.record_load(_TWO, busy=2, queued=9)
-    assert {bench.choose() for _ in range(20)} == {_TWO}
-    bench.record_load(_TWO, accepting=False)
-    assert bench.chooser.choose(bench.entry, _REQUEST) is None
+    fixture = _ChooserFixture()
+    fixture.record_load(_ONE, accepting=False)
+    fixture.record_load(_TWO, busy=2, queued=9)
+    assert {fixture.choose() for _ in range(20)} == {_TWO}
+    fixture.record_load(_TWO, accepting=False)
+    assert fixture.chooser.choose(fixture.entry, _REQUEST) is None
 
 
 def test_distrusted_upstream_gets_less_and_is_taken_back() -> None:
-    bench = _ChooserFixture()
-    bench.record_load(_ONE, trust=0.02)
-    bench.record_load(_TWO, busy=2)
-    assert {bench.choose() for _ in range(20)} == {_TWO}
-    bench.record_load(_ONE, trust=0.9)
-    assert {bench.choose() for _ in range(20)} == {_ONE}
+    fixture = _ChooserFixture()
+    fixture.record_load(_ONE, trust=0.02)
+    fixture.record_load(_TWO, busy=2)
+    assert {fixture.choose() for _ in range(20)} == {_TWO}
+    fixture.record_load(_ONE, trust=0.9)
+    assert {fixture.choose() for _ in range(20)} == {_ONE}
 
 
 def test_least_bad_upstream_goes_on_serving() -> None:
-    bench = _ChooserFixture()
-    bench.record_load(_ONE, trust=0.0)
-    bench.record_load(_TWO, trust=0.0, queued=4)
-    assert bench.choose() == _ONE
+    fixture = _ChooserFixture()
+    fixture.record_load(_ONE, trust=0.0)
+    fixture.record_load(_TWO, trust=0.0, queued=4)
+    assert fixture.choose() == _ONE
 
 
 def test_cold_upstream_is_weighed_by_the_slots_it_has_now() -> None:
-    bench = _ChooserFixture()
-    bench.record_load(_ONE, slots=1, busy=1)
-    bench.record_load(_TWO, slots=2, busy=2)
-    assert {bench.choose() for _ in range(20)} == {_TWO}
+    fixture = _ChooserFixture()
+    fixture.record_load(_ONE, slots=1, busy=1)
+    fixture.record_load(_TWO, slots=2, busy=2)
+    assert {fixture.choose() for _ in range(20)} == {_TWO}
 
 
 def test_feeds_of_other_hosts_count() -> None:
-    bench = _ChooserFixture()
-    bench.record_load(_ONE, feeds=50)
-    bench.record_load(_TWO, feeds=40, busy=2, queued=5)
-    assert {bench.choose(_FEED) for _ in range(20)} == {_TWO}
+    fixture = _ChooserFixture()
+    fixture.record_load(_ONE, feeds=50)
+    fixture.record_load(_TWO, feeds=40, busy=2, queued=5)
+    assert {fixture.choose(_FEED) for _ in range(20)} == {_TWO}
 
 
 @trios.clock_test
 async def test_burst_of_feeds_is_spread_between_two_reports() -> None:
-    """Six hosts open twenty boards each before the next report.
+    """Guards against feeds that all hosts open at the same upstream.
 
-    Their one report says that one upstream has ten fewer. Without looking
-    ahead for the others too, each host gives it fifteen of its twenty.
+    Six hosts open twenty feeds each between two load reports. The last
+    report shows one upstream with ten feeds fewer. Unless each host also
+    counts the feeds that the other hosts probably opened, it opens fifteen of
+    its twenty feeds there.
     """
     counts: collections.Counter[ids.UpstreamId] = collections.Counter()
     counts[_ONE] = 10
-    benches = [_ChooserFixture(hosts=6) for _ in range(6)]
-    for bench in benches:
-        bench.record_load(_ONE, feeds=10)
-        bench.record_load(_TWO, feeds=0)
+    fixtures = [_ChooserFixture(hosts=6) for _ in range(6)]
+    for fixture in fixtures:
+        fixture.record_load(_ONE, feeds=10)
+        fixture.record_load(_TWO, feeds=0)
     for _ in range(20):
-        for bench in benches:
-            chosen = bench.choose(_FEED)
-            bench.chooser.begin(_SERVICE, chosen, _FEED)
+        for fixture in fixtures:
+            chosen = fixture.choose(_FEED)
+            fixture.chooser.begin(_SERVICE, chosen, _FEED)
             counts[chosen] += 1
     assert abs(counts[_ONE] - counts[_TWO]) <= 12
 
 
 @trios.clock_test
 async def test_idle_upstreams_get_equal_parts_of_the_work() -> None:
-    """Nothing waits, and one upstream does twice the work of another.
+    """Guards against an uneven distribution over idle upstreams.
 
-    With all idle no load tells upstreams apart, and chance is uneven: of
-    40 requests to two upstreams one often gets 26.
+    Upstreams without load are equal by their load, and a random choice is
+    uneven: of 40 requests to two upstreams, one often gets 26.
     """
-    bench = _ChooserFixture()
+    fixture = _ChooserFixture()
     counts: collections.Counter[ids.UpstreamId] = collections.Counter()
     for _ in range(40):
-        chosen = bench.choose()
+        chosen = fixture.choose()
         counts[chosen] += 1
-        bench.chooser.begin(_SERVICE, chosen, _REQUEST)
-        bench.chooser.end(_SERVICE, chosen, _REQUEST)
+        fixture.chooser.begin(_SERVICE, chosen, _REQUEST)
+        fixture.chooser.end(_SERVICE, chosen, _REQUEST)
         await trio.sleep(0.01)
     assert abs(counts[_ONE] - counts[_TWO]) <= 2
 
 
 @trios.clock_test
 async def test_upstream_that_comes_back_does_not_get_all_work() -> None:
-    """A drained upstream is taken back and gets everything.
+    """Guards against a returning upstream that gets all requests.
 
-    It had no work for a minute, so it is far behind the others in what it
-    got; it must not catch up.
+    The upstream was drained for a minute and received no requests in that
+    time. The choice must not make up for the requests that it missed.
     """
-    bench = _ChooserFixture()
-    bench.record_load(_ONE, accepting=False)
+    fixture = _ChooserFixture()
+    fixture.record_load(_ONE, accepting=False)
     for _ in range(600):
-        bench.chooser.begin(_SERVICE, bench.choose(), _REQUEST)
-        bench.chooser.end(_SERVICE, _TWO, _REQUEST)
+        fixture.chooser.begin(_SERVICE, fixture.choose(), _REQUEST)
+        fixture.chooser.end(_SERVICE, _TWO, _REQUEST)
         await trio.sleep(0.1)
-    bench.record_load(_ONE)
+    fixture.record_load(_ONE)
     counts: collections.Counter[ids.UpstreamId] = collections.Counter()
     for _ in range(300):
-        chosen = bench.choose()
+        chosen = fixture.choose()
         counts[chosen] += 1
-        bench.chooser.begin(_SERVICE, chosen, _REQUEST)
-        bench.chooser.end(_SERVICE, chosen, _REQUEST)
+        fixture.chooser.begin(_SERVICE, chosen, _REQUEST)
+        fixture.chooser.end(_SERVICE, chosen, _REQUEST)
         await trio.sleep(0.1)
     assert counts[_ONE] <= 200
 
 
 def test_ticket_limits_the_choice_to_its_keepers() -> None:
-    bench = _ChooserFixture(hosts=6)
-    for upstream in bench.entry.contract.upstreams:
+    fixture = _ChooserFixture(hosts=6)
+    for upstream in fixture.entry.contract.upstreams:
         key = ids.UpstreamId(f"{_SERVICE}/{upstream.id}")
-        keeper = bench.placement.find_keeper(key, upstream.domain)
+        keeper = fixture.placement.find_keeper(key, upstream.domain)
         assert keeper is not None
         among = frozenset({keeper.ref})
-        bench.record_load(ids.UpstreamId(upstream.id), queued=9)
-        choice = bench.chooser.choose(bench.entry, _REQUEST, among=among)
+        fixture.record_load(ids.UpstreamId(upstream.id), queued=9)
+        choice = fixture.chooser.choose(fixture.entry, _REQUEST, among=among)
         assert choice is not None
         assert choice.keeper_ref == keeper.ref
     none = frozenset({ids.HostRef(1)})
-    assert bench.chooser.choose(bench.entry, _REQUEST, among=none) is None
+    assert fixture.chooser.choose(fixture.entry, _REQUEST, among=none) is None
 
 
 def test_free_slot_is_asked_for_only_where_that_can_help() -> None:
-    bench = _ChooserFixture()
-    choice = bench.chooser.choose(bench.entry, _REQUEST)
+    fixture = _ChooserFixture()
+    choice = fixture.chooser.choose(fixture.entry, _REQUEST)
     assert choice is not None
     assert choice.may_be_busy
-    only = bench.chooser.choose(
-        bench.entry, _REQUEST, exclude=frozenset({_ONE})
+    only_choice = fixture.chooser.choose(
+        fixture.entry, _REQUEST, exclude=frozenset({_ONE})
     )
-    assert only is not None
-    assert not only.may_be_busy
+    assert only_choice is not None
+    assert not only_choice.may_be_busy
     for upstream in (_ONE, _TWO):
-        bench.record_load(upstream, busy=2, queued=1)
-    full = bench.chooser.choose(bench.entry, _REQUEST)
-    assert full is not None
-    assert not full.may_be_busy
-    plain = _ChooserFixture("least-loaded")
-    blind = plain.chooser.choose(plain.entry, _REQUEST)
-    assert blind is not None
-    assert not blind.may_be_busy
+        fixture.record_load(upstream, busy=2, queued=1)
+    busy_choice = fixture.chooser.choose(fixture.entry, _REQUEST)
+    assert busy_choice is not None
+    assert not busy_choice.may_be_busy
+    other_fixture = _ChooserFixture("least-loaded")
+    other_choice = other_fixture.chooser.choose(other_fixture.entry, _REQUEST)
+    assert other_choice is not None
+    assert not other_choice.may_be_busy
 
 
 @trios.clock_test
 async def test_queries_of_a_large_fleet_stay_within_their_limit() -> None:
-    """Control takes more of the network the more hosts there are.
+    """Guards against control traffic that grows with the number of hosts.
 
-    Each host asks each keeper twice a second: with 600 hosts that is 1,200
-    queries a second from each.
+    If each host queried each keeper twice a second, each of 600 hosts would
+    send 1,200 queries a second.
     """
-    bench = _ChooserFixture(hosts=200)
+    fixture = _ChooserFixture(hosts=200)
 
     async def report(message: base.Message) -> base.Message:
         return work.LoadReport(())
 
-    for member in bench.view.role_takers():
-        bench.network.keep[member.host] = report
+    for member in fixture.view.role_takers():
+        fixture.network.keep[member.host] = report
     with trio.move_on_after(60):
-        await bench.chooser.run()
-    assert len(bench.network.calls) <= 60 * 10 * 1.3 + 200
+        await fixture.chooser.run()
+    assert len(fixture.network.calls) <= 60 * 10 * 1.3 + 200
 
 
 @trios.clock_test
 async def test_keepers_that_are_not_in_use_are_asked_seldom() -> None:
-    """An idle host spends more of a core on control than it may.
+    """Guards against an idle host that exceeds its CPU limit for control.
 
-    It gives no work, and asks all keepers twice a second for their loads.
+    The host dispatches no requests but queries the load of all keepers twice
+    a second.
     """
-    bench = _ChooserFixture()
+    fixture = _ChooserFixture()
 
     async def report(message: base.Message) -> base.Message:
         return work.LoadReport(())
 
-    for member in bench.view.role_takers():
-        bench.network.keep[member.host] = report
+    for member in fixture.view.role_takers():
+        fixture.network.keep[member.host] = report
     with trio.move_on_after(60):
-        await bench.chooser.run()
-    asked = [host for host, _ in bench.network.calls]
-    for host in set(asked) - {home_fakes.ME}:
-        assert asked.count(host) <= 60 / 1.5
+        await fixture.chooser.run()
+    queried = [host for host, _ in fixture.network.calls]
+    for host in set(queried) - {home_fakes.ME}:
+        assert queried.count(host) <= 60 / 1.5
 
 
 @trios.clock_test
 async def test_report_names_service_and_upstream() -> None:
-    bench = _ChooserFixture()
+    fixture = _ChooserFixture()
 
     async def report(message: base.Message) -> base.Message:
         name = ids.UpstreamId(f"{_SERVICE}/{_ONE}")
         return work.LoadReport((work.UpstreamLoad(name, 2, 1, 4, 7),))
 
-    bench.network.keep[ids.HostId("entry-2")] = report
+    fixture.network.keep[ids.HostId("entry-2")] = report
     with trio.move_on_after(2):
-        await bench.chooser.run()
-    load = bench.chooser.get_load(_SERVICE, _ONE)
+        await fixture.chooser.run()
+    load = fixture.chooser.get_load(_SERVICE, _ONE)
     assert load == work.UpstreamLoad(_ONE, 2, 1, 4, 7)
--- a/tests/test_flows/test_flows_free_slot.py
+++ b/tests/test_flows/test_flows_free_slot.py
@@ -1,4 +1,4 @@
-"""Tests of asking for a slot that is free at once."""
+"""Tests of dispatches that ask for a free slot instead of a queue place."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class _FreeSlotChooser(home_fakes.FakeChooser):
-    """Says of each upstream that it may be busy."""
+    """Marks each chosen upstream as possibly busy."""
 
     def choose(
         self, entry: store.ContractEntry, kind: Any, **limits: Any
     ) -> port.Choice | None:
-        """Returns the first choice that is left."""
+        """Returns the first upstream that is not excluded."""
         choice = super().choose(entry, kind, **limits)
         if choice is None:
             return None
@@ -41,17 +41,17 @@
 
 @trios.clock_test
 async def test_request_waits_once_no_slot_was_free() -> None:
-    """A request is sent to and fro between full upstreams.
+    """Guards against a request that is sent back and forth between keepers.
 
-    Each keeper says that no slot is free. The home asks each of them once
-    at most, then lets the request wait.
+    Each keeper reports that no slot is free. The home must query each of them
+    at most once, and then let the request wait for a slot.
     """
     world = _make_world()
-    asked: list[work.Dispatch] = []
+    dispatches: list[work.Dispatch] = []
 
     async def keep(message: base.Message) -> base.Message:
         dispatch = _get_dispatch(message)
-        asked.append(dispatch)
+        dispatches.append(dispatch)
         if not dispatch.waits:
             return work.Dispatched(work.Outcome.BUSY)
         return home_fakes.answered(b"done")
@@ -61,16 +61,16 @@
         echo = await world.get_ticket()
         answer = await world.ask(POST, "/reserve", echo=echo)
     assert answer.payload == b"done"
-    assert [dispatch.waits for dispatch in asked] == [False, True]
+    assert [dispatch.waits for dispatch in dispatches] == [False, True]
 
 
 @trios.clock_test
 async def test_second_question_for_one_upstream_leaves_later() -> None:
-    """A buyer is refused although the upstream's queue is empty.
+    """Guards against a request that is refused although the queue is empty.
 
-    The keeper refuses copies of a refused dispatch by the uptime that they
-    tell. A home that asks the same upstream again within one millisecond
-    looks like a copy.
+    A keeper detects copies of a refused dispatch by their home uptime. If the
+    home dispatches to the same upstream again within one millisecond, the
+    keeper takes the second dispatch for a copy of the first.
     """
     world = _make_world()
     uptimes: list[int] = []
@@ -92,9 +92,10 @@
 
 @trios.clock_test
 async def test_busy_upstreams_cost_no_retry() -> None:
-    """Under load the retry budget is spent before anything failed.
+    """Guards against a retry budget that is spent without any failure.
 
-    Asking for a free slot reaches no upstream, so it is no retry.
+    Under load, dispatches are answered BUSY. These do not reach an upstream,
+    so the next dispatch does not count as a retry.
     """
     world = _make_world()
 
--- a/tests/test_flows/test_flows_loads.py
+++ b/tests/test_flows/test_flows_loads.py
@@ -1,4 +1,4 @@
-"""Properties of what a host knows of the load of upstreams."""
+"""Property tests of a host's estimates of the load of upstreams."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 def _estimate(
-    book: loads.LoadTracker, kind: contract.CallKind, homes: int = 1
+    tracker: loads.LoadTracker, kind: contract.CallKind, homes: int = 1
 ) -> float:
-    return book.estimate(_SERVICE, _UPSTREAM, kind, homes)
+    return tracker.estimate(_SERVICE, _UPSTREAM, kind, homes)
 
 
 @hypothesis.given(
@@ -38,23 +38,24 @@
 def test_estimate_is_exact_while_no_other_host_works(
     kind: contract.CallKind, steps: list[str]
 ) -> None:
-    """A host alone sees an upstream as fuller or emptier than it is.
+    """Guards against wrong estimates when only one host sends work.
 
-    Its own work counts twice, or is taken off twice, around a report.
+    Around a load report, the host's own requests and feeds may be counted or
+    subtracted twice.
     """
-    book = loads.LoadTracker(lambda: 0.0)
+    tracker = loads.LoadTracker(lambda: 0.0)
     running = 0
     for step in steps:
         if step == "begin":
             running += 1
-            book.record_start(_SERVICE, _UPSTREAM, kind)
+            tracker.record_start(_SERVICE, _UPSTREAM, kind)
         elif step == "end" and running:
             running -= 1
-            book.record_end(_SERVICE, _UPSTREAM, kind)
+            tracker.record_end(_SERVICE, _UPSTREAM, kind)
         elif step == "note":
-            book.record_load(_SERVICE, _make_load(running, 0, running))
-        assert _estimate(book, kind) == running
-        assert book.count_own(_SERVICE, _UPSTREAM, kind) == running
+            tracker.record_load(_SERVICE, _make_load(running, 0, running))
+        assert _estimate(tracker, kind) == running
+        assert tracker.count_own(_SERVICE, _UPSTREAM, kind) == running
 
 
 @hypothesis.given(
@@ -66,38 +67,39 @@
 def test_estimate_is_never_negative(
     kind: contract.CallKind, reported: int, begun: int, ended: int
 ) -> None:
-    book = loads.LoadTracker(lambda: 0.0)
+    tracker = loads.LoadTracker(lambda: 0.0)
     for _ in range(begun):
-        book.record_start(_SERVICE, _UPSTREAM, kind)
-    book.record_load(_SERVICE, _make_load(reported, 0, reported))
+        tracker.record_start(_SERVICE, _UPSTREAM, kind)
+    tracker.record_load(_SERVICE, _make_load(reported, 0, reported))
     for _ in range(min(begun, ended)):
-        book.record_end(_SERVICE, _UPSTREAM, kind)
-    assert _estimate(book, kind, homes=6) >= 0
+        tracker.record_end(_SERVICE, _UPSTREAM, kind)
+    assert _estimate(tracker, kind, homes=6) >= 0
 
 
 def test_queue_counts_as_load_and_feeds_of_other_hosts_too() -> None:
-    book = loads.LoadTracker(lambda: 0.0)
-    assert _estimate(book, _FEED) == 0
-    book.record_load(_SERVICE, _make_load(busy=2, queued=3, feeds=40))
-    assert _estimate(book, _REQUEST) == 5
-    assert _estimate(book, _FEED) == 40
+    tracker = loads.LoadTracker(lambda: 0.0)
+    assert _estimate(tracker, _FEED) == 0
+    tracker.record_load(_SERVICE, _make_load(busy=2, queued=3, feeds=40))
+    assert _estimate(tracker, _REQUEST) == 5
+    assert _estimate(tracker, _FEED) == 40
     other = ids.ServiceName("grower-intake")
-    assert book.estimate(other, _UPSTREAM, _FEED) == 0
+    assert tracker.estimate(other, _UPSTREAM, _FEED) == 0
 
 
 def test_feeds_opened_since_the_report_count_for_all_homes() -> None:
-    """All feeds open at the one upstream that had the fewest.
+    """Guards against feeds that all hosts open at the same upstream.
 
-    Boards come on at the same minute on all hosts, which share a report
-    of half a second ago; each adds its own few to it and sees it empty.
+    Callers open feeds at all hosts within the same minute. All hosts have the
+    same report, half a second old. If each host adds only its own few feeds
+    to it, the upstream with the fewest feeds keeps looking empty.
     """
-    book = loads.LoadTracker(lambda: 0.0)
-    book.record_load(_SERVICE, _make_load(busy=1, feeds=10))
+    tracker = loads.LoadTracker(lambda: 0.0)
+    tracker.record_load(_SERVICE, _make_load(busy=1, feeds=10))
     for _ in range(2):
-        book.record_start(_SERVICE, _UPSTREAM, _FEED)
-        book.record_start(_SERVICE, _UPSTREAM, _REQUEST)
-    assert _estimate(book, _FEED, homes=6) == 22
-    assert _estimate(book, _REQUEST, homes=6) == 3
-    book.record_load(_SERVICE, _make_load(busy=1, feeds=22))
-    book.record_end(_SERVICE, _UPSTREAM, _FEED)
-    assert _estimate(book, _FEED, homes=6) == 21
+        tracker.record_start(_SERVICE, _UPSTREAM, _FEED)
+        tracker.record_start(_SERVICE, _UPSTREAM, _REQUEST)
+    assert _estimate(tracker, _FEED, homes=6) == 22
+    assert _estimate(tracker, _REQUEST, homes=6) == 3
+    tracker.record_load(_SERVICE, _make_load(busy=1, feeds=22))
+    tracker.record_end(_SERVICE, _UPSTREAM, _FEED)
+    assert _estimate(tracker, _FEED, homes=6) == 21
--- a/tests/test_flows/test_flows_recovery.py
+++ b/tests/test_flows/test_flows_recovery.py
@@ -1,4 +1,4 @@
-"""Tests of requests whose home died, and of hosts that wake."""
+"""Tests of the recovery of requests after the failure of their home."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 
 
 async def _get_ticket_of_ended_home(flow: port.Flow = home_fakes.FLOW) -> bytes:
-    """Returns a ticket of a home that is then no more."""
+    """Returns a ticket of a home that has since ended."""
     world = home_fakes.HomeWorld()
     async with world.running():
         return await world.get_ticket(flow)
 
 
 def _make_keeper(host: ids.HostId, outcome: Outcome | None) -> home_fakes.Keep:
-    me = home_fakes.make_member(host).ref
+    own_ref = home_fakes.make_member(host).ref
 
     async def keep(message: base.Message) -> base.Message:
         assert isinstance(message, work.Recover)
         if outcome is None:
             raise errors.PeerUnreachableError("cut off", step="call")
-        if message.keeper != me:
+        if message.keeper != own_ref:
             return work.Dispatched(Outcome.NOT_KEEPER)
         if outcome is Outcome.ANSWERED:
             return home_fakes.answered(b"kept")
@@ -63,10 +63,10 @@
 async def test_successor_tells_what_the_keepers_know_together(
     first: Outcome | None, second: Outcome | None
 ) -> None:
-    """A buyer hears "not run" of a reservation that ran.
+    """Guards against a "not run" reply for a request that ran.
 
-    The home dies with the request dispatched. The next home asks both
-    keepers of the ticket; "not run" takes the word of both of them.
+    The home dies after it dispatched the request. The next home queries both
+    keepers of the ticket, and may reply "not run" only if both report it.
     """
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
@@ -99,18 +99,19 @@
 
 @trios.clock_test
 async def test_keeper_that_left_is_answered_for_by_its_successor() -> None:
-    """A reservation is "unknown" after a planned stop of its keeper.
+    """Guards against an "unknown" reply after a planned stop of a keeper.
 
-    The home died after the keeper had handed its table over and left.
+    The home dies after the keeper has handed over its table and left. The
+    host that received the table has to answer for that keeper.
     """
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
-    left = home_fakes.make_member(home_fakes.KEEPERS[0]).ref
+    left_keeper = home_fakes.make_member(home_fakes.KEEPERS[0]).ref
     world.view.remove(home_fakes.KEEPERS[0])
 
     async def answer_for_both(message: base.Message) -> base.Message:
         assert isinstance(message, work.Recover)
-        if message.keeper == left:
+        if message.keeper == left_keeper:
             return home_fakes.answered(b"handed over")
         return work.Dispatched(Outcome.NOT_RUN)
 
@@ -133,10 +134,10 @@
 
 @trios.clock_test
 async def test_request_of_a_living_home_is_left_to_it() -> None:
-    """A buyer hears "unknown" a moment before the true answer comes.
+    """Guards against an "unknown" reply shortly before the real answer.
 
-    A copy of the request meets a host whose link to the home is down for
-    the moment, while the home is at work on it.
+    A copy of the request reaches a host whose link to the home is down
+    temporarily, while the home still runs the request.
     """
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
@@ -148,7 +149,7 @@
         await trio.sleep(5)
         assert not world.answers.sent
         assert not world.network.calls
-        # Once the home is known to be dead, the next copy is answered.
+        # After the home is removed from the view, the next copy is answered.
         world.view.remove(home_fakes.ME)
         reply = await world.ask(POST, "/reserve", mid=1, echo=echo)
     assert reply.code is Code.SERVICE_UNAVAILABLE
@@ -156,11 +157,11 @@
 
 @trios.clock_test
 async def test_woken_home_knows_what_it_began_and_asks_for_the_rest() -> None:
-    """A reservation runs again at a home that was paused.
+    """Guards against a second run of a request at a home that was paused.
 
-    The home was taken for dead; its successor had the keepers fence a
-    request and told the caller "not run". The home wakes, refutes its
-    death with a new incarnation, and a copy of that request arrives.
+    The paused home was declared dead. Its successor had the keepers fence a
+    request and replied "not run". The home then resumes, refutes its death
+    with a new incarnation, and receives a copy of that request.
     """
     world = home_fakes.HomeWorld()
     fenced: list[bytes] = []
@@ -186,11 +187,11 @@
 
 @trios.clock_test
 async def test_ticket_under_an_unknown_key_is_no_invitation() -> None:
-    """A coach is sent twice while a host lags behind in ticket keys.
+    """Guards against a second run while a host lacks a ticket key.
 
-    Another home minted the ticket under a key that this host, long cut
-    off, has not learned, and ran the request. With 4.01 the caller would
-    send it again.
+    Another home minted the ticket under a key that this host, after a long
+    partition, has not received, and ran the request. A 4.01 reply would make
+    the caller send the request again.
     """
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
@@ -202,11 +203,12 @@
 
 @trios.clock_test
 async def test_keeper_that_can_be_reached_again_is_asked_again() -> None:
-    """A buyer hears "unknown" of a lot which the other side of a cut books.
+    """Guards against an "unknown" reply for a request that runs elsewhere.
 
-    A copy comes to a host for which home and keepers are beyond a cut. It
-    acknowledges nothing, so that the caller repeats and may find the other
-    side. The cut heals before the deadline, and the keepers are asked again.
+    A copy of the request reaches a host that a network partition separates
+    from the home and the keepers. This host does not acknowledge the copy, so
+    that the caller repeats it and may reach the other side. The partition
+    ends before the deadline, and the keepers are queried again.
     """
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
@@ -231,11 +233,11 @@
     world = home_fakes.HomeWorld(_SUCCESSOR)
     for host in home_fakes.KEEPERS:
         world.network.keep[host] = _make_keeper(host, None)
-    began = trio.current_time()
+    started_at = trio.current_time()
     async with world.running():
         reply = await world.ask(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
-    assert trio.current_time() - began < 30
+    assert trio.current_time() - started_at < 30
 
 
 def _mark_keepers_dead(world: home_fakes.HomeWorld, domain: str) -> None:
@@ -252,25 +254,30 @@
 
 @trios.clock_test
 async def test_dead_keepers_are_not_waited_for() -> None:
-    """A buyer waits ten seconds to be told that an outcome is unknown.
+    """Guards against a ten-second wait for an "unknown" reply.
 
-    Home and keepers die, other hosts of their domain live. A copy comes to
-    one of these. Cause: it asked the dead until the deadline, as in a cut,
-    although nobody but they could have told.
+    The home and the keepers die while other hosts of their domain are alive,
+    and a copy of the request reaches one of these. As only the dead keepers
+    had the outcome, querying them until the deadline, as is done in a network
+    partition, would delay the reply for nothing.
     """
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     _mark_keepers_dead(world, "north")
-    began = trio.current_time()
+    started_at = trio.current_time()
     async with world.running():
         reply = await world.ask(POST, "/reserve", echo=echo)
         assert reply.code is Code.GATEWAY_TIMEOUT
-        assert trio.current_time() - began < 2
+        assert trio.current_time() - started_at < 2
 
 
 @trios.clock_test
 async def test_keepers_of_a_dark_domain_are_asked_until_the_deadline() -> None:
-    """A domain without a sign of life may be cut off and run the request."""
+    """Guards against an early "unknown" reply for a partitioned domain.
+
+    A domain whose hosts all count as dead may only be unreachable, and its
+    keepers may still run the request.
+    """
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     _mark_keepers_dead(world, "south")
@@ -291,20 +298,26 @@
     state: member_module.MemberState,
     outcome: Outcome | None,
 ) -> None:
-    """Shows all hosts in a state; keepers tell an outcome, None if cut off."""
+    """Sets the state of all other hosts, and the outcome that they report.
+
+    Args:
+        world: Home whose view and network are changed.
+        state: Membership state of the hosts.
+        outcome: Outcome that they report; None if they are unreachable.
+    """
     if outcome is not None:
         world.view.silence.note_heard(trio.current_time())
-    far = dataclasses.replace(
+    other_host = dataclasses.replace(
         home_fakes.make_member(_OTHER_DOMAIN_HOST), domain=ids.DomainId("south")
     )
     keepers = [home_fakes.make_member(host) for host in home_fakes.KEEPERS]
-    for member in (far, *keepers):
+    for member in (other_host, *keepers):
         world.view.put(dataclasses.replace(member, state=state))
         world.network.keep[member.host] = _make_keeper(member.host, outcome)
 
 
 def _make_connected_world() -> home_fakes.HomeWorld:
-    """Returns a home that hears other hosts until now."""
+    """Returns a home that has just received a datagram of another host."""
     world = home_fakes.HomeWorld()
     world.view.silence.limit_s = 0.9
     world.view.silence.note_heard(trio.current_time())
@@ -314,10 +327,14 @@
 async def _post_reservation(
     world: home_fakes.HomeWorld, keep: home_fakes.Keep
 ) -> int:
-    """Sends a reservation to the home, whose keepers do as told.
+    """Sends a reservation to the home.
+
+    Args:
+        world: Home that receives the reservation.
+        keep: Function by which its keepers answer calls.
 
     Returns:
-        How many messages callers had been sent before.
+        Number of messages that were sent to callers before.
     """
     echo = await world.get_ticket()
     world.keep_all(keep)
@@ -330,14 +347,20 @@
 
 
 def _add_other_domain_host(world: home_fakes.HomeWorld) -> None:
-    """Shows a host of another domain as alive."""
-    far = home_fakes.make_member(_OTHER_DOMAIN_HOST)
-    world.view.put(dataclasses.replace(far, domain=ids.DomainId("south")))
+    """Adds an alive host of another failure domain to the view."""
+    other_host = home_fakes.make_member(_OTHER_DOMAIN_HOST)
+    world.view.put(
+        dataclasses.replace(other_host, domain=ids.DomainId("south"))
+    )
 
 
 @trios.clock_test
 async def test_home_that_is_cut_off_waits_for_the_keeper() -> None:
-    """A buyer hears "unknown" of a lot from a home whose cut soon heals."""
+    """Guards against an "unknown" reply from an isolated home.
+
+    The home is cut off from all other hosts for a few seconds. The keeper has
+    the answer and is reachable again before the deadline.
+    """
     world = _make_connected_world()
 
     async def lose_link(message: base.Message) -> base.Message:
@@ -359,7 +382,7 @@
 def _list_replies(
     world: home_fakes.HomeWorld, before: int
 ) -> list[codec.Message]:
-    """Returns what was sent since, without empty ACKs."""
+    """Returns the messages sent since, without empty acknowledgements."""
     sent = [message for _, message in world.answers.sent[before:]]
     return [message for message in sent if message.code is not Code.EMPTY]
 
@@ -368,7 +391,11 @@
 async def test_home_waits_for_the_keeper_until_all_are_back_after_a_cut() -> (
     None
 ):
-    """A buyer hears "unknown" of a lot just as the cut of its home heals."""
+    """Guards against an "unknown" reply just after a partition has ended.
+
+    The home receives datagrams of another domain again, while it still has
+    the keeper as dead.
+    """
     world = _make_connected_world()
 
     async def lose_link(message: base.Message) -> base.Message:
@@ -379,7 +406,7 @@
     async with world.running():
         before = await _post_reservation(world, lose_link)
         await trio.sleep(2)
-        # Another domain is heard first.
+        # A datagram of another domain is received first.
         world.view.silence.note_heard(trio.current_time())
         _add_other_domain_host(world)
         await trio.sleep(1)
@@ -392,10 +419,10 @@
 
 @trios.clock_test
 async def test_home_waits_for_the_first_host_that_it_takes_for_dead() -> None:
-    """A buyer hears "unknown" of a lot as a cut begins to show.
+    """Guards against an "unknown" reply at the start of a partition.
 
-    Deaths are concluded one after the other: the keeper counts as dead while
-    other hosts beyond the cut still count as alive.
+    Hosts are declared dead one after the other: the keeper counts as dead
+    while other unreachable hosts still count as alive.
     """
     world = _make_connected_world()
 
@@ -417,7 +444,11 @@
 
 @trios.clock_test
 async def test_home_does_not_wait_for_a_keeper_that_died() -> None:
-    """A buyer waits ten seconds to be told that an outcome is unknown."""
+    """Guards against a ten-second wait for an "unknown" reply.
+
+    The keeper dies during the call, while other hosts of its domain are
+    alive. The home must not query the dead keeper until the deadline.
+    """
     world = home_fakes.HomeWorld()
     async with world.running():
         echo = await world.get_ticket()
@@ -427,10 +458,10 @@
             raise errors.PeerLinkLostError("killed", step="call")
 
         world.keep_all(die)
-        began = trio.current_time()
+        started_at = trio.current_time()
         reply = await world.ask(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
-    assert trio.current_time() - began < 2
+    assert trio.current_time() - started_at < 2
 
 
 async def _hang(message: base.Message) -> base.Message:
@@ -440,26 +471,34 @@
 
 @trios.clock_test
 async def test_answer_of_one_keeper_is_not_held_back_by_another() -> None:
-    """A buyer waits for a booked lot because an idle keeper is silent."""
+    """Guards against an answer that is delayed by an unresponsive keeper.
+
+    One keeper of the ticket has the answer; the other one, which did not run
+    the request, does not respond to the query.
+    """
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     answering, silent = home_fakes.KEEPERS
     world.network.keep[answering] = _make_keeper(answering, Outcome.ANSWERED)
     world.network.keep[silent] = _hang
-    began = trio.current_time()
+    started_at = trio.current_time()
     async with world.running():
         reply = await world.ask(POST, "/reserve", echo=echo)
         assert reply.payload == b"kept"
-        assert trio.current_time() - began < 1
+        assert trio.current_time() - started_at < 1
 
 
 @trios.clock_test
 async def test_answer_of_a_successor_is_not_held_back_by_another() -> None:
-    """A buyer waits for a booked lot because one of the successors hangs."""
+    """Guards against an answer that is delayed by an unresponsive successor.
+
+    One successor of the keeper that left has the answer; another one does not
+    respond to the query.
+    """
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
-    left, answering = home_fakes.KEEPERS
-    world.view.remove(left)
+    left_host, answering = home_fakes.KEEPERS
+    world.view.remove(left_host)
     world.view.put(home_fakes.make_member(_OTHER_DOMAIN_HOST))
 
     async def answer_for_both(message: base.Message) -> base.Message:
@@ -468,8 +507,8 @@
     world.network.keep[answering] = answer_for_both
     world.network.keep[_OTHER_DOMAIN_HOST] = _hang
     world.network.keep[_SUCCESSOR] = _hang
-    began = trio.current_time()
+    started_at = trio.current_time()
     async with world.running():
         reply = await world.ask(POST, "/reserve", echo=echo)
         assert reply.payload == b"handed over"
-        assert trio.current_time() - began < 1
+        assert trio.current_time() - started_at < 1
--- a/tests/test_flows/test_flows_requests_ends.py
+++ b/tests/test_flows/test_flows_requests_ends.py
@@ -1,4 +1,4 @@
-"""Tests of requests that run while their home or caller goes."""
+"""Tests of requests whose home leaves, or whose caller cancels or repeats."""
 
 from __future__ import annotations
 
@@ -75,7 +75,11 @@
 
 @trios.clock_test
 async def test_late_copy_is_not_answered_once_its_token_is_used_again() -> None:
-    """A buyer who books a second lot reads the answer to the first."""
+    """Guards against the answer to an earlier request with the same token.
+
+    A late copy of the first request arrives after the caller has used its
+    token for a second one, and would be answered with the first answer.
+    """
     world = home_fakes.HomeWorld()
     world.keep_all(_answer_body)
     async with world.running():
@@ -94,7 +98,11 @@
 
 @trios.clock_test
 async def test_answer_is_not_repeated_once_its_token_is_used_again() -> None:
-    """A buyer reads an answer whose confirmation was lost once more."""
+    """Guards against repeating an answer after its token was used again.
+
+    The caller's acknowledgement of the first answer was lost. A repetition
+    would reach the caller as the answer to its second request.
+    """
     world = home_fakes.HomeWorld()
 
     async def answer_late(message: base.Message) -> base.Message:
@@ -111,13 +119,17 @@
         await trio.sleep(30)
         later = _list_payloads(world, before)
         assert b"lot 1" not in later
-        # The second answer is repeated until it is confirmed.
+        # The second answer is retransmitted until it is acknowledged.
         assert later.count(b"lot 2") > 1
 
 
 @trios.clock_test
 async def test_late_retry_does_not_end_the_answer_to_the_next_request() -> None:
-    """A buyer hears nothing of its second lot for a late copy of the first."""
+    """Guards against a second request that stays without an answer.
+
+    A late retry of the first request, with the same token, would end the
+    exchange of the second request.
+    """
     world = home_fakes.HomeWorld()
     world.keep_all(_answer_body)
     async with world.running():
@@ -132,7 +144,7 @@
 
 
 async def _answer_body(message: base.Message) -> base.Message:
-    """Answers a request with its own body."""
+    """Answers a dispatch with the body of its request."""
     assert isinstance(message, work.Dispatch)
     return home_fakes.answered(codec.decode(message.request).payload)
 
--- a/tests/test_flows/test_flows_requests_keepers.py
+++ b/tests/test_flows/test_flows_requests_keepers.py
@@ -1,4 +1,4 @@
-"""Tests of which keepers run a request, and what they say of it later."""
+"""Tests of which keepers run a request, and of its recovery from them."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 @trios.clock_test
 async def test_request_goes_only_to_keepers_of_its_ticket() -> None:
-    """A reservation runs at a keeper that recovery will not ask.
+    """Guards against a request that runs at a keeper outside of its ticket.
 
-    The keeper named in the ticket was replaced. If the request went to the
-    new one and its home died, the keepers of the ticket would say "not
-    run" of a request that ran.
+    The keepers named in the ticket were replaced by new incarnations. If a
+    new one ran the request and the home then died, recovery would query only
+    the keepers of the ticket and report "not run" for a request that ran.
     """
     world = home_fakes.HomeWorld()
     world.keep_all(home_fakes.answer_done)
@@ -31,10 +31,10 @@
         reply = await world.ask(POST, "/reserve", echo=echo)
         assert reply.code is Code.SERVICE_UNAVAILABLE
         assert not world.network.calls
-        again = await world.ask(
+        retried = await world.ask(
             POST, "/reserve", token=b"n", echo=reply.opt.echo
         )
-        assert again.payload == b"done"
+        assert retried.payload == b"done"
 
 
 @trios.clock_test
@@ -58,10 +58,10 @@
 
 @trios.clock_test
 async def test_lost_link_is_resolved_by_asking_its_keeper() -> None:
-    """A buyer hears "unknown" though the keeper has the answer.
+    """Guards against an "unknown" reply although the keeper has the answer.
 
-    The link is cut after the dispatch and before the answer; the keeper
-    lives and a new link opens.
+    The link fails after the dispatch and before the answer. The keeper is
+    still alive, and a new link can be opened.
     """
     world = home_fakes.HomeWorld()
     world.keep_all(_make_keeper_with_failing_link(home_fakes.answered(b"kept")))
@@ -74,10 +74,11 @@
 
 @trios.clock_test
 async def test_lost_link_to_a_restarted_keeper_is_unknown() -> None:
-    """A buyer hears "not run" of a reservation that ran.
+    """Guards against a "not run" reply for a request that ran.
 
-    The keeper dies after it ran it; a new process under its name has an
-    empty table. It is asked by incarnation and says that it is another.
+    The keeper dies after it ran the request, and a new process with the same
+    host name has an empty table. The query names the old incarnation, so the
+    new process answers NOT_KEEPER.
     """
     world = home_fakes.HomeWorld()
     other = work.Dispatched(work.Outcome.NOT_KEEPER)
@@ -86,11 +87,11 @@
         echo = await world.get_ticket()
         reply = await world.ask(POST, "/reserve", echo=echo)
         assert reply.code is Code.GATEWAY_TIMEOUT
-        again = await world.ask(POST, "/reserve", echo=echo)
-        assert again.code is Code.GATEWAY_TIMEOUT
+        retried = await world.ask(POST, "/reserve", echo=echo)
+        assert retried.code is Code.GATEWAY_TIMEOUT
     assert len(world.network.dispatches()) == 1
-    asked = [m for _, m in world.network.calls if isinstance(m, work.Recover)]
-    assert all(question.keeper for question in asked)
+    queries = [m for _, m in world.network.calls if isinstance(m, work.Recover)]
+    assert all(query.keeper for query in queries)
 
 
 @trios.clock_test
@@ -110,10 +111,10 @@
 
 @trios.clock_test
 async def test_ticket_names_other_hosts_than_its_home() -> None:
-    """One death makes a reservation's outcome unknown.
+    """Guards against an unknown outcome after the failure of a single host.
 
-    Home and keeper are one host; nobody is left who knows whether the
-    request was dispatched.
+    If one host were both home and keeper of a request, its failure would
+    leave no host that knows whether the request was dispatched.
     """
     world = home_fakes.HomeWorld(home_fakes.KEEPERS[0])
     world.keep_all(home_fakes.answer_done)
--- a/tests/test_flows/test_flows_table.py
+++ b/tests/test_flows/test_flows_table.py
@@ -1,4 +1,4 @@
-"""Tests of the table of requests."""
+"""Tests of the request table of a home."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     assert table.add(keys[2], 10) is None
     first.finish(home_fakes.answered(b"x"))
     table.remove_expired(60)
-    # The second still runs, and the first has time left.
+    # The second request still runs, and the first ticket has not expired.
     assert len(table) == 2
     second.finish(home_fakes.answered(b"x"))
     table.remove_expired(2000)
