--- a/persimmonhinge/flows/recovery.py
+++ b/persimmonhinge/flows/recovery.py
@@ -177,8 +177,8 @@
             return set()
         return {
             self._liveness.assess(keeper)
-            for keeper, dispatched in found.items()
-            if dispatched is None
+            for keeper, result in found.items()
+            if result is None
         }
 
     async def _query_keeper_or_successor(
--- a/persimmonhinge/flows/retries.py
+++ b/persimmonhinge/flows/retries.py
@@ -28,13 +28,13 @@
             service: Service that the request is for.
             ratio: Retries added per request, `Limits.retry_budget`.
         """
-        left = self._remaining.get(service, _INITIAL_RETRIES)
-        self._remaining[service] = min(left + ratio, _MAX_RETRIES)
+        remaining = self._remaining.get(service, _INITIAL_RETRIES)
+        self._remaining[service] = min(remaining + ratio, _MAX_RETRIES)
 
     def spend(self, service: ids.ServiceName) -> bool:
         """Spends one retry; returns False if less than one remains."""
-        left = self._remaining.get(service, _INITIAL_RETRIES)
-        if left < 1.0:
+        remaining = self._remaining.get(service, _INITIAL_RETRIES)
+        if remaining < 1.0:
             return False
-        self._remaining[service] = left - 1.0
+        self._remaining[service] = remaining - 1.0
         return True
--- a/persimmonhinge/flows/table.py
+++ b/persimmonhinge/flows/table.py
@@ -7,7 +7,7 @@
 
 from persimmonhinge.flows import row as row_module
 
-# Total size of the answers that are stored in all rows.
+# Maximum total size of the answers that are stored in all rows.
 MAX_STORED_ANSWER_OCTETS = 64 * 1024 * 1024
 
 
--- a/tests/test_flows/test_flows_chooser.py
+++ b/tests/test_flows/test_flows_chooser.py
@@ -74,7 +74,7 @@
     assert fixture.chooser.choose(fixture.entry, _REQUEST) is None
 
 
-def test_distrusted_upstream_gets_less_and_is_taken_back() -> None:
+def test_upstream_with_low_trust_gets_less_until_it_recovers() -> None:
     fixture = _ChooserFixture()
     fixture.record_load(_ONE, trust=0.02)
     fixture.record_load(_TWO, busy=2)
@@ -83,14 +83,14 @@
     assert {fixture.choose() for _ in range(20)} == {_ONE}
 
 
-def test_least_bad_upstream_goes_on_serving() -> None:
+def test_least_loaded_upstream_serves_if_none_is_trusted() -> None:
     fixture = _ChooserFixture()
     fixture.record_load(_ONE, trust=0.0)
     fixture.record_load(_TWO, trust=0.0, queued=4)
     assert fixture.choose() == _ONE
 
 
-def test_cold_upstream_is_weighed_by_the_slots_it_has_now() -> None:
+def test_upstream_that_warms_up_is_weighed_by_its_current_slots() -> None:
     fixture = _ChooserFixture()
     fixture.record_load(_ONE, slots=1, busy=1)
     fixture.record_load(_TWO, slots=2, busy=2)
@@ -131,7 +131,7 @@
 async def test_idle_upstreams_get_equal_parts_of_the_work() -> None:
     """Guards against an uneven distribution over idle upstreams.
 
-    Upstreams without load are equal by their load, and a random choice is
+    Idle upstreams have equal loads, and a random choice between them is
     uneven: of 40 requests to two upstreams, one often gets 26.
     """
     fixture = _ChooserFixture()
--- a/tests/test_flows/test_flows_recovery.py
+++ b/tests/test_flows/test_flows_recovery.py
@@ -52,7 +52,7 @@
     return keep
 
 
-def _keep_all(world: home_fakes.HomeWorld, outcome: Outcome) -> None:
+def _set_keeper_outcomes(world: home_fakes.HomeWorld, outcome: Outcome) -> None:
     for host in home_fakes.KEEPERS:
         world.network.keep[host] = _make_keeper(host, outcome)
 
@@ -60,7 +60,7 @@
 @home_fakes.PROPERTY
 @hypothesis.given(first=_outcomes, second=_outcomes)
 @trios.clock_test
-async def test_successor_tells_what_the_keepers_know_together(
+async def test_successor_combines_the_outcomes_of_all_keepers(
     first: Outcome | None, second: Outcome | None
 ) -> None:
     """Guards against a "not run" reply for a request that ran.
@@ -89,7 +89,7 @@
 async def test_dead_keeper_leaves_the_outcome_unknown() -> None:
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
-    _keep_all(world, Outcome.NOT_RUN)
+    _set_keeper_outcomes(world, Outcome.NOT_RUN)
     world.view.remove(home_fakes.KEEPERS[0])
     del world.network.keep[home_fakes.KEEPERS[0]]
     async with world.running():
@@ -125,7 +125,7 @@
 async def test_without_recovery_the_outcome_is_unknown() -> None:
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR, recovery=False)
-    _keep_all(world, Outcome.NOT_RUN)
+    _set_keeper_outcomes(world, Outcome.NOT_RUN)
     async with world.running():
         reply = await world.ask(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
@@ -141,7 +141,7 @@
     """
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
-    _keep_all(world, Outcome.NOT_RUN)
+    _set_keeper_outcomes(world, Outcome.NOT_RUN)
     world.view.put(home_fakes.make_member(home_fakes.ME))
     message = home_fakes.make_request(POST, "/reserve", echo=echo)
     async with world.running():
@@ -156,7 +156,7 @@
 
 
 @trios.clock_test
-async def test_woken_home_knows_what_it_began_and_asks_for_the_rest() -> None:
+async def test_resumed_home_recovers_requests_that_it_did_not_start() -> None:
     """Guards against a second run of a request at a home that was paused.
 
     The paused home was declared dead. Its successor had the keepers fence a
@@ -186,7 +186,7 @@
 
 
 @trios.clock_test
-async def test_ticket_under_an_unknown_key_is_no_invitation() -> None:
+async def test_ticket_under_an_unknown_key_is_not_answered_with_4_01() -> None:
     """Guards against a second run while a host lacks a ticket key.
 
     Another home minted the ticket under a key that this host, after a long
@@ -221,7 +221,7 @@
         world.home.handle(home_fakes.FLOW, message)
         await trio.sleep(3)
         assert not world.answers.sent
-        _keep_all(world, Outcome.ANSWERED)
+        _set_keeper_outcomes(world, Outcome.ANSWERED)
         await trio.sleep(2)
         ((_, reply),) = world.answers.sent
     assert reply.payload == b"kept"
@@ -272,7 +272,7 @@
 
 
 @trios.clock_test
-async def test_keepers_of_a_dark_domain_are_asked_until_the_deadline() -> None:
+async def test_keepers_of_unreachable_domain_are_asked_until_deadline() -> None:
     """Guards against an early "unknown" reply for a partitioned domain.
 
     A domain whose hosts all count as dead may only be unreachable, and its
