--- a/tests/test_flows/test_flows_free_slot.py
+++ b/tests/test_flows/test_flows_free_slot.py
@@ -70,7 +70,7 @@
 
     A keeper detects copies of a refused dispatch by their home uptime. If the
     home dispatches to the same upstream again within one millisecond, the
-    keeper takes the second dispatch for a copy of the first.
+    keeper treats the second dispatch as a copy of the first.
     """
     world = _make_world()
     uptimes: list[int] = []
--- a/tests/test_flows/test_flows_recovery.py
+++ b/tests/test_flows/test_flows_recovery.py
@@ -177,8 +177,8 @@
         echo = await world.get_ticket()
         await world.ask(POST, "/reserve", token=b"a", echo=echo)
         world.view.put(home_fakes.make_member(home_fakes.ME, 2))
-        begun = await world.ask(POST, "/reserve", token=b"a", echo=echo)
-        assert begun.payload == b"done"
+        stored_reply = await world.ask(POST, "/reserve", token=b"a", echo=echo)
+        assert stored_reply.payload == b"done"
         other = await world.ask(POST, "/reserve", token=b"b", echo=echo)
         assert other.code is Code.SERVICE_UNAVAILABLE
         assert set(fenced) == {b"b"}
@@ -272,7 +272,7 @@
 
 
 @trios.clock_test
-async def test_keepers_of_unreachable_domain_are_asked_until_deadline() -> None:
+async def test_unreachable_domain_is_queried_until_the_deadline() -> None:
     """Guards against an early "unknown" reply for a partitioned domain.
 
     A domain whose hosts all count as dead may only be unreachable, and its
