--- a/persimmonhinge/flows/attempt.py
+++ b/persimmonhinge/flows/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a keeper run an order."""
+"""The result of one attempt to dispatch a request to a keeper."""
 
 from __future__ import annotations
 
@@ -8,27 +8,29 @@
 from persimmonhinge.peers.messages import work
 
 
-class AttemptSource(enum.Enum):
-    """Who says what became of an attempt.
+class ResultSource(enum.Enum):
+    """Where the outcome of an attempt comes from.
 
-    KEEPER: The keeper.
-    UNREACHABLE: No link could be opened, so nothing was delivered.
-    LINK: The link was lost, or no answer came in time.
+    KEEPER: The keeper sent the outcome.
+    UNREACHABLE: No link to the keeper could be opened, so the dispatch was
+        not delivered.
+    LINK_FAILURE: The link failed during the call, or no valid answer arrived
+        in time.
     """
 
     KEEPER = "keeper"
     UNREACHABLE = "unreachable"
-    LINK = "link"
+    LINK_FAILURE = "link"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Attempt:
-    """The end of an attempt.
+class AttemptResult:
+    """The result of an attempt.
 
     Attributes:
-        dispatched: What became of it.
-        source: Who says so.
+        dispatched: Outcome of the attempt, with the answer if there is one.
+        source: Where the outcome comes from.
     """
 
     dispatched: work.Dispatched
-    source: AttemptSource
+    source: ResultSource
--- a/tests/test_flows/test_flows_recovery.py
+++ b/tests/test_flows/test_flows_recovery.py
@@ -1,4 +1,4 @@
-"""Tests of requests whose home died, and of hosts that wake."""
+"""Tests of the recovery of requests after the failure of their home."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
 from persimmonhinge.flows import port
-from persimmonhinge.membership import member as members
+from persimmonhinge.membership import member as member_module
 from persimmonhinge.peers.messages import base
 from persimmonhinge.peers.messages import work
 from tests.support import trios
@@ -23,27 +23,27 @@
 Code = codes.Code
 POST = codes.Code.POST
 Outcome = work.Outcome
-State = members.MemberState
+State = member_module.MemberState
 _SUCCESSOR = ids.HostId("entry-4")
-_FAR = ids.HostId("entry-9")
+_OTHER_DOMAIN_HOST = ids.HostId("entry-9")
 _outcomes = strategies.sampled_from([*Outcome, None])
 
 
-async def _get_ticket(flow: port.Flow = home_fakes.FLOW) -> bytes:
-    """Returns a ticket of a home that is then no more."""
+async def _get_ticket_of_ended_home(flow: port.Flow = home_fakes.FLOW) -> bytes:
+    """Returns a ticket of a home that has since ended."""
     world = home_fakes.HomeWorld()
     async with world.running():
         return await world.get_ticket(flow)
 
 
 def _make_keeper(host: ids.HostId, outcome: Outcome | None) -> home_fakes.Keep:
-    me = home_fakes.make_member(host).ref
+    own_ref = home_fakes.make_member(host).ref
 
     async def keep(message: base.Message) -> base.Message:
         assert isinstance(message, work.Recover)
         if outcome is None:
             raise errors.PeerUnreachableError("cut off", step="call")
-        if message.keeper != me:
+        if message.keeper != own_ref:
             return work.Dispatched(Outcome.NOT_KEEPER)
         if outcome is Outcome.ANSWERED:
             return home_fakes.answered(b"kept")
@@ -52,7 +52,7 @@
     return keep
 
 
-def _keep_all(world: home_fakes.HomeWorld, outcome: Outcome) -> None:
+def _set_keeper_outcomes(world: home_fakes.HomeWorld, outcome: Outcome) -> None:
     for host in home_fakes.KEEPERS:
         world.network.keep[host] = _make_keeper(host, outcome)
 
@@ -60,15 +60,15 @@
 @home_fakes.PROPERTY
 @hypothesis.given(first=_outcomes, second=_outcomes)
 @trios.clock_test
-async def test_successor_tells_what_the_keepers_know_together(
+async def test_successor_combines_the_outcomes_of_all_keepers(
     first: Outcome | None, second: Outcome | None
 ) -> None:
-    """A buyer hears "not run" of a reservation that ran.
+    """Guards against a "not run" reply for a request that ran.
 
-    The home dies with the request dispatched. The next home asks both
-    keepers of the ticket; "not run" takes the word of both of them.
+    The home dies after it dispatched the request. The next home queries both
+    keepers of the ticket, and may reply "not run" only if both report it.
     """
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     for host, outcome in zip(home_fakes.KEEPERS, (first, second), strict=True):
         world.network.keep[host] = _make_keeper(host, outcome)
@@ -87,9 +87,9 @@
 
 @trios.clock_test
 async def test_dead_keeper_leaves_the_outcome_unknown() -> None:
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
-    _keep_all(world, Outcome.NOT_RUN)
+    _set_keeper_outcomes(world, Outcome.NOT_RUN)
     world.view.remove(home_fakes.KEEPERS[0])
     del world.network.keep[home_fakes.KEEPERS[0]]
     async with world.running():
@@ -99,18 +99,19 @@
 
 @trios.clock_test
 async def test_keeper_that_left_is_answered_for_by_its_successor() -> None:
-    """A reservation is "unknown" after a planned stop of its keeper.
+    """Guards against an "unknown" reply after a planned stop of a keeper.
 
-    The home died after the keeper had handed its table over and left.
+    The home dies after the keeper has handed over its table and left. The
+    host that received the table has to answer for that keeper.
     """
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
-    left = home_fakes.make_member(home_fakes.KEEPERS[0]).ref
+    left_keeper = home_fakes.make_member(home_fakes.KEEPERS[0]).ref
     world.view.remove(home_fakes.KEEPERS[0])
 
     async def answer_for_both(message: base.Message) -> base.Message:
         assert isinstance(message, work.Recover)
-        if message.keeper == left:
+        if message.keeper == left_keeper:
             return home_fakes.answered(b"handed over")
         return work.Dispatched(Outcome.NOT_RUN)
 
@@ -122,9 +123,9 @@
 
 @trios.clock_test
 async def test_without_recovery_the_outcome_is_unknown() -> None:
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR, recovery=False)
-    _keep_all(world, Outcome.NOT_RUN)
+    _set_keeper_outcomes(world, Outcome.NOT_RUN)
     async with world.running():
         reply = await world.ask(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
@@ -133,14 +134,14 @@
 
 @trios.clock_test
 async def test_request_of_a_living_home_is_left_to_it() -> None:
-    """A buyer hears "unknown" a moment before the true answer comes.
+    """Guards against an "unknown" reply shortly before the real answer.
 
-    A copy of the request meets a host whose link to the home is down for
-    the moment, while the home is at work on it.
+    A copy of the request reaches a host whose link to the home is down
+    temporarily, while the home still runs the request.
     """
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
-    _keep_all(world, Outcome.NOT_RUN)
+    _set_keeper_outcomes(world, Outcome.NOT_RUN)
     world.view.put(home_fakes.make_member(home_fakes.ME))
     message = home_fakes.make_request(POST, "/reserve", echo=echo)
     async with world.running():
@@ -148,19 +149,19 @@
         await trio.sleep(5)
         assert not world.answers.sent
         assert not world.network.calls
-        # Once the home is known to be dead, the next copy is answered.
+        # After the home is removed from the view, the next copy is answered.
         world.view.remove(home_fakes.ME)
         reply = await world.ask(POST, "/reserve", mid=1, echo=echo)
     assert reply.code is Code.SERVICE_UNAVAILABLE
 
 
 @trios.clock_test
-async def test_woken_home_knows_what_it_began_and_asks_for_the_rest() -> None:
-    """A reservation runs again at a home that was paused.
+async def test_resumed_home_recovers_requests_that_it_did_not_start() -> None:
+    """Guards against a second run of a request at a home that was paused.
 
-    The home was taken for dead; its successor had the keepers fence a
-    request and told the caller "not run". The home wakes, refutes its
-    death with a new incarnation, and a copy of that request arrives.
+    The paused home was declared dead. Its successor had the keepers fence a
+    request and replied "not run". The home then resumes, refutes its death
+    with a new incarnation, and receives a copy of that request.
     """
     world = home_fakes.HomeWorld()
     fenced: list[bytes] = []
@@ -176,8 +177,8 @@
         echo = await world.get_ticket()
         await world.ask(POST, "/reserve", token=b"a", echo=echo)
         world.view.put(home_fakes.make_member(home_fakes.ME, 2))
-        begun = await world.ask(POST, "/reserve", token=b"a", echo=echo)
-        assert begun.payload == b"done"
+        stored_reply = await world.ask(POST, "/reserve", token=b"a", echo=echo)
+        assert stored_reply.payload == b"done"
         other = await world.ask(POST, "/reserve", token=b"b", echo=echo)
         assert other.code is Code.SERVICE_UNAVAILABLE
         assert set(fenced) == {b"b"}
@@ -185,14 +186,14 @@
 
 
 @trios.clock_test
-async def test_ticket_under_an_unknown_key_is_no_invitation() -> None:
-    """A coach is sent twice while a host lags behind in ticket keys.
+async def test_ticket_under_an_unknown_key_is_not_answered_with_4_01() -> None:
+    """Guards against a second run while a host lacks a ticket key.
 
-    Another home minted the ticket under a key that this host, long cut
-    off, has not learned, and ran the request. With 4.01 the caller would
-    send it again.
+    Another home minted the ticket under a key that this host, after a long
+    partition, has not received, and ran the request. A 4.01 reply would make
+    the caller send the request again.
     """
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     world.keys.offer(home_fakes.make_key_record(5, key_9="current"))
     async with world.running():
@@ -202,13 +203,14 @@
 
 @trios.clock_test
 async def test_keeper_that_can_be_reached_again_is_asked_again() -> None:
-    """A buyer hears "unknown" of a lot which the other side of a cut books.
+    """Guards against an "unknown" reply for a request that runs elsewhere.
 
-    A copy comes to a host for which home and keepers are beyond a cut. It
-    acknowledges nothing, so that the caller repeats and may find the other
-    side. The cut heals before the deadline, and the keepers are asked again.
+    A copy of the request reaches a host that a network partition separates
+    from the home and the keepers. This host does not acknowledge the copy, so
+    that the caller repeats it and may reach the other side. The partition
+    ends before the deadline, and the keepers are queried again.
     """
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     for host in home_fakes.KEEPERS:
         world.network.keep[host] = _make_keeper(host, None)
@@ -219,7 +221,7 @@
         world.home.handle(home_fakes.FLOW, message)
         await trio.sleep(3)
         assert not world.answers.sent
-        _keep_all(world, Outcome.ANSWERED)
+        _set_keeper_outcomes(world, Outcome.ANSWERED)
         await trio.sleep(2)
         ((_, reply),) = world.answers.sent
     assert reply.payload == b"kept"
@@ -227,24 +229,24 @@
 
 @trios.clock_test
 async def test_keeper_that_is_never_reached_ends_at_the_deadline() -> None:
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     for host in home_fakes.KEEPERS:
         world.network.keep[host] = _make_keeper(host, None)
-    began = trio.current_time()
+    started_at = trio.current_time()
     async with world.running():
         reply = await world.ask(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
-    assert trio.current_time() - began < 30
+    assert trio.current_time() - started_at < 30
 
 
-def _bury(world: home_fakes.HomeWorld, domain: str) -> None:
+def _mark_keepers_dead(world: home_fakes.HomeWorld, domain: str) -> None:
     for host in home_fakes.KEEPERS:
         member = home_fakes.make_member(host)
         dead = dataclasses.replace(
             member,
             domain=ids.DomainId(domain),
-            state=members.MemberState.DEAD,
+            state=member_module.MemberState.DEAD,
         )
         world.view.put(dead)
         world.network.keep[host] = _make_keeper(host, None)
@@ -252,28 +254,33 @@
 
 @trios.clock_test
 async def test_dead_keepers_are_not_waited_for() -> None:
-    """A buyer waits ten seconds to be told that an outcome is unknown.
+    """Guards against a ten-second wait for an "unknown" reply.
 
-    Home and keepers die, other hosts of their domain live. A copy comes to
-    one of these. Cause: it asked the dead until the deadline, as in a cut,
-    although nobody but they could have told.
+    The home and the keepers die while other hosts of their domain are alive,
+    and a copy of the request reaches one of these. As only the dead keepers
+    had the outcome, querying them until the deadline, as is done in a network
+    partition, would delay the reply for nothing.
     """
-    echo = await _get_ticket()
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
-    _bury(world, "north")
-    began = trio.current_time()
+    _mark_keepers_dead(world, "north")
+    started_at = trio.current_time()
     async with world.running():
         reply = await world.ask(POST, "/reserve", echo=echo)
         assert reply.code is Code.GATEWAY_TIMEOUT
-        assert trio.current_time() - began < 2
+        assert trio.current_time() - started_at < 2
 
 
 @trios.clock_test
-async def test_keepers_of_a_dark_domain_are_asked_until_the_deadline() -> None:
-    """A domain without a sign of life may be cut off and run the request."""
-    echo = await _get_ticket()
+async def test_unreachable_domain_is_queried_until_the_deadline() -> None:
+    """Guards against an early "unknown" reply for a partitioned domain.
+
+    A domain whose hosts all count as dead may only be unreachable, and its
+    keepers may still run the request.
+    """
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
-    _bury(world, "south")
+    _mark_keepers_dead(world, "south")
     message = home_fakes.make_request(
         POST, "/reserve", echo=echo, mtype=types.CON
     )
@@ -286,36 +293,48 @@
     assert reply.code is Code.GATEWAY_TIMEOUT
 
 
-def _show_all(
+def _set_all_states(
     world: home_fakes.HomeWorld,
-    state: members.MemberState,
+    state: member_module.MemberState,
     outcome: Outcome | None,
 ) -> None:
-    """Shows all hosts in a state; keepers tell an outcome, None if cut off."""
+    """Sets the state of all other hosts, and the outcome that they report.
+
+    Args:
+        world: Home whose view and network are changed.
+        state: Membership state of the hosts.
+        outcome: Outcome that they report; None if they are unreachable.
+    """
     if outcome is not None:
         world.view.silence.note_heard(trio.current_time())
-    far = dataclasses.replace(
-        home_fakes.make_member(_FAR), domain=ids.DomainId("south")
+    other_host = dataclasses.replace(
+        home_fakes.make_member(_OTHER_DOMAIN_HOST), domain=ids.DomainId("south")
     )
     keepers = [home_fakes.make_member(host) for host in home_fakes.KEEPERS]
-    for member in (far, *keepers):
+    for member in (other_host, *keepers):
         world.view.put(dataclasses.replace(member, state=state))
         world.network.keep[member.host] = _make_keeper(member.host, outcome)
 
 
-def _make_world_that_hears() -> home_fakes.HomeWorld:
-    """Returns a home that hears other hosts until now."""
+def _make_connected_world() -> home_fakes.HomeWorld:
+    """Returns a home that has just received a datagram of another host."""
     world = home_fakes.HomeWorld()
     world.view.silence.limit_s = 0.9
     world.view.silence.note_heard(trio.current_time())
     return world
 
 
-async def _post_over(world: home_fakes.HomeWorld, keep: home_fakes.Keep) -> int:
-    """Sends a reservation to the home, whose keepers do as told.
+async def _post_reservation(
+    world: home_fakes.HomeWorld, keep: home_fakes.Keep
+) -> int:
+    """Sends a reservation to the home.
+
+    Args:
+        world: Home that receives the reservation.
+        keep: Function by which its keepers answer calls.
 
     Returns:
-        How many messages callers had been sent before.
+        Number of messages that were sent to callers before.
     """
     echo = await world.get_ticket()
     world.keep_all(keep)
@@ -327,28 +346,34 @@
     return before
 
 
-def _show_far(world: home_fakes.HomeWorld) -> None:
-    """Shows a host of another domain as alive."""
-    far = home_fakes.make_member(_FAR)
-    world.view.put(dataclasses.replace(far, domain=ids.DomainId("south")))
+def _add_other_domain_host(world: home_fakes.HomeWorld) -> None:
+    """Adds an alive host of another failure domain to the view."""
+    other_host = home_fakes.make_member(_OTHER_DOMAIN_HOST)
+    world.view.put(
+        dataclasses.replace(other_host, domain=ids.DomainId("south"))
+    )
 
 
 @trios.clock_test
 async def test_home_that_is_cut_off_waits_for_the_keeper() -> None:
-    """A buyer hears "unknown" of a lot from a home whose cut soon heals."""
-    world = _make_world_that_hears()
+    """Guards against an "unknown" reply from an isolated home.
+
+    The home is cut off from all other hosts for a few seconds. The keeper has
+    the answer and is reachable again before the deadline.
+    """
+    world = _make_connected_world()
 
     async def lose_link(message: base.Message) -> base.Message:
-        _show_all(world, State.SUSPECT, None)
+        _set_all_states(world, State.SUSPECT, None)
         raise errors.PeerLinkLostError("cut", step="call")
 
     async with world.running():
-        before = await _post_over(world, lose_link)
+        before = await _post_reservation(world, lose_link)
         await trio.sleep(2)
-        _show_all(world, State.DEAD, None)
+        _set_all_states(world, State.DEAD, None)
         await trio.sleep(3)
         assert _list_replies(world, before) == []
-        _show_all(world, State.ALIVE, Outcome.ANSWERED)
+        _set_all_states(world, State.ALIVE, Outcome.ANSWERED)
         await trio.sleep(2)
         (reply,) = _list_replies(world, before)
     assert reply.payload == b"kept"
@@ -357,7 +382,7 @@
 def _list_replies(
     world: home_fakes.HomeWorld, before: int
 ) -> list[codec.Message]:
-    """Returns what was sent since, without empty ACKs."""
+    """Returns the messages sent since, without empty acknowledgements."""
     sent = [message for _, message in world.answers.sent[before:]]
     return [message for message in sent if message.code is not Code.EMPTY]
 
@@ -366,23 +391,27 @@
 async def test_home_waits_for_the_keeper_until_all_are_back_after_a_cut() -> (
     None
 ):
-    """A buyer hears "unknown" of a lot just as the cut of its home heals."""
-    world = _make_world_that_hears()
+    """Guards against an "unknown" reply just after a partition has ended.
+
+    The home receives datagrams of another domain again, while it still has
+    the keeper as dead.
+    """
+    world = _make_connected_world()
 
     async def lose_link(message: base.Message) -> base.Message:
         await trio.sleep(1.2)
-        _show_all(world, State.DEAD, None)
+        _set_all_states(world, State.DEAD, None)
         raise errors.PeerLinkLostError("cut", step="call")
 
     async with world.running():
-        before = await _post_over(world, lose_link)
+        before = await _post_reservation(world, lose_link)
         await trio.sleep(2)
-        # Another domain is heard first.
+        # A datagram of another domain is received first.
         world.view.silence.note_heard(trio.current_time())
-        _show_far(world)
+        _add_other_domain_host(world)
         await trio.sleep(1)
         assert _list_replies(world, before) == []
-        _show_all(world, State.ALIVE, Outcome.ANSWERED)
+        _set_all_states(world, State.ALIVE, Outcome.ANSWERED)
         await trio.sleep(1)
         (reply,) = _list_replies(world, before)
     assert reply.payload == b"kept"
@@ -390,24 +419,24 @@
 
 @trios.clock_test
 async def test_home_waits_for_the_first_host_that_it_takes_for_dead() -> None:
-    """A buyer hears "unknown" of a lot as a cut begins to show.
+    """Guards against an "unknown" reply at the start of a partition.
 
-    Deaths are concluded one after the other: the keeper counts as dead while
-    other hosts beyond the cut still count as alive.
+    Hosts are declared dead one after the other: the keeper counts as dead
+    while other unreachable hosts still count as alive.
     """
-    world = _make_world_that_hears()
+    world = _make_connected_world()
 
     async def lose_link(message: base.Message) -> base.Message:
         await trio.sleep(1.2)
-        _show_all(world, State.DEAD, None)
-        _show_far(world)
+        _set_all_states(world, State.DEAD, None)
+        _add_other_domain_host(world)
         raise errors.PeerLinkLostError("cut", step="call")
 
     async with world.running():
-        before = await _post_over(world, lose_link)
+        before = await _post_reservation(world, lose_link)
         await trio.sleep(4)
         assert _list_replies(world, before) == []
-        _show_all(world, State.ALIVE, Outcome.ANSWERED)
+        _set_all_states(world, State.ALIVE, Outcome.ANSWERED)
         await trio.sleep(1)
         (reply,) = _list_replies(world, before)
     assert reply.payload == b"kept"
@@ -415,20 +444,24 @@
 
 @trios.clock_test
 async def test_home_does_not_wait_for_a_keeper_that_died() -> None:
-    """A buyer waits ten seconds to be told that an outcome is unknown."""
+    """Guards against a ten-second wait for an "unknown" reply.
+
+    The keeper dies during the call, while other hosts of its domain are
+    alive. The home must not query the dead keeper until the deadline.
+    """
     world = home_fakes.HomeWorld()
     async with world.running():
         echo = await world.get_ticket()
 
         async def die(message: base.Message) -> base.Message:
-            _bury(world, "north")
+            _mark_keepers_dead(world, "north")
             raise errors.PeerLinkLostError("killed", step="call")
 
         world.keep_all(die)
-        began = trio.current_time()
+        started_at = trio.current_time()
         reply = await world.ask(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
-    assert trio.current_time() - began < 2
+    assert trio.current_time() - started_at < 2
 
 
 async def _hang(message: base.Message) -> base.Message:
@@ -438,36 +471,44 @@
 
 @trios.clock_test
 async def test_answer_of_one_keeper_is_not_held_back_by_another() -> None:
-    """A buyer waits for a booked lot because an idle keeper is silent."""
-    echo = await _get_ticket()
+    """Guards against an answer that is delayed by an unresponsive keeper.
+
+    One keeper of the ticket has the answer; the other one, which did not run
+    the request, does not respond to the query.
+    """
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     answering, silent = home_fakes.KEEPERS
     world.network.keep[answering] = _make_keeper(answering, Outcome.ANSWERED)
     world.network.keep[silent] = _hang
-    began = trio.current_time()
+    started_at = trio.current_time()
     async with world.running():
         reply = await world.ask(POST, "/reserve", echo=echo)
         assert reply.payload == b"kept"
-        assert trio.current_time() - began < 1
+        assert trio.current_time() - started_at < 1
 
 
 @trios.clock_test
 async def test_answer_of_a_successor_is_not_held_back_by_another() -> None:
-    """A buyer waits for a booked lot because one of the successors hangs."""
-    echo = await _get_ticket()
+    """Guards against an answer that is delayed by an unresponsive successor.
+
+    One successor of the keeper that left has the answer; another one does not
+    respond to the query.
+    """
+    echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
-    left, answering = home_fakes.KEEPERS
-    world.view.remove(left)
-    world.view.put(home_fakes.make_member(_FAR))
+    left_host, answering = home_fakes.KEEPERS
+    world.view.remove(left_host)
+    world.view.put(home_fakes.make_member(_OTHER_DOMAIN_HOST))
 
     async def answer_for_both(message: base.Message) -> base.Message:
         return home_fakes.answered(b"handed over")
 
     world.network.keep[answering] = answer_for_both
-    world.network.keep[_FAR] = _hang
+    world.network.keep[_OTHER_DOMAIN_HOST] = _hang
     world.network.keep[_SUCCESSOR] = _hang
-    began = trio.current_time()
+    started_at = trio.current_time()
     async with world.running():
         reply = await world.ask(POST, "/reserve", echo=echo)
         assert reply.payload == b"handed over"
-        assert trio.current_time() - began < 1
+        assert trio.current_time() - started_at < 1
