--- a/benchmarks/feeds.py
+++ b/benchmarks/feeds.py
@@ -118,13 +118,13 @@
         """Is not needed."""
         return ()
 
-    def note(self, *args: Any) -> None:
+    def record_load(self, *args: Any) -> None:
         """Is not needed."""
 
-    def begin(self, *args: Any) -> None:
+    def record_start(self, *args: Any) -> None:
         """Counts nothing."""
 
-    def end(self, *args: Any) -> None:
+    def record_end(self, *args: Any) -> None:
         """Counts nothing."""
 
 
--- a/persimmonhinge/application.py
+++ b/persimmonhinge/application.py
@@ -86,7 +86,7 @@
         if scope.cancelled_caught:
             logger.warning(
                 "Planned stop reached its limit with %d requests left.",
-                self.parts.home.in_progress(),
+                self.parts.home.count_in_progress(),
             )
 
     def _list_leaves(self) -> list[tuple[str, Leave]]:
--- a/persimmonhinge/flows/shape.py
+++ b/persimmonhinge/flows/block_params.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SliceKey:
+class ReplyKey:
     """What a large answer is found by for its later blocks.
 
     Attributes:
@@ -18,11 +18,11 @@
     """
 
     flow: port.Flow
-    name: bytes
+    request_key: bytes
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shape:
+class BlockParams:
     """What a request says about the form of its answer.
 
     Attributes:
@@ -33,12 +33,12 @@
 
     block1: blocks.Block | None = None
     block2: blocks.Block | None = None
-    keys: tuple[SliceKey, ...] = ()
+    reply_keys: tuple[ReplyKey, ...] = ()
 
     @property
-    def is_later(self) -> bool:
+    def is_later_block(self) -> bool:
         """True if a block after the first is wanted."""
         return self.block2 is not None and self.block2.block_number > 0
 
 
-PLAIN = Shape()
+NO_BLOCK_PARAMS = BlockParams()
--- a/persimmonhinge/flows/blocks.py
+++ b/persimmonhinge/flows/blocks.py
@@ -13,13 +13,13 @@
 
 Block: TypeAlias = optiontypes.BlockOption.BlockwiseTuple
 
-LARGEST_EXPONENT = 6
+MAX_SIZE_EXPONENT = 6
 # For reliable transports only (RFC 8323 section 6).
 _RESERVED_EXPONENT = 7
 _ECHO = optionnumbers.OptionNumber.ECHO
 
 
-def is_sound(block: Block, octets: int) -> bool:
+def has_valid_size(block: Block, payload_octets: int) -> bool:
     """Tells whether a block option fits the payload beside it.
 
     Args:
@@ -28,16 +28,22 @@
     """
     if block.size_exponent == _RESERVED_EXPONENT:
         return False
-    return octets == block.size if block.more else octets <= block.size
+    return (
+        payload_octets == block.size
+        if block.more
+        else payload_octets <= block.size
+    )
 
 
-def add_etag(whole: codec.Message) -> None:
+def add_etag(reply: codec.Message) -> None:
     """Gives a large answer an ETag, by which a caller tells its blocks."""
-    if whole.opt.etag is None:
-        whole.opt.etag = xxhash.xxh3_64_digest(whole.payload)
+    if reply.opt.etag is None:
+        reply.opt.etag = xxhash.xxh3_64_digest(reply.payload)
 
 
-def cut(whole: codec.Message, wanted: Block | None) -> codec.Message | None:
+def extract_block(
+    reply: codec.Message, requested: Block | None
+) -> codec.Message | None:
     """Returns one block of an answer.
 
     Args:
@@ -48,26 +54,26 @@
     Returns:
         None if the answer ends before that block.
     """
-    wanted = wanted or Block(0, False, LARGEST_EXPONENT)
-    block = wanted.reduced_to(LARGEST_EXPONENT)
-    if block.start and block.start >= len(whole.payload):
+    requested = requested or Block(0, False, MAX_SIZE_EXPONENT)
+    block = requested.reduced_to(MAX_SIZE_EXPONENT)
+    if block.start and block.start >= len(reply.payload):
         return None
     end = block.start + block.size
-    more = end < len(whole.payload)
+    more = end < len(reply.payload)
     part = codec.Message(
-        code=whole.code, payload=whole.payload[block.start : end]
+        code=reply.code, payload=reply.payload[block.start : end]
     )
-    for option in whole.opt.option_list():
+    for option in reply.opt.option_list():
         if option.number != _ECHO or block.block_number == 0:
             part.opt.add_option(option)
     part.opt.block2 = (block.block_number, more, block.size_exponent)
     if block.block_number == 0:
-        part.opt.size2 = len(whole.payload)
+        part.opt.size2 = len(reply.payload)
     return part
 
 
-def reject_upload(
-    code: codes.Code, block: Block, limit_octets: int = 0
+def make_block1_reply(
+    code: codes.Code, block: Block, max_octets: int = 0
 ) -> codec.Message:
     """Returns the answer to a block that can't be taken.
 
@@ -79,6 +85,6 @@
     reply = codec.Message(code=code)
     if block.size_exponent != _RESERVED_EXPONENT:
         reply.opt.block1 = block
-    if limit_octets:
-        reply.opt.size1 = limit_octets
+    if max_octets:
+        reply.opt.size1 = max_octets
     return reply
--- a/persimmonhinge/flows/front.py
+++ b/persimmonhinge/flows/caller_sockets.py
@@ -11,23 +11,23 @@
 
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import store as stores
+from persimmonhinge.contracts import store
 from persimmonhinge.flows import message_ids
 from persimmonhinge.flows import port
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.settings import entry as entry_module
 
 logger = logging.getLogger(__name__)
 
 # Datagrams taken at one wake-up; other tasks run in between.
-_MOST_AT_ONCE = 64
+_MAX_DATAGRAMS_PER_WAKEUP = 64
 _RECEIVE_BUFFER_OCTETS = 4 * 1024 * 1024
 _BIND_RETRY_S = 1.0
 
-Receive = Callable[[port.Flow, bytes], None]
+ReceiveDatagram = Callable[[port.Flow, bytes], None]
 
 
-class Front:
+class CallerSockets:
     """Receives callers' datagrams and sends the answers.
 
     Answers leave through the socket of the service, so that they carry its
@@ -36,9 +36,9 @@
 
     def __init__(
         self,
-        settings: settings_entry.EntrySettings,
-        contract_store: stores.ContractStore,
-        counts: host_counts.Counts,
+        settings: entry_module.EntrySettings,
+        contract_store: store.ContractStore,
+        counts: counts_module.Counts,
     ) -> None:
         self._settings = settings
         self._contracts = contract_store
@@ -46,7 +46,7 @@
         self._sockets: dict[ids.ServiceName, socket.socket] = {}
         self._message_ids = message_ids.MessageIds()
 
-    async def run(self, receive: Receive) -> None:
+    async def run(self, receive: ReceiveDatagram) -> None:
         """Serves the services of the contracts in force.
 
         Args:
@@ -57,7 +57,7 @@
             running = {}
             while True:
                 version = self._contracts.changed.version
-                wanted = self._list_wanted()
+                wanted = self._list_required()
                 for key in set(running) - wanted:
                     running.pop(key).cancel()
                 for key in wanted - set(running):
@@ -85,9 +85,9 @@
 
     def next_message_id(self, flow: port.Flow) -> int:
         """Returns a message id that is new to the caller."""
-        return self._message_ids.take_next(flow)
+        return self._message_ids.allocate_id(flow)
 
-    def _list_wanted(self) -> set[tuple[ids.ServiceName, str, int]]:
+    def _list_required(self) -> set[tuple[ids.ServiceName, str, int]]:
         wanted = set()
         for entry in self._contracts.entries():
             contract = entry.contract
@@ -100,7 +100,7 @@
         self,
         key: tuple[ids.ServiceName, str, int],
         scope: trio.CancelScope,
-        receive: Receive,
+        receive: ReceiveDatagram,
     ) -> None:
         service, host, service_port = key
         with scope:
@@ -139,14 +139,14 @@
         self,
         service: ids.ServiceName,
         receiver: socket.socket,
-        receive: Receive,
+        receive: ReceiveDatagram,
     ) -> None:
         take = functools.partial(
             receiver.recvfrom, codec.MAX_DATAGRAM_OCTETS + 1
         )
         while True:
             await trio.lowlevel.wait_readable(receiver)
-            for _ in range(_MOST_AT_ONCE):
+            for _ in range(_MAX_DATAGRAMS_PER_WAKEUP):
                 try:
                     data, source = take()
                 except BlockingIOError:
--- a/persimmonhinge/flows/chooser.py
+++ b/persimmonhinge/flows/chooser.py
@@ -67,10 +67,10 @@
         kind: contracts.CallKind,
         *,
         exclude: frozenset[ids.UpstreamId] = frozenset(),
-        among: frozenset[ids.HostRef] | None = None,
+        keeper_refs: frozenset[ids.HostRef] | None = None,
     ) -> port.Choice | None:
         """Chooses an upstream; see `flows.port.Chooser`."""
-        reachable = self._find_reachable(entry, exclude, among)
+        reachable = self._find_reachable(entry, exclude, keeper_refs)
         if not reachable:
             return None
         homes = self._placement.count_hosts()
@@ -109,7 +109,7 @@
         service = ids.ServiceName(entry.contract.service)
         return self._turns.pick(service, others or weights, count)
 
-    def begin(
+    def record_start(
         self,
         service: ids.ServiceName,
         upstream: ids.UpstreamId,
@@ -118,7 +118,7 @@
         """Counts work that this host has begun at an upstream."""
         self._book.begin(service, upstream, kind)
 
-    def end(
+    def record_end(
         self,
         service: ids.ServiceName,
         upstream: ids.UpstreamId,
@@ -127,7 +127,9 @@
         """Counts work that this host has ended."""
         self._book.end(service, upstream, kind)
 
-    def note(self, service: ids.ServiceName, load: work.UpstreamLoad) -> None:
+    def record_load(
+        self, service: ids.ServiceName, load: work.UpstreamLoad
+    ) -> None:
         """Takes in a report that came with an answer."""
         self._book.note(service, load)
 
--- a/persimmonhinge/flows/digests.py
+++ b/persimmonhinge/flows/digests.py
@@ -10,7 +10,7 @@
 
 # What a caller may change between two attempts at the same request, and
 # what ends at the home.
-HOP_OPTIONS = frozenset(
+HOP_BY_HOP_OPTIONS = frozenset(
     {
         optionnumbers.OptionNumber.BLOCK1,
         optionnumbers.OptionNumber.BLOCK2,
@@ -30,23 +30,23 @@
 
     They cover code, body and all options but those of `HOP_OPTIONS`.
     """
-    return _compute(message, HOP_OPTIONS, message.payload)
+    return _hash_message(message, HOP_BY_HOP_OPTIONS, message.payload)
 
 
-def compute_line_digest(message: codec.Message) -> bytes:
+def compute_options_digest(message: codec.Message) -> bytes:
     """Returns 8 octets that name what a request asks for, without its body.
 
     The blocks of one upload, or of one large answer, share them.
     """
-    return _compute(message, HOP_OPTIONS, b"")
+    return _hash_message(message, HOP_BY_HOP_OPTIONS, b"")
 
 
 def compute_fingerprint(message: codec.Message) -> bytes:
     """Returns 8 octets that name one datagram, its message id aside."""
-    return _compute(message, frozenset(), message.payload, message.token)
+    return _hash_message(message, frozenset(), message.payload, message.token)
 
 
-def _compute(
+def _hash_message(
     message: codec.Message,
     excluded: frozenset[int],
     payload: bytes,
--- a/persimmonhinge/flows/dispatcher.py
+++ b/persimmonhinge/flows/dispatcher.py
@@ -122,7 +122,7 @@
                 entry,
                 _REQUEST,
                 exclude=frozenset(course.exclude),
-                among=course.among,
+                keeper_refs=course.among,
             )
             if choice is None:
                 return course.last
@@ -198,7 +198,7 @@
         upstream = ids.UpstreamId(choice.upstream.id)
         message = self._write_dispatch(order, entry, upstream, waits=waits)
         timeout_s = order.deadline - trio.current_time() + _ANSWER_MARGIN_S
-        self._chooser.begin(order.service, upstream, _REQUEST)
+        self._chooser.record_start(order.service, upstream, _REQUEST)
         try:
             answer = await self._network.call(choice.keeper, message, timeout_s)
         except errors.PeerUnreachableError:
@@ -206,11 +206,11 @@
         except errors.PeerError:
             return _fail(Outcome.UNKNOWN, Source.LINK)
         finally:
-            self._chooser.end(order.service, upstream, _REQUEST)
+            self._chooser.record_end(order.service, upstream, _REQUEST)
         if not isinstance(answer, work.Dispatched):
             return _fail(Outcome.UNKNOWN, Source.LINK)
         if answer.load is not None:
-            self._chooser.note(order.service, answer.load)
+            self._chooser.record_load(order.service, answer.load)
         self._counts.add("home_dispatched_total", outcome=answer.outcome.value)
         return attempts.Attempt(answer, Source.KEEPER)
 
--- a/persimmonhinge/flows/exchange.py
+++ b/persimmonhinge/flows/exchange.py
@@ -8,8 +8,8 @@
 import trio
 
 from persimmonhinge.coap import codec
+from persimmonhinge.flows import block_params as block_params_module
 from persimmonhinge.flows import port
-from persimmonhinge.flows import shape as shapes
 
 ExchangeKey = tuple[port.Flow, int]
 
@@ -37,12 +37,14 @@
     token: bytes
     confirmable: bool
     fingerprint: bytes
-    begun: float
+    received_at: float
     acknowledged: bool = False
     reply: codec.Message | None = None
-    is_received: bool = False
-    scope: trio.CancelScope | None = None
-    shape: shapes.Shape = shapes.PLAIN
+    is_confirmed: bool = False
+    cancel_scope: trio.CancelScope | None = None
+    block_params: block_params_module.BlockParams = (
+        block_params_module.NO_BLOCK_PARAMS
+    )
 
     @property
     def key(self) -> ExchangeKey:
@@ -50,6 +52,6 @@
         return (self.flow, self.message_id)
 
     @property
-    def is_separate(self) -> bool:
+    def has_separate_reply(self) -> bool:
         """True if a CON answer of its own was sent after an empty ACK."""
         return self.reply is not None and self.reply.mtype is types.CON
--- a/persimmonhinge/flows/exchanges.py
+++ b/persimmonhinge/flows/exchanges.py
@@ -13,10 +13,10 @@
 from persimmonhinge.coap import codec
 from persimmonhinge.coap import transmission
 from persimmonhinge.flows import digests
-from persimmonhinge.flows import exchange as exchanges
+from persimmonhinge.flows import exchange as exchange_module
 from persimmonhinge.flows import port
 from persimmonhinge.flows import token_uses
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.metrics import counts as counts_module
 
 logger = logging.getLogger(__name__)
 
@@ -28,8 +28,8 @@
 # Answers kept for copies of their request. Beyond it the oldest are
 # forgotten: a copy of idempotent work then runs again, and a copy of other
 # work finds its row in the request table.
-MAX_KEPT = 10_000
-_SWEEP_S = 1.0
+MAX_EXCHANGES = 10_000
+_CLEANUP_INTERVAL_S = 1.0
 
 
 class Exchanges:
@@ -37,25 +37,29 @@
 
     def __init__(
         self,
-        answers: port.Answers,
-        counts: host_counts.Counts,
-        life_s: float,
+        sender: port.CallerSender,
+        counts: counts_module.Counts,
+        retention_s: float,
     ) -> None:
-        self._answers = answers
+        self._sender = sender
         self._counts = counts
-        self._life_s = life_s
-        self._known: dict[exchanges.ExchangeKey, exchanges.Exchange] = {}
-        self._order: collections.deque[exchanges.Exchange] = collections.deque()
-        self._unacknowledged: collections.deque[exchanges.Exchange] = (
+        self._retention_s = retention_s
+        self._by_key: dict[
+            exchange_module.ExchangeKey, exchange_module.Exchange
+        ] = {}
+        self._by_age: collections.deque[exchange_module.Exchange] = (
+            collections.deque()
+        )
+        self._unacknowledged: collections.deque[exchange_module.Exchange] = (
             collections.deque()
         )
         self._token_uses = token_uses.TokenUses()
-        self._wakeup = trio.Event()
-        self._unconfirmed: dict[exchanges.ExchangeKey, trio.Event] = {}
+        self._ack_scheduled = trio.Event()
+        self._unconfirmed: dict[exchange_module.ExchangeKey, trio.Event] = {}
 
-    def begin(
+    def register_request(
         self, flow: port.Flow, message: codec.Message
-    ) -> exchanges.Exchange | None:
+    ) -> exchange_module.Exchange | None:
         """Takes a request datagram.
 
         Guards against a caller who gets another's answer: where a port is
@@ -68,12 +72,12 @@
             sent again.
         """
         fingerprint = digests.compute_fingerprint(message)
-        known = self._known.get((flow, message.mid))
+        known = self._by_key.get((flow, message.mid))
         if known is not None and known.fingerprint == fingerprint:
             self._counts.add("home_duplicates_total")
-            self._repeat(known)
+            self._resend_reply(known)
             return None
-        exchange = exchanges.Exchange(
+        exchange = exchange_module.Exchange(
             flow,
             message.mid,
             message.token,
@@ -81,61 +85,63 @@
             fingerprint,
             trio.current_time(),
         )
-        self._known[exchange.key] = exchange
-        self._order.append(exchange)
-        self._forget_oldest()
-        answered = self._token_uses.begin(exchange)
+        self._by_key[exchange.key] = exchange
+        self._by_age.append(exchange)
+        self._enforce_limit()
+        answered = self._token_uses.record_request(exchange)
         if answered is not None:
-            self._end_repetition(answered)
+            self._stop_retransmission(answered)
         return exchange
 
-    def _end_repetition(self, exchange: exchanges.Exchange) -> None:
+    def _stop_retransmission(self, exchange: exchange_module.Exchange) -> None:
         """Sends an answer no more whose token its caller has used again.
 
         Guards against a caller who takes the copy of an answer, which comes
         late, for the answer to its next request.
         """
-        exchange.is_received = True
+        exchange.is_confirmed = True
         self._counts.add("home_tokens_reused_total")
-        if exchange.reply is not None and exchange.is_separate:
+        if exchange.reply is not None and exchange.has_separate_reply:
             self.acknowledge(exchange.flow, exchange.reply.mid)
 
-    def await_answer(self, exchange: exchanges.Exchange) -> None:
+    def schedule_empty_ack(self, exchange: exchange_module.Exchange) -> None:
         """Sees to an empty ACK if the answer takes its time."""
         if exchange.confirmable:
             self._unacknowledged.append(exchange)
-            self._wakeup.set()
+            self._ack_scheduled.set()
 
-    def finish(
-        self, exchange: exchanges.Exchange, reply: codec.Message
+    def send_reply(
+        self, exchange: exchange_module.Exchange, reply: codec.Message
     ) -> None:
         """Sends the answer; a separate one still waits for `confirm`."""
         reply.token = exchange.token
-        exchange.scope = None
+        exchange.cancel_scope = None
         if exchange.confirmable and not exchange.acknowledged:
             reply.mtype = types.ACK
             reply.mid = exchange.message_id
         else:
             reply.mtype = types.CON if exchange.confirmable else types.NON
-            reply.mid = self._answers.next_message_id(exchange.flow)
+            reply.mid = self._sender.next_message_id(exchange.flow)
         exchange.reply = reply
-        self._answers.send(exchange.flow, reply)
+        self._sender.send(exchange.flow, reply)
 
-    def abandon(self, exchange: exchanges.Exchange) -> None:
+    def discard_request(self, exchange: exchange_module.Exchange) -> None:
         """Forgets a request without an answer: a copy of it is a new one."""
         exchange.acknowledged = True
-        exchange.scope = None
-        self._token_uses.forget(exchange)
-        if self._known.get(exchange.key) is exchange:
-            del self._known[exchange.key]
+        exchange.cancel_scope = None
+        self._token_uses.remove_request(exchange)
+        if self._by_key.get(exchange.key) is exchange:
+            del self._by_key[exchange.key]
 
-    async def confirm(self, exchange: exchanges.Exchange) -> None:
+    async def retransmit_until_confirmed(
+        self, exchange: exchange_module.Exchange
+    ) -> None:
         """Repeats a separate answer until the caller takes or rejects it.
 
         It gives up after the attempts of RFC 7252 section 4.2.
         """
         reply = exchange.reply
-        if reply is None or not exchange.is_separate:
+        if reply is None or not exchange.has_separate_reply:
             return
         key = (exchange.flow, reply.mid)
         done = trio.Event()
@@ -148,7 +154,7 @@
                 with trio.move_on_after(timeout_s):
                     await done.wait()
                     return
-                self._answers.send(exchange.flow, reply)
+                self._sender.send(exchange.flow, reply)
                 timeout_s *= 2
             with trio.move_on_after(timeout_s):
                 await done.wait()
@@ -175,79 +181,82 @@
         """
         if self.acknowledge(flow, message_id):
             return True
-        exchange = self._known.get((flow, message_id))
-        if exchange is None or exchange.scope is None:
+        exchange = self._by_key.get((flow, message_id))
+        if exchange is None or exchange.cancel_scope is None:
             return False
         self._counts.add("home_cancelled_total")
-        exchange.scope.cancel()
+        exchange.cancel_scope.cancel()
         return True
 
     async def run(self) -> None:
         """Sends empty ACKs in time and forgets old answers."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._run_acknowledgements)
+            nursery.start_soon(self._send_due_acks)
             while True:
-                await trio.sleep(_SWEEP_S)
-                self._forget_old()
+                await trio.sleep(_CLEANUP_INTERVAL_S)
+                self._remove_expired()
 
-    async def _run_acknowledgements(self) -> None:
+    async def _send_due_acks(self) -> None:
         while True:
-            await self._wakeup.wait()
+            await self._ack_scheduled.wait()
             while self._unacknowledged:
                 exchange = self._unacknowledged.popleft()
                 # All wait the same time, so the queue is in order.
-                await trio.sleep_until(exchange.begun + PIGGYBACK_S)
+                await trio.sleep_until(exchange.received_at + PIGGYBACK_S)
                 if exchange.reply is None and not exchange.acknowledged:
                     self._send_empty_ack(exchange)
-            self._wakeup = trio.Event()
+            self._ack_scheduled = trio.Event()
 
-    def _send_empty_ack(self, exchange: exchanges.Exchange) -> None:
+    def _send_empty_ack(self, exchange: exchange_module.Exchange) -> None:
         exchange.acknowledged = True
-        send_empty(self._answers, exchange.flow, types.ACK, exchange.message_id)
+        send_empty(self._sender, exchange.flow, types.ACK, exchange.message_id)
 
-    def _repeat(self, exchange: exchanges.Exchange) -> None:
-        if exchange.is_received:
+    def _resend_reply(self, exchange: exchange_module.Exchange) -> None:
+        if exchange.is_confirmed:
             return
         if exchange.reply is None:
             if exchange.confirmable and exchange.acknowledged:
                 self._send_empty_ack(exchange)
             return
-        if exchange.is_separate:
+        if exchange.has_separate_reply:
             # The answer itself is repeated until it is confirmed.
             self._send_empty_ack(exchange)
             return
-        self._answers.send(exchange.flow, exchange.reply)
+        self._sender.send(exchange.flow, exchange.reply)
 
-    def _forget_old(self) -> None:
-        limit = trio.current_time() - self._life_s
-        for _ in range(len(self._order)):
-            if self._order[0].begun > limit:
+    def _remove_expired(self) -> None:
+        limit = trio.current_time() - self._retention_s
+        for _ in range(len(self._by_age)):
+            if self._by_age[0].received_at > limit:
                 return
-            self._forget_first()
+            self._remove_oldest()
 
-    def _forget_oldest(self) -> None:
+    def _enforce_limit(self) -> None:
         # Two for each new one, so that it stays cheap where most still run.
         for _ in range(2):
-            if len(self._order) > MAX_KEPT:
-                self._forget_first()
+            if len(self._by_age) > MAX_EXCHANGES:
+                self._remove_oldest()
 
-    def _forget_first(self) -> None:
-        exchange = self._order.popleft()
-        if exchange.scope is not None:
+    def _remove_oldest(self) -> None:
+        exchange = self._by_age.popleft()
+        if exchange.cancel_scope is not None:
             # Still running: a copy must not start it a second time.
-            self._order.append(exchange)
+            self._by_age.append(exchange)
             return
-        self._token_uses.forget(exchange)
-        if self._known.get(exchange.key) is exchange:
-            del self._known[exchange.key]
+        self._token_uses.remove_request(exchange)
+        if self._by_key.get(exchange.key) is exchange:
+            del self._by_key[exchange.key]
 
 
 def send_empty(
-    answers: port.Answers, flow: port.Flow, kind: types.Type, message_id: int
+    sender: port.CallerSender,
+    flow: port.Flow,
+    message_type: types.Type,
+    message_id: int,
 ) -> None:
     """Sends an ACK or RST without content."""
     message = codec.Message(code=codes.Code.EMPTY)
-    message.mtype = kind
+    message.mtype = message_type
     message.mid = message_id
     message.token = b""
-    answers.send(flow, message)
+    sender.send(flow, message)
--- a/persimmonhinge/flows/home_port.py
+++ b/persimmonhinge/flows/feed_server.py
@@ -5,8 +5,8 @@
 from typing import Protocol
 
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.contracts import store as stores
+from persimmonhinge.contracts import contract
+from persimmonhinge.contracts import store
 from persimmonhinge.flows import port
 
 
@@ -17,8 +17,8 @@
         self,
         flow: port.Flow,
         message: codec.Message,
-        entry: stores.ContractEntry,
-        call_class: contracts.CallClass,
+        entry: store.ContractEntry,
+        call_class: contract.CallClass,
     ) -> None:
         """Takes a GET with Observe 0, each copy of it; answers it itself."""
 
--- a/persimmonhinge/flows/feeds/caller_side.py
+++ b/persimmonhinge/flows/feeds/caller_side.py
@@ -163,7 +163,7 @@
 
 
 def send_empty_ack(
-    answers: port.Answers, flow: port.Flow, message_id: int
+    answers: port.CallerSender, flow: port.Flow, message_id: int
 ) -> None:
     """Acknowledges a message without an answer."""
     message = codec.Message(code=aiocoap.EMPTY)
--- a/persimmonhinge/flows/feeds/service.py
+++ b/persimmonhinge/flows/feeds/service.py
@@ -43,7 +43,7 @@
         placement: placements.Placement,
         contract_store: store.ContractStore,
         network: networks.PeerNetwork,
-        answers: port.Answers,
+        answers: port.CallerSender,
         chooser: port.Chooser,
         counts: host_counts.Counts,
         randomness: random.Random | None = None,
--- a/persimmonhinge/flows/feeds/surroundings.py
+++ b/persimmonhinge/flows/feeds/surroundings.py
@@ -39,7 +39,7 @@
     placement: placements.Placement
     contracts: store.ContractStore
     network: networks.PeerNetwork
-    answers: port.Answers
+    answers: port.CallerSender
     chooser: port.Chooser
     counts: host_counts.Counts
     random: random.Random
--- a/persimmonhinge/flows/feeds/upstream_side.py
+++ b/persimmonhinge/flows/feeds/upstream_side.py
@@ -202,7 +202,7 @@
         if source.feed.source is not None:
             # Moves that no caller waits for go on a few at a time.
             await search.acquire(self._permits)
-        self._around.chooser.begin(service, upstream, kind)
+        self._around.chooser.record_start(service, upstream, kind)
         try:
             with source.scope:
                 await self._read_stream(source, search)
@@ -211,7 +211,7 @@
             logger.debug("A feed's stream ended: %s.", error)
         finally:
             search.release()
-            self._around.chooser.end(service, upstream, kind)
+            self._around.chooser.record_end(service, upstream, kind)
             source.stream = None
             self._seam.lose(source)
 
@@ -273,7 +273,7 @@
         self._around.counts.add("feed_ends_total", cause=end.cause.value)
         if end.load is not None:
             service = source.feed.flow.service
-            self._around.chooser.note(service, end.load)
+            self._around.chooser.record_load(service, end.load)
         if end.cause not in _MOVE_CAUSES or not source.started:
             source.end = end
             return True
--- a/persimmonhinge/flows/home.py
+++ b/persimmonhinge/flows/home.py
@@ -9,29 +9,29 @@
 import trio
 
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.contracts import store as stores
-from persimmonhinge.flows import dispatcher as dispatchers
+from persimmonhinge.contracts import contract
+from persimmonhinge.contracts import store
+from persimmonhinge.flows import dispatcher as dispatcher_module
 from persimmonhinge.flows import exchanges
-from persimmonhinge.flows import home_port
+from persimmonhinge.flows import feed_server
 from persimmonhinge.flows import once
 from persimmonhinge.flows import port
-from persimmonhinge.flows import recovery as recoveries
-from persimmonhinge.flows import request as requests
-from persimmonhinge.flows import server as servers
+from persimmonhinge.flows import recovery as recovery_module
+from persimmonhinge.flows import request
+from persimmonhinge.flows import server
 from persimmonhinge.flows import ticket_issuer
 from persimmonhinge.flows import tickets
-from persimmonhinge.keys import store as key_stores
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.peers import network as networks
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.keys import store as store_module
+from persimmonhinge.membership import placement as placement_module
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.peers import network as network_module
+from persimmonhinge.settings import entry as entry_module
 
 logger = logging.getLogger(__name__)
 
-_LEAVE_CHECK_S = 0.05
-_LEAVE_CONFIRM_S = 7.0
+_LEAVE_POLL_INTERVAL_S = 0.05
+_LEAVE_CONFIRM_TIMEOUT_S = 7.0
 
 
 class Home:
@@ -39,26 +39,26 @@
 
     def __init__(
         self,
-        settings: settings_entry.EntrySettings,
-        view: views.View,
-        placement: placements.Placement,
-        contract_store: stores.ContractStore,
-        key_store: key_stores.KeyStore,
-        network: networks.PeerNetwork,
-        answers: port.Answers,
+        settings: entry_module.EntrySettings,
+        view: view_module.View,
+        placement: placement_module.Placement,
+        contract_store: store.ContractStore,
+        key_store: store_module.KeyStore,
+        network: network_module.PeerNetwork,
+        sender: port.CallerSender,
         chooser: port.Chooser,
-        feeds: home_port.FeedServer,
-        counts: host_counts.Counts,
+        feeds: feed_server.FeedServer,
+        counts: counts_module.Counts,
     ) -> None:
         self._contracts = contract_store
-        self._answers = answers
+        self._sender = sender
         self._feeds = feeds
         self._counts = counts
         mint = tickets.TicketMint(settings, key_store, view)
-        recovery = recoveries.Recovery(
+        recovery = recovery_module.Recovery(
             view, placement, contract_store, network, counts
         )
-        dispatcher = dispatchers.Dispatcher(
+        dispatcher = dispatcher_module.Dispatcher(
             contract_store, chooser, network, mint, recovery, counts
         )
         issuer = ticket_issuer.TicketIssuer(
@@ -68,8 +68,8 @@
             settings, view, mint, issuer, dispatcher, recovery, counts
         )
         life_s = settings.flows.answer_life_s
-        self._exchanges = exchanges.Exchanges(answers, counts, life_s)
-        self._server = servers.RequestServer(
+        self._exchanges = exchanges.Exchanges(sender, counts, life_s)
+        self._server = server.RequestServer(
             self._exchanges,
             dispatcher,
             self._once,
@@ -79,7 +79,7 @@
             life_s,
         )
 
-    def in_progress(self) -> int:
+    def count_in_progress(self) -> int:
         """Returns the requests that run or whose answer is not confirmed."""
         return self._server.count_running() + self._server.count_unconfirmed()
 
@@ -101,25 +101,25 @@
         """
         self._once.leave()
         while self._server.count_running():
-            await trio.sleep(_LEAVE_CHECK_S)
-        with trio.move_on_after(_LEAVE_CONFIRM_S):
+            await trio.sleep(_LEAVE_POLL_INTERVAL_S)
+        with trio.move_on_after(_LEAVE_CONFIRM_TIMEOUT_S):
             while self._server.count_unconfirmed():
-                await trio.sleep(_LEAVE_CHECK_S)
+                await trio.sleep(_LEAVE_POLL_INTERVAL_S)
 
     def handle(self, flow: port.Flow, message: codec.Message) -> None:
         """Takes a datagram of a flow; never waits and never fails."""
         try:
-            self._take(flow, message)
+            self._handle_message(flow, message)
         except Exception:
             # Guards against one datagram that ends the host, and all flows
             # with it, by a fault of ours that it brings out.
             logger.exception("A datagram for %s failed.", flow.service)
             self._counts.add("home_faults_total")
 
-    def _take(self, flow: port.Flow, message: codec.Message) -> None:
+    def _handle_message(self, flow: port.Flow, message: codec.Message) -> None:
         if message.code.is_request():
             if message.mtype in (types.CON, types.NON):
-                self._take_request(flow, message)
+                self._handle_request(flow, message)
         elif message.mtype is types.ACK:
             if not self._exchanges.acknowledge(flow, message.mid):
                 self._feeds.acknowledge(flow, message.mid)
@@ -128,37 +128,37 @@
                 self._feeds.reset(flow, message.mid)
         elif message.mtype is types.CON:
             # A ping, or a response that we can't have asked for.
-            exchanges.send_empty(self._answers, flow, types.RST, message.mid)
+            exchanges.send_empty(self._sender, flow, types.RST, message.mid)
 
-    def _take_request(self, flow: port.Flow, message: codec.Message) -> None:
+    def _handle_request(self, flow: port.Flow, message: codec.Message) -> None:
         entry = self._contracts.get(flow.service)
-        if entry is not None and self._take_feed(flow, message, entry):
+        if entry is not None and self._open_feed(flow, message, entry):
             return
-        if message.mtype is types.NON and requests.find_fault(message):
+        if message.mtype is types.NON and request.check_options(message):
             # RFC 7252 section 5.4.1: it is rejected as a message.
-            exchanges.send_empty(self._answers, flow, types.RST, message.mid)
+            exchanges.send_empty(self._sender, flow, types.RST, message.mid)
             return
-        exchange = self._exchanges.begin(flow, message)
+        exchange = self._exchanges.register_request(flow, message)
         if exchange is None:
             return
         self._counts.add("home_requests_total", service=flow.service)
-        self._server.take(exchange, message, entry)
+        self._server.handle_request(exchange, message, entry)
 
-    def _take_feed(
+    def _open_feed(
         self,
         flow: port.Flow,
         message: codec.Message,
-        entry: stores.ContractEntry,
+        entry: store.ContractEntry,
     ) -> bool:
         """Hands a registration to the feeds; False if it is none."""
         if message.code is not codes.Code.GET:
             return False
-        if message.opt.observe != requests.OBSERVE_OPEN:
+        if message.opt.observe != request.OBSERVE_REGISTER:
             return False
-        if requests.find_fault(message) is not None:
+        if request.check_options(message) is not None:
             return False
         call_class = entry.contract.classify(
-            contracts.Method.GET, requests.get_path(message), observes=True
+            contract.Method.GET, request.get_path(message), observes=True
         )
         if call_class is None:
             return False
--- a/persimmonhinge/flows/once.py
+++ b/persimmonhinge/flows/once.py
@@ -100,7 +100,7 @@
             has_room: False if the host can begin no more work.
         """
         if not echo:
-            return self._issuer.ask(order.flow, entry, "none")
+            return self._issuer.require_ticket(order.flow, entry, "none")
         try:
             ticket = self._mint.read(echo, order.flow)
         except tickets.RefusedTicketError as error:
@@ -126,12 +126,14 @@
             None if it may be kept.
         """
         if not echo:
-            return self._issuer.ask(flow, entry, "none")
+            return self._issuer.require_ticket(flow, entry, "none")
         try:
             ticket = self._mint.read(echo, flow)
         except tickets.RefusedTicketError as error:
             if error.fault in _FOREIGN_FAULTS:
-                return self._issuer.ask(flow, entry, error.fault.value)
+                return self._issuer.require_ticket(
+                    flow, entry, error.fault.value
+                )
             return self._issuer.report_unverified(flow, entry, error.fault)
         return self._find_elsewhere(ticket)
 
@@ -168,12 +170,14 @@
         this host hasn't learned its key yet.
         """
         if fault in _FOREIGN_FAULTS:
-            return self._issuer.ask(order.flow, entry, fault.value)
+            return self._issuer.require_ticket(order.flow, entry, fault.value)
         home = tickets.peek_home(echo)
         if home is not None and self._mint.is_own(home):
             key = order.make_key(home, tickets.peek_id(echo))
             if self._table.find(key) is None:
-                return self._issuer.ask(order.flow, entry, fault.value)
+                return self._issuer.require_ticket(
+                    order.flow, entry, fault.value
+                )
         return self._issuer.report_unverified(order.flow, entry, fault)
 
     def _begin(
@@ -184,8 +188,8 @@
         has_room: bool,
     ) -> Admission:
         ticket = order.held_ticket
-        if not self._mint.begins(ticket):
-            return self._issuer.ask(order.flow, entry, "expired")
+        if not self._mint.may_start_work(ticket):
+            return self._issuer.require_ticket(order.flow, entry, "expired")
         if self._issuer.leaving:
             # Never undone, so a late copy of it is refused as well.
             return replies.refuse(0, "host leaves")
@@ -194,8 +198,8 @@
             row = self._table.begin(order.key, ticket.expiry_ms)
         if row is None:
             self._counts.add("home_refused_total", cause="table-full")
-            self._mint.close_issued()
-            echo = self._issuer.renew(order.flow, entry)
+            self._mint.revoke_issued()
+            echo = self._issuer.issue_ticket(order.flow, entry)
             return replies.refuse(_RETRY_AFTER_S, "host is full", echo)
         self._start(self._run_row, row, order)
         return row
--- a/persimmonhinge/flows/port.py
+++ b/persimmonhinge/flows/port.py
@@ -7,7 +7,7 @@
 
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import contract as contracts
+from persimmonhinge.contracts import contract
 from persimmonhinge.contracts import store
 from persimmonhinge.peers.messages import work
 
@@ -27,7 +27,7 @@
     caller: CallerAddress
 
 
-class Answers(Protocol):
+class CallerSender(Protocol):
     """Sends datagrams to callers from the address of a service."""
 
     def send(self, flow: Flow, message: codec.Message) -> None:
@@ -49,7 +49,7 @@
             while another one, which could take the work too, has.
     """
 
-    upstream: contracts.Upstream
+    upstream: contract.Upstream
     keeper: ids.HostId
     keeper_ref: ids.HostRef
     may_be_busy: bool = False
@@ -61,10 +61,10 @@
     def choose(
         self,
         entry: store.ContractEntry,
-        kind: contracts.CallKind,
+        kind: contract.CallKind,
         *,
         exclude: frozenset[ids.UpstreamId] = frozenset(),
-        among: frozenset[ids.HostRef] | None = None,
+        keeper_refs: frozenset[ids.HostRef] | None = None,
     ) -> Choice | None:
         """Chooses an upstream by the policy of the contract.
 
@@ -83,21 +83,23 @@
     ) -> tuple[ids.HostRef, ...]:
         """Returns keeper incarnations for a new ticket."""
 
-    def note(self, service: ids.ServiceName, load: work.UpstreamLoad) -> None:
+    def record_load(
+        self, service: ids.ServiceName, load: work.UpstreamLoad
+    ) -> None:
         """Takes in a keeper's report that came with an answer."""
 
-    def begin(
+    def record_start(
         self,
         service: ids.ServiceName,
         upstream: ids.UpstreamId,
-        kind: contracts.CallKind,
+        kind: contract.CallKind,
     ) -> None:
         """Counts work that this host has begun at an upstream."""
 
-    def end(
+    def record_end(
         self,
         service: ids.ServiceName,
         upstream: ids.UpstreamId,
-        kind: contracts.CallKind,
+        kind: contract.CallKind,
     ) -> None:
         """Counts work that this host has ended."""
--- a/persimmonhinge/flows/replies.py
+++ b/persimmonhinge/flows/replies.py
@@ -68,7 +68,7 @@
     answer = codec.decode(data, limit=codec.MAX_WHOLE_OCTETS)
     reply = codec.Message(code=answer.code, payload=answer.payload)
     for option in answer.opt.option_list():
-        if option.number not in digests.HOP_OPTIONS:
+        if option.number not in digests.HOP_BY_HOP_OPTIONS:
             reply.opt.add_option(option)
     return reply
 
--- a/persimmonhinge/flows/request.py
+++ b/persimmonhinge/flows/request.py
@@ -7,27 +7,27 @@
 from aiocoap.numbers import types
 
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import contract as contracts
+from persimmonhinge.contracts import contract
 from persimmonhinge.flows import digests
 
 _Number = optionnumbers.OptionNumber
 
 MAX_DEADLINE_S = 3600.0
-OBSERVE_OPEN = 0
-OBSERVE_CLOSE = 1
+OBSERVE_REGISTER = 0
+OBSERVE_DEREGISTER = 1
 
 _METHODS = {
-    codes.Code.GET: contracts.Method.GET,
-    codes.Code.POST: contracts.Method.POST,
-    codes.Code.PUT: contracts.Method.PUT,
-    codes.Code.DELETE: contracts.Method.DELETE,
-    codes.Code.FETCH: contracts.Method.FETCH,
-    codes.Code.PATCH: contracts.Method.PATCH,
-    codes.Code.iPATCH: contracts.Method.IPATCH,
+    codes.Code.GET: contract.Method.GET,
+    codes.Code.POST: contract.Method.POST,
+    codes.Code.PUT: contract.Method.PUT,
+    codes.Code.DELETE: contract.Method.DELETE,
+    codes.Code.FETCH: contract.Method.FETCH,
+    codes.Code.PATCH: contract.Method.PATCH,
+    codes.Code.iPATCH: contract.Method.IPATCH,
 }
 _PROXY_OPTIONS = frozenset({_Number.PROXY_URI, _Number.PROXY_SCHEME})
 # Critical options that this system or the upstream deals with.
-_KNOWN_CRITICAL = frozenset(
+_SUPPORTED_CRITICAL_OPTIONS = frozenset(
     {
         _Number.IF_MATCH,
         _Number.URI_HOST,
@@ -42,7 +42,7 @@
 )
 
 
-def get_method(message: codec.Message) -> contracts.Method | None:
+def get_method(message: codec.Message) -> contract.Method | None:
     """Returns the method, None for a code that is none we know."""
     return _METHODS.get(message.code)
 
@@ -53,7 +53,7 @@
 
 
 def get_deadline_s(
-    message: codec.Message, call_class: contracts.CallClass
+    message: codec.Message, call_class: contract.CallClass
 ) -> float:
     """Returns how long the caller still waits, seconds."""
     deadline_ms = codec.read_deadline_ms(message)
@@ -62,7 +62,7 @@
     return min(deadline_ms / 1000, MAX_DEADLINE_S)
 
 
-def find_fault(message: codec.Message) -> codes.Code | None:
+def check_options(message: codec.Message) -> codes.Code | None:
     """Returns the error code for options that can't be honoured, or None."""
     for block in (message.opt.block1, message.opt.block2):
         if block is not None and block.is_bert:
@@ -71,16 +71,19 @@
     for option in message.opt.option_list():
         if option.number in _PROXY_OPTIONS:
             return codes.Code.PROXYING_NOT_SUPPORTED
-        if option.number.is_critical() and option.number not in _KNOWN_CRITICAL:
+        if (
+            option.number.is_critical()
+            and option.number not in _SUPPORTED_CRITICAL_OPTIONS
+        ):
             return codes.Code.BAD_OPTION
     return None
 
 
-def write_for_upstream(message: codec.Message) -> bytes:
+def encode_for_upstream(message: codec.Message) -> bytes:
     """Returns the request without what was meant for this hop."""
     request = codec.Message(code=message.code, payload=message.payload)
     for option in message.opt.option_list():
-        if option.number not in digests.HOP_OPTIONS:
+        if option.number not in digests.HOP_BY_HOP_OPTIONS:
             request.opt.add_option(option)
     request.mtype = types.NON
     request.mid = 0
--- a/persimmonhinge/flows/router.py
+++ b/persimmonhinge/flows/router.py
@@ -13,17 +13,17 @@
 from persimmonhinge.coap import codec
 from persimmonhinge.flows import port
 from persimmonhinge.flows import tickets
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.membership import member as member_module
+from persimmonhinge.membership import placement as placement_module
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
 from persimmonhinge.peers import streams
 from persimmonhinge.peers.messages import relay
 
 logger = logging.getLogger(__name__)
 
 
-class Receiver(Protocol):
+class MessageHandler(Protocol):
     """The home, as the router sees it."""
 
     def handle(self, flow: port.Flow, message: codec.Message) -> None:
@@ -35,12 +35,12 @@
 
     def __init__(
         self,
-        view: views.View,
-        placement: placements.Placement,
+        view: view_module.View,
+        placement: placement_module.Placement,
         mint: tickets.TicketMint,
         network: streams.StreamNetwork,
-        home: Receiver,
-        counts: host_counts.Counts,
+        home: MessageHandler,
+        counts: counts_module.Counts,
     ) -> None:
         self._view = view
         self._placement = placement
@@ -48,7 +48,7 @@
         self._network = network
         self._home = home
         self._counts = counts
-        network.handle_sent(relay.Relay, self._take_relayed)
+        network.handle_sent(relay.Relay, self._handle_relayed)
 
     def receive(self, flow: port.Flow, data: bytes) -> None:
         """Takes a datagram from the fabric."""
@@ -57,12 +57,12 @@
         if message is None:
             return
         if message.code is codes.Code.EMPTY:
-            self._tell_leaving(flow, data)
+            self._forward_to_leaving_hosts(flow, data)
         for host in self._list_homes(flow, message):
             if host == self._view.me:
                 self._home.handle(flow, message)
                 return
-            if self._network.send(host, self._wrap(flow, data)):
+            if self._network.send(host, self._make_relay(flow, data)):
                 self._counts.add("datagrams_relayed_total")
                 return
             # That home can't be reached (dead, or cut off from here): the
@@ -71,7 +71,7 @@
             self._counts.add("homes_passed_over_total")
         self._home.handle(flow, message)
 
-    def _tell_leaving(self, flow: port.Flow, data: bytes) -> None:
+    def _forward_to_leaving_hosts(self, flow: port.Flow, data: bytes) -> None:
         """Passes a confirmation on to hosts that leave.
 
         Guards against a planned stop that waits for confirmations in vain:
@@ -80,10 +80,10 @@
         for member in self._view.all():
             if member.host == self._view.me:
                 continue
-            if member.state is members.MemberState.LEAVING:
-                self._network.send(member.host, self._wrap(flow, data))
+            if member.state is member_module.MemberState.LEAVING:
+                self._network.send(member.host, self._make_relay(flow, data))
 
-    def _take_relayed(self, host: ids.HostId, message: relay.Relay) -> None:
+    def _handle_relayed(self, host: ids.HostId, message: relay.Relay) -> None:
         flow = port.Flow(
             message.service, (message.caller_host, message.caller_port)
         )
@@ -103,7 +103,7 @@
     def _list_homes(
         self, flow: port.Flow, message: codec.Message
     ) -> Iterator[ids.HostId]:
-        minted_by = self._find_mint(flow, message)
+        minted_by = self._find_ticket_home(flow, message)
         if minted_by is not None:
             yield minted_by
             return
@@ -115,15 +115,15 @@
         ranked = self._placement.rank_homes(flow.service, flow.caller)
         yield from (member.host for member in ranked[1:])
 
-    def _find_mint(
+    def _find_ticket_home(
         self, flow: port.Flow, message: codec.Message
     ) -> ids.HostId | None:
         echo = message.opt.echo
         if echo is None:
             return None
-        ref = self._mint.read_route(echo, flow)
+        ref = self._mint.read_home(echo, flow)
         member = self._view.find_ref(ref) if ref is not None else None
         return member.host if member else None
 
-    def _wrap(self, flow: port.Flow, data: bytes) -> relay.Relay:
+    def _make_relay(self, flow: port.Flow, data: bytes) -> relay.Relay:
         return relay.Relay(flow.service, *flow.caller, data)
--- a/persimmonhinge/flows/server.py
+++ b/persimmonhinge/flows/server.py
@@ -8,37 +8,37 @@
 import trio
 
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.contracts import store as stores
+from persimmonhinge.contracts import contract
+from persimmonhinge.contracts import store
+from persimmonhinge.flows import block_params
 from persimmonhinge.flows import digests
-from persimmonhinge.flows import dispatcher as dispatchers
-from persimmonhinge.flows import exchange as exchange_types
+from persimmonhinge.flows import dispatcher as dispatcher_module
+from persimmonhinge.flows import exchange as exchange_module
 from persimmonhinge.flows import exchanges
-from persimmonhinge.flows import home_port
+from persimmonhinge.flows import feed_server
+from persimmonhinge.flows import large_replies
 from persimmonhinge.flows import once
-from persimmonhinge.flows import order as orders
+from persimmonhinge.flows import order as order_module
 from persimmonhinge.flows import outcome
 from persimmonhinge.flows import replies
-from persimmonhinge.flows import request as requests
-from persimmonhinge.flows import row as rows
-from persimmonhinge.flows import shape as shapes
-from persimmonhinge.flows import slices
+from persimmonhinge.flows import request
+from persimmonhinge.flows import row as row_module
 from persimmonhinge.flows import ticket_issuer
-from persimmonhinge.flows import upload as upload_types
+from persimmonhinge.flows import upload
 from persimmonhinge.flows import uploads
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.metrics import counts as counts_module
 
 logger = logging.getLogger(__name__)
 
 Code = codes.Code
 # An answer at once, none at all, or None if a task will give it.
-Served = codec.Message | outcome.Silence | None
+ServeResult = codec.Message | outcome.Silence | None
 
 # Each takes a task and its messages, about 10 kB.
 MAX_IN_PROGRESS = 20_000
 _NO_CONTRACT_RETRY_S = 1
 _OVERLOAD_RETRY_S = 1
-_SWEEP_S = 1.0
+_CLEANUP_INTERVAL_S = 1.0
 
 
 class RequestServer:
@@ -47,12 +47,12 @@
     def __init__(
         self,
         message_layer: exchanges.Exchanges,
-        dispatcher: dispatchers.Dispatcher,
+        dispatcher: dispatcher_module.Dispatcher,
         at_most_once: once.Once,
         issuer: ticket_issuer.TicketIssuer,
-        feeds: home_port.FeedServer,
-        counts: host_counts.Counts,
-        answer_life_s: float,
+        feeds: feed_server.FeedServer,
+        counts: counts_module.Counts,
+        reply_retention_s: float,
     ) -> None:
         self._exchanges = message_layer
         self._dispatcher = dispatcher
@@ -60,8 +60,8 @@
         self._issuer = issuer
         self._feeds = feeds
         self._counts = counts
-        self._uploads = uploads.Uploads(counts, answer_life_s)
-        self._slices = slices.Slices(answer_life_s)
+        self._uploads = uploads.Uploads(counts, reply_retention_s)
+        self._large_replies = large_replies.LargeReplies(reply_retention_s)
         self._nursery: trio.Nursery | None = None
         self._running = 0
         self._unconfirmed = 0
@@ -82,57 +82,59 @@
             self._nursery = nursery
             task_status.started()
             while True:
-                await trio.sleep(_SWEEP_S)
-                self._uploads.forget_old()
-                self._slices.forget_old()
+                await trio.sleep(_CLEANUP_INTERVAL_S)
+                self._uploads.remove_expired()
+                self._large_replies.remove_expired()
 
-    def take(
+    def handle_request(
         self,
-        exchange: exchange_types.Exchange,
+        exchange: exchange_module.Exchange,
         message: codec.Message,
-        entry: stores.ContractEntry | None,
+        entry: store.ContractEntry | None,
     ) -> None:
         """Takes a request that is not a copy."""
         served = self._serve(exchange, message, entry)
         if isinstance(served, outcome.Silence):
-            self._exchanges.abandon(exchange)
+            self._exchanges.discard_request(exchange)
         elif served is not None:
-            self._finish(exchange, served)
+            self._send_reply(exchange, served)
 
-    def _finish(
-        self, exchange: exchange_types.Exchange, reply: codec.Message
+    def _send_reply(
+        self, exchange: exchange_module.Exchange, reply: codec.Message
     ) -> None:
-        part = self._slices.shape(reply, exchange.shape)
-        self._exchanges.finish(exchange, part)
+        part = self._large_replies.extract_block(reply, exchange.block_params)
+        self._exchanges.send_reply(exchange, part)
 
     def _serve(
         self,
-        exchange: exchange_types.Exchange,
+        exchange: exchange_module.Exchange,
         message: codec.Message,
-        entry: stores.ContractEntry | None,
-    ) -> Served:
-        fault = requests.find_fault(message)
+        entry: store.ContractEntry | None,
+    ) -> ServeResult:
+        fault = request.check_options(message)
         if fault is not None:
             return replies.reject(fault)
         if entry is None:
             return _refuse_without_contract(message)
-        closes = message.opt.observe == requests.OBSERVE_CLOSE
+        closes = message.opt.observe == request.OBSERVE_DEREGISTER
         closed = closes and self._feeds.close(exchange.flow, message)
-        method = requests.get_method(message)
+        method = request.get_method(message)
         if method is None:
             return replies.reject(Code.METHOD_NOT_ALLOWED)
         call_class = entry.contract.classify(
-            method, requests.get_path(message), observes=False
+            method, request.get_path(message), observes=False
         )
         if call_class is None:
             return self._serve_feed_path(exchange, message, closed=closed)
         if call_class.runs_at_most_once:
-            return self._serve_once(exchange, message, entry, call_class)
+            return self._serve_at_most_once(
+                exchange, message, entry, call_class
+            )
         return self._serve_idempotent(exchange, message, entry, call_class)
 
     def _serve_feed_path(
         self,
-        exchange: exchange_types.Exchange,
+        exchange: exchange_module.Exchange,
         message: codec.Message,
         *,
         closed: bool,
@@ -142,7 +144,7 @@
         if wanted is not None and wanted.block_number > 0:
             state = self._feeds.read_state(exchange.flow, message)
             if state is not None:
-                exchange.shape = shapes.Shape(block2=wanted)
+                exchange.block_params = block_params.BlockParams(block2=wanted)
                 return state
         # A feed that ends is answered like a plain GET (RFC 7641 section
         # 3.6), without a call of the upstream.
@@ -150,125 +152,127 @@
 
     def _serve_idempotent(
         self,
-        exchange: exchange_types.Exchange,
+        exchange: exchange_module.Exchange,
         message: codec.Message,
-        entry: stores.ContractEntry,
-        call_class: contracts.CallClass,
-    ) -> Served:
-        taken = self._take_body(exchange, message, entry)
-        if not isinstance(taken, upload_types.Whole):
+        entry: store.ContractEntry,
+        call_class: contract.CallClass,
+    ) -> ServeResult:
+        taken = self._collect_body(exchange, message, entry)
+        if not isinstance(taken, upload.CompleteRequest):
             return taken
         order = _make_order(exchange, taken, call_class)
-        exchange.shape = shapes.Shape(
+        exchange.block_params = block_params.BlockParams(
             message.opt.block1,
             message.opt.block2,
-            (shapes.SliceKey(exchange.flow, order.digest),),
+            (block_params.ReplyKey(exchange.flow, order.digest),),
         )
-        whole = self._find_whole(exchange)
+        whole = self._find_stored_reply(exchange)
         if whole is not None:
             return whole
-        if not self._has_room():
+        if not self._has_free_capacity():
             self._counts.add("home_refused_total", cause="overload")
             return replies.refuse(_OVERLOAD_RETRY_S, "host is full")
-        self._start(exchange, order, entry, None)
+        self._start_task(exchange, order, entry, None)
         return None
 
-    def _serve_once(
+    def _serve_at_most_once(
         self,
-        exchange: exchange_types.Exchange,
+        exchange: exchange_module.Exchange,
         message: codec.Message,
-        entry: stores.ContractEntry,
-        call_class: contracts.CallClass,
-    ) -> Served:
+        entry: store.ContractEntry,
+        call_class: contract.CallClass,
+    ) -> ServeResult:
         echo = message.opt.echo or b""
         if message.opt.block1 is not None:
             refusal = self._once.screen(exchange.flow, entry, echo)
             if refusal is not None:
                 return refusal
-        taken = self._take_body(exchange, message, entry)
-        if not isinstance(taken, upload_types.Whole):
+        taken = self._collect_body(exchange, message, entry)
+        if not isinstance(taken, upload.CompleteRequest):
             return taken
         order = _make_order(exchange, taken, call_class)
-        exchange.shape = _make_once_shape(exchange, message, echo)
-        whole = self._find_whole(exchange)
+        exchange.block_params = _make_at_most_once_params(
+            exchange, message, echo
+        )
+        whole = self._find_stored_reply(exchange)
         if whole is not None:
             return whole
-        if exchange.shape.is_later:
+        if exchange.block_params.is_later_block:
             admission = self._once.find_answer(order, entry, echo)
         else:
             admission = self._once.admit(
-                order, entry, echo, has_room=self._has_room()
+                order, entry, echo, has_room=self._has_free_capacity()
             )
-        if isinstance(admission, rows.Row):
-            return self._join(exchange, order, entry, admission)
+        if isinstance(admission, row_module.Row):
+            return self._serve_from_row(exchange, order, entry, admission)
         return admission
 
-    def _take_body(
+    def _collect_body(
         self,
-        exchange: exchange_types.Exchange,
+        exchange: exchange_module.Exchange,
         message: codec.Message,
-        entry: stores.ContractEntry,
-    ) -> uploads.Taken:
+        entry: store.ContractEntry,
+    ) -> uploads.UploadResult:
         limit = entry.contract.limits.body_octets
         if message.opt.block1 is not None:
-            return self._uploads.take(exchange.flow, message, limit)
+            return self._uploads.add_block(exchange.flow, message, limit)
         if len(message.payload) > limit:
             return replies.reject(Code.REQUEST_ENTITY_TOO_LARGE)
-        return upload_types.Whole(message, exchange.token)
+        return upload.CompleteRequest(message, exchange.token)
 
-    def _find_whole(
-        self, exchange: exchange_types.Exchange
+    def _find_stored_reply(
+        self, exchange: exchange_module.Exchange
     ) -> codec.Message | None:
         """Returns the kept answer that a later block is asked of."""
-        if not exchange.shape.is_later:
+        if not exchange.block_params.is_later_block:
             return None
-        return self._slices.find(exchange.shape)
+        return self._large_replies.find_reply(exchange.block_params)
 
-    def _has_room(self) -> bool:
+    def _has_free_capacity(self) -> bool:
         return self._running + self._unconfirmed < MAX_IN_PROGRESS
 
-    def _join(
+    def _serve_from_row(
         self,
-        exchange: exchange_types.Exchange,
-        order: orders.Order,
-        entry: stores.ContractEntry,
-        row: rows.Row,
-    ) -> Served:
+        exchange: exchange_module.Exchange,
+        order: order_module.Order,
+        entry: store.ContractEntry,
+        row: row_module.Row,
+    ) -> ServeResult:
         if row.result is not None:
-            echo = self._issuer.renew(order.flow, entry)
+            echo = self._issuer.issue_ticket(order.flow, entry)
             return replies.forward(row.result, echo)
-        if not self._has_room():
+        if not self._has_free_capacity():
             # It runs, so "not run" would be wrong; a later copy finds it.
             return outcome.Silence()
-        self._start(exchange, order, entry, row)
+        self._start_task(exchange, order, entry, row)
         return None
 
-    def _start(
+    def _start_task(
         self,
-        exchange: exchange_types.Exchange,
-        order: orders.Order,
-        entry: stores.ContractEntry,
-        row: rows.Row | None,
+        exchange: exchange_module.Exchange,
+        order: order_module.Order,
+        entry: store.ContractEntry,
+        row: row_module.Row | None,
     ) -> None:
         assert self._nursery is not None
         self._running += 1
-        exchange.scope = trio.CancelScope()
+        exchange.cancel_scope = trio.CancelScope()
         if row is None or not row.is_recovered:
             # An empty ACK would end the caller's copies, by which it finds
             # a host that can answer when this one can't.
-            self._exchanges.await_answer(exchange)
-        self._nursery.start_soon(self._work, exchange, order, entry, row)
+            self._exchanges.schedule_empty_ack(exchange)
+        self._nursery.start_soon(self._run_request, exchange, order, entry, row)
 
-    async def _work(
+    async def _run_request(
         self,
-        exchange: exchange_types.Exchange,
-        order: orders.Order,
-        entry: stores.ContractEntry,
-        row: rows.Row | None,
+        exchange: exchange_module.Exchange,
+        order: order_module.Order,
+        entry: store.ContractEntry,
+        row: row_module.Row | None,
     ) -> None:
-        assert exchange.scope is not None
+        assert exchange.cancel_scope is not None
         try:
-            with exchange.scope as scope:
+            with exchange.cancel_scope as scope:
                 reply = await self._get_reply(order, entry, row)
         except Exception:
             # Guards against one request that ends the host, and all flows
@@ -279,25 +283,27 @@
         finally:
             self._running -= 1
         if scope.cancelled_caught:
-            self._exchanges.abandon(exchange)
+            self._exchanges.discard_request(exchange)
             return
-        self._finish(exchange, reply)
+        self._send_reply(exchange, reply)
         self._unconfirmed += 1
         try:
-            await self._exchanges.confirm(exchange)
+            await self._exchanges.retransmit_until_confirmed(exchange)
         finally:
             self._unconfirmed -= 1
 
     async def _get_reply(
         self,
-        order: orders.Order,
-        entry: stores.ContractEntry,
-        row: rows.Row | None,
+        order: order_module.Order,
+        entry: store.ContractEntry,
+        row: row_module.Row | None,
     ) -> codec.Message:
         if row is None:
             return replies.forward(await self._dispatcher.run(order))
         result = await row.wait()
-        return replies.forward(result, self._issuer.renew(order.flow, entry))
+        return replies.forward(
+            result, self._issuer.issue_ticket(order.flow, entry)
+        )
 
 
 def _refuse_without_contract(message: codec.Message) -> codec.Message:
@@ -307,39 +313,39 @@
     return replies.refuse(_NO_CONTRACT_RETRY_S, "no contract")
 
 
-def _make_once_shape(
-    exchange: exchange_types.Exchange, message: codec.Message, echo: bytes
-) -> shapes.Shape:
+def _make_at_most_once_params(
+    exchange: exchange_module.Exchange, message: codec.Message, echo: bytes
+) -> block_params.BlockParams:
     """Returns the shape of an answer that is found by its ticket.
 
     A caller asks for later blocks under the token of the request or, as
     plain CoAP callers do, under a new one; then only what was asked for
     names the answer.
     """
-    line = digests.compute_line_digest(message)
-    return shapes.Shape(
+    line = digests.compute_options_digest(message)
+    return block_params.BlockParams(
         message.opt.block1,
         message.opt.block2,
         (
-            shapes.SliceKey(exchange.flow, echo + exchange.token),
-            shapes.SliceKey(exchange.flow, echo + line),
+            block_params.ReplyKey(exchange.flow, echo + exchange.token),
+            block_params.ReplyKey(exchange.flow, echo + line),
         ),
     )
 
 
 def _make_order(
-    exchange: exchange_types.Exchange,
-    whole: upload_types.Whole,
-    call_class: contracts.CallClass,
-) -> orders.Order:
-    deadline_s = requests.get_deadline_s(whole.message, call_class)
-    return orders.Order(
+    exchange: exchange_module.Exchange,
+    complete: upload.CompleteRequest,
+    call_class: contract.CallClass,
+) -> order_module.Order:
+    deadline_s = request.get_deadline_s(complete.message, call_class)
+    return order_module.Order(
         exchange.flow,
         call_class.method,
-        requests.get_path(whole.message),
-        requests.write_for_upstream(whole.message),
+        request.get_path(complete.message),
+        request.encode_for_upstream(complete.message),
         trio.current_time() + deadline_s,
         call_class,
-        whole.token,
-        digests.compute_digest(whole.message),
+        complete.token,
+        digests.compute_digest(complete.message),
     )
--- a/persimmonhinge/flows/ticket_issuer.py
+++ b/persimmonhinge/flows/ticket_issuer.py
@@ -5,13 +5,13 @@
 from persimmonhinge import errors
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import store as stores
+from persimmonhinge.contracts import store
 from persimmonhinge.flows import port
 from persimmonhinge.flows import replies
 from persimmonhinge.flows import tickets
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.settings import entry as entry_module
 
 _RETRY_AFTER_S = 1
 
@@ -25,20 +25,22 @@
 
     def __init__(
         self,
-        settings: settings_entry.EntrySettings,
-        view: views.View,
+        settings: entry_module.EntrySettings,
+        view: view_module.View,
         mint: tickets.TicketMint,
         chooser: port.Chooser,
-        counts: host_counts.Counts,
+        counts: counts_module.Counts,
     ) -> None:
         self.leaving = False
-        self._life_s = int(settings.flows.ticket_life_s)
+        self._ticket_life_s = int(settings.flows.ticket_life_s)
         self._view = view
         self._mint = mint
         self._chooser = chooser
         self._counts = counts
 
-    def renew(self, flow: port.Flow, entry: stores.ContractEntry) -> bytes:
+    def issue_ticket(
+        self, flow: port.Flow, entry: store.ContractEntry
+    ) -> bytes:
         """Returns a fresh ticket; empty if none can be minted."""
         if self.leaving:
             return b""
@@ -50,29 +52,29 @@
         except errors.TicketError:
             return b""
 
-    def ask(
-        self, flow: port.Flow, entry: stores.ContractEntry, cause: str
+    def require_ticket(
+        self, flow: port.Flow, entry: store.ContractEntry, cause: str
     ) -> codec.Message:
         """Answers that a ticket is needed; nothing ran."""
         self._counts.add("tickets_asked_for_total", cause=cause)
-        echo = self.renew(flow, entry)
+        echo = self.issue_ticket(flow, entry)
         if not echo:
             return replies.refuse(_RETRY_AFTER_S, "no ticket can be minted")
-        return replies.ask_for_ticket(echo, self._life_s)
+        return replies.ask_for_ticket(echo, self._ticket_life_s)
 
     def report_unverified(
         self,
         flow: port.Flow,
-        entry: stores.ContractEntry,
+        entry: store.ContractEntry,
         fault: tickets.TicketFault,
     ) -> codec.Message:
         """Answers a ticket that can't be checked; it may have run before."""
         self._counts.add("tickets_unverified_total", cause=fault.value)
-        echo = self.renew(flow, entry)
+        echo = self.issue_ticket(flow, entry)
         return replies.report_unknown("ticket can't be checked", echo)
 
     def _pick_keepers(
-        self, entry: stores.ContractEntry
+        self, entry: store.ContractEntry
     ) -> tuple[ids.HostRef, ...]:
         """Returns keepers for a ticket, other hosts than this one first.
 
--- a/persimmonhinge/flows/tickets.py
+++ b/persimmonhinge/flows/tickets.py
@@ -14,10 +14,10 @@
 from persimmonhinge import errors
 from persimmonhinge import ids
 from persimmonhinge.flows import port
-from persimmonhinge.keys import ring as rings
-from persimmonhinge.keys import store as key_stores
-from persimmonhinge.membership import view as views
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.keys import ring as ring_module
+from persimmonhinge.keys import store
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.settings import entry
 
 # RFC 9175 section 2.2.1: Echo holds 1 to 40 octets.
 TICKET_OCTETS = 40
@@ -25,10 +25,10 @@
 # A ticket begins new work for its life and is remembered for this much
 # longer: RFC 7252 section 4.8.2 lets a caller repeat a confirmable request
 # for 93 s (MAX_TRANSMIT_WAIT), and each repetition must find the row.
-REMEMBER_MS = 100_000
+ROW_RETENTION_MS = 100_000
 
 # Keepers take an hour for the longest time between mint and expiry.
-_MOST_LIFE_MS = 3_599_000 - REMEMBER_MS
+_MAX_TICKET_LIFE_MS = 3_599_000 - ROW_RETENTION_MS
 _VERSION = 1
 # Version, key id, service, home, ticket id, expiry, two keepers.
 _BODY = struct.Struct("!BBII5s5sII")
@@ -101,27 +101,27 @@
 
     def __init__(
         self,
-        settings: settings_entry.EntrySettings,
-        key_store: key_stores.KeyStore,
-        view: views.View,
+        settings: entry.EntrySettings,
+        key_store: store.KeyStore,
+        view: view_module.View,
     ) -> None:
         self._keys = key_store
         self._view = view
         life_ms = int(settings.flows.ticket_life_s * 1000)
-        self._life_ms = min(life_ms, _MOST_LIFE_MS)
-        self._numbers = itertools.count(1)
-        self._started: float | None = None
+        self._ticket_life_ms = min(life_ms, _MAX_TICKET_LIFE_MS)
+        self._ticket_numbers = itertools.count(1)
+        self._started_at: float | None = None
         self._own_refs: set[ids.HostRef] = set()
-        self._closed_until_ms = -1
+        self._revoked_until_ms = -1
         self._keys_version = -1
         self._secrets: dict[int, bytes] = {}
 
     def uptime_ms(self) -> int:
         """Returns the age of this process, milliseconds, monotonic."""
         now = trio.current_time()
-        if self._started is None:
-            self._started = now
-        return int((now - self._started) * 1000)
+        if self._started_at is None:
+            self._started_at = now
+        return int((now - self._started_at) * 1000)
 
     def mint(self, flow: port.Flow, keepers: tuple[ids.HostRef, ...]) -> bytes:
         """Makes a ticket for a flow.
@@ -138,16 +138,16 @@
             raise errors.TicketError("no current key", step="mint ticket")
         home = self._view.self_member.ref
         self._own_refs.add(home)
-        issued_ms = max(self.uptime_ms(), self._closed_until_ms + 1)
-        expiry_ms = issued_ms + self._life_ms + REMEMBER_MS
+        issued_ms = max(self.uptime_ms(), self._revoked_until_ms + 1)
+        expiry_ms = issued_ms + self._ticket_life_ms + ROW_RETENTION_MS
         body = _BODY.pack(
             _VERSION,
             key.key_id,
             _hash_service(flow.service),
             home,
-            next(self._numbers).to_bytes(_ID_OCTETS, "big"),
+            next(self._ticket_numbers).to_bytes(_ID_OCTETS, "big"),
             expiry_ms.to_bytes(_EXPIRY_OCTETS, "big"),
-            *_fill(keepers),
+            *_pad_keepers(keepers),
         )
         return body + _compute_mac(self._get_secret(key.key_id), body, flow)
 
@@ -186,7 +186,7 @@
             keepers,
         )
 
-    def read_route(self, octets: bytes, flow: port.Flow) -> ids.HostRef | None:
+    def read_home(self, octets: bytes, flow: port.Flow) -> ids.HostRef | None:
         """Returns the home to route a packet to, None to go by the hash.
 
         A ticket under a key that this host doesn't know is routed by what
@@ -207,14 +207,14 @@
         """Tells whether a ref is the one that this host goes by now."""
         return home == self._view.self_member.ref
 
-    def begins(self, ticket: Ticket) -> bool:
+    def may_start_work(self, ticket: Ticket) -> bool:
         """Tells whether one of this host's tickets may begin new work."""
-        issued_ms = ticket.expiry_ms - REMEMBER_MS - self._life_ms
-        if issued_ms <= self._closed_until_ms:
+        issued_ms = ticket.expiry_ms - ROW_RETENTION_MS - self._ticket_life_ms
+        if issued_ms <= self._revoked_until_ms:
             return False
-        return self.uptime_ms() < ticket.expiry_ms - REMEMBER_MS
+        return self.uptime_ms() < ticket.expiry_ms - ROW_RETENTION_MS
 
-    def close_issued(self) -> None:
+    def revoke_issued(self) -> None:
         """Lets no ticket issued so far begin new work any more.
 
         Guards against a refusal that is forgotten: when the request table
@@ -222,7 +222,9 @@
         that comes late would run once there is room. One number remembers
         all such refusals; a ticket minted after it serves again.
         """
-        self._closed_until_ms = max(self.uptime_ms(), self._closed_until_ms + 1)
+        self._revoked_until_ms = max(
+            self.uptime_ms(), self._revoked_until_ms + 1
+        )
 
     def _get_secret(self, key_id: int) -> bytes | None:
         if self._keys_version != self._keys.changed.version:
@@ -244,7 +246,7 @@
     return ids.TicketId(octets[_ID_OFFSET : _ID_OFFSET + _ID_OCTETS])
 
 
-def _read_secrets(ring: rings.KeyRing) -> dict[int, bytes]:
+def _read_secrets(ring: ring_module.KeyRing) -> dict[int, bytes]:
     return {key.key_id: key.read_secret() for key in ring.keys}
 
 
@@ -252,7 +254,7 @@
     return xxhash.xxh32_intdigest(service.encode())
 
 
-def _fill(keepers: tuple[ids.HostRef, ...]) -> list[int]:
+def _pad_keepers(keepers: tuple[ids.HostRef, ...]) -> list[int]:
     refs = [int(ref) for ref in keepers[:MAX_KEEPERS]]
     return refs + [_NO_REF] * (MAX_KEEPERS - len(refs))
 
--- a/persimmonhinge/flows/token_uses.py
+++ b/persimmonhinge/flows/token_uses.py
@@ -4,7 +4,7 @@
 
 import dataclasses
 
-from persimmonhinge.flows import exchange as exchanges
+from persimmonhinge.flows import exchange as exchange_module
 from persimmonhinge.flows import port
 
 _Key = tuple[port.Flow, bytes]
@@ -19,8 +19,8 @@
         former: Fingerprints of the requests before.
     """
 
-    newest: exchanges.Exchange
-    former: set[bytes] = dataclasses.field(default_factory=set)
+    latest: exchange_module.Exchange
+    former_fingerprints: set[bytes] = dataclasses.field(default_factory=set)
 
 
 class TokenUses:
@@ -34,7 +34,9 @@
     def __init__(self) -> None:
         self._uses: dict[_Key, _Use] = {}
 
-    def begin(self, exchange: exchanges.Exchange) -> exchanges.Exchange | None:
+    def record_request(
+        self, exchange: exchange_module.Exchange
+    ) -> exchange_module.Exchange | None:
         """Takes in a new request.
 
         Returns:
@@ -46,21 +48,21 @@
         if use is None:
             self._uses[key] = _Use(exchange)
             return None
-        if exchange.fingerprint in use.former:
+        if exchange.fingerprint in use.former_fingerprints:
             return None
-        before = use.newest
-        use.newest = exchange
+        before = use.latest
+        use.latest = exchange
         if before.fingerprint == exchange.fingerprint:
             return None
-        use.former.add(before.fingerprint)
+        use.former_fingerprints.add(before.fingerprint)
         return before if before.reply is not None else None
 
-    def forget(self, exchange: exchanges.Exchange) -> None:
+    def remove_request(self, exchange: exchange_module.Exchange) -> None:
         """Forgets a request whose answer is no longer kept."""
         key = (exchange.flow, exchange.token)
         use = self._uses.get(key)
         if use is None:
             return
-        use.former.discard(exchange.fingerprint)
-        if use.newest is exchange:
+        use.former_fingerprints.discard(exchange.fingerprint)
+        if use.latest is exchange:
             del self._uses[key]
--- a/persimmonhinge/flows/upload.py
+++ b/persimmonhinge/flows/upload.py
@@ -19,8 +19,8 @@
     """
 
     flow: port.Flow
-    line: bytes
-    tags: tuple[bytes, ...]
+    options_digest: bytes
+    request_tags: tuple[bytes, ...]
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -35,15 +35,15 @@
         echo: Ticket of that copy.
     """
 
-    touched: float
+    last_block_at: float
     body: bytearray = dataclasses.field(default_factory=bytearray)
-    ended_at: int | None = None
+    last_block_start: int | None = None
     token: bytes = b""
     echo: bytes = b""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Whole:
+class CompleteRequest:
     """A request whose body is complete.
 
     Attributes:
--- a/persimmonhinge/flows/uploads.py
+++ b/persimmonhinge/flows/uploads.py
@@ -12,32 +12,34 @@
 from persimmonhinge.flows import digests
 from persimmonhinge.flows import outcome
 from persimmonhinge.flows import port
-from persimmonhinge.flows import upload as uploads
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.flows import upload as upload_module
+from persimmonhinge.metrics import counts as counts_module
 
 # Octets of bodies over all callers.
-MAX_OCTETS = 32 * 1024 * 1024
+MAX_STORED_OCTETS = 32 * 1024 * 1024
 # A body that grew lately is not dropped for another one.
-_BUSY_S = 5.0
+_ACTIVE_UPLOAD_S = 5.0
 
-Taken = uploads.Whole | codec.Message | outcome.Silence
+UploadResult = upload_module.CompleteRequest | codec.Message | outcome.Silence
 
 
 class Uploads:
     """Puts bodies together, in order and never from two requests."""
 
-    def __init__(self, counts: host_counts.Counts, life_s: float) -> None:
+    def __init__(
+        self, counts: counts_module.Counts, retention_s: float
+    ) -> None:
         self._counts = counts
-        self._life_s = life_s
+        self._retention_s = retention_s
         # Least recently touched first.
-        self._known: collections.OrderedDict[
-            uploads.UploadKey, uploads.Upload
+        self._uploads: collections.OrderedDict[
+            upload_module.UploadKey, upload_module.Upload
         ] = collections.OrderedDict()
-        self._octets = 0
+        self._stored_octets = 0
 
-    def take(
-        self, flow: port.Flow, message: codec.Message, limit_octets: int
-    ) -> Taken:
+    def add_block(
+        self, flow: port.Flow, message: codec.Message, max_octets: int
+    ) -> UploadResult:
         """Takes a request with a Block1 option.
 
         Args:
@@ -51,55 +53,55 @@
             (they went to another home, or it forgot them), 4.13 if the body
             gets too large; or none if there is no room now.
         """
-        refusal = _refuse_block(message, limit_octets)
+        refusal = _check_block(message, max_octets)
         if refusal is not None:
             return refusal
         block = message.opt.block1
         if block.block_number == 0 and not block.more:
-            return uploads.Whole(message, message.token)
-        key = uploads.UploadKey(
+            return upload_module.CompleteRequest(message, message.token)
+        key = upload_module.UploadKey(
             flow,
-            digests.compute_line_digest(message),
+            digests.compute_options_digest(message),
             tuple(message.opt.request_tag),
         )
-        if block.block_number == 0 and not self._restart(key):
+        if block.block_number == 0 and not self._start_upload(key):
             self._counts.add("home_uploads_without_room_total")
             return outcome.Silence()
-        upload = self._known.get(key)
-        if upload is None or not self._add(key, upload, message):
-            self._drop(key)
+        upload = self._uploads.get(key)
+        if upload is None or not self._append_block(key, upload, message):
+            self._remove_upload(key)
             self._counts.add("home_uploads_incomplete_total")
-            return blocks.reject_upload(
+            return blocks.make_block1_reply(
                 codes.Code.REQUEST_ENTITY_INCOMPLETE, block
             )
         if block.more:
-            return blocks.reject_upload(codes.Code.CONTINUE, block)
-        return _finish(upload, message)
+            return blocks.make_block1_reply(codes.Code.CONTINUE, block)
+        return _make_complete_request(upload, message)
 
-    def forget_old(self) -> None:
+    def remove_expired(self) -> None:
         """Drops bodies that stand still."""
-        limit = trio.current_time() - self._life_s
-        while self._known:
-            key, upload = next(iter(self._known.items()))
-            if upload.touched > limit:
+        limit = trio.current_time() - self._retention_s
+        while self._uploads:
+            key, upload = next(iter(self._uploads.items()))
+            if upload.last_block_at > limit:
                 return
-            self._drop(key)
+            self._remove_upload(key)
 
-    def _restart(self, key: uploads.UploadKey) -> bool:
+    def _start_upload(self, key: upload_module.UploadKey) -> bool:
         """Makes room for a new body; False if there is none."""
-        self._drop(key)
-        while self._octets >= MAX_OCTETS:
-            oldest, upload = next(iter(self._known.items()))
-            if upload.touched > trio.current_time() - _BUSY_S:
+        self._remove_upload(key)
+        while self._stored_octets >= MAX_STORED_OCTETS:
+            oldest, upload = next(iter(self._uploads.items()))
+            if upload.last_block_at > trio.current_time() - _ACTIVE_UPLOAD_S:
                 return False
-            self._drop(oldest)
-        self._known[key] = uploads.Upload(trio.current_time())
+            self._remove_upload(oldest)
+        self._uploads[key] = upload_module.Upload(trio.current_time())
         return True
 
-    def _add(
+    def _append_block(
         self,
-        key: uploads.UploadKey,
-        upload: uploads.Upload,
+        key: upload_module.UploadKey,
+        upload: upload_module.Upload,
         message: codec.Message,
     ) -> bool:
         """Adds a block; False if it does not continue what is there.
@@ -109,38 +111,40 @@
         """
         block = message.opt.block1
         end = block.start + len(message.payload)
-        upload.touched = trio.current_time()
-        self._known.move_to_end(key)
-        if block.start == len(upload.body) and upload.ended_at is None:
+        upload.last_block_at = trio.current_time()
+        self._uploads.move_to_end(key)
+        if block.start == len(upload.body) and upload.last_block_start is None:
             upload.body += message.payload
-            self._octets += len(message.payload)
-            upload.ended_at = None if block.more else block.start
+            self._stored_octets += len(message.payload)
+            upload.last_block_start = None if block.more else block.start
             return True
         if upload.body[block.start : end] != message.payload:
             return False
-        return block.more or upload.ended_at == block.start
+        return block.more or upload.last_block_start == block.start
 
-    def _drop(self, key: uploads.UploadKey) -> None:
-        upload = self._known.pop(key, None)
+    def _remove_upload(self, key: upload_module.UploadKey) -> None:
+        upload = self._uploads.pop(key, None)
         if upload is not None:
-            self._octets -= len(upload.body)
+            self._stored_octets -= len(upload.body)
 
 
-def _refuse_block(
-    message: codec.Message, limit_octets: int
+def _check_block(
+    message: codec.Message, max_octets: int
 ) -> codec.Message | None:
     """Returns the answer to a block that no upload can take; else None."""
     block = message.opt.block1
-    if not blocks.is_sound(block, len(message.payload)):
-        return blocks.reject_upload(codes.Code.BAD_REQUEST, block)
-    if block.start + len(message.payload) > limit_octets:
-        return blocks.reject_upload(
-            codes.Code.REQUEST_ENTITY_TOO_LARGE, block, limit_octets
+    if not blocks.has_valid_size(block, len(message.payload)):
+        return blocks.make_block1_reply(codes.Code.BAD_REQUEST, block)
+    if block.start + len(message.payload) > max_octets:
+        return blocks.make_block1_reply(
+            codes.Code.REQUEST_ENTITY_TOO_LARGE, block, max_octets
         )
     return None
 
 
-def _finish(upload: uploads.Upload, message: codec.Message) -> uploads.Whole:
+def _make_complete_request(
+    upload: upload_module.Upload, message: codec.Message
+) -> upload_module.CompleteRequest:
     """Returns the whole request.
 
     Guards against a second run where the last block is repeated under a new
@@ -154,4 +158,4 @@
     whole = codec.Message(code=message.code, payload=bytes(upload.body))
     for option in message.opt.option_list():
         whole.opt.add_option(option)
-    return uploads.Whole(whole, upload.token)
+    return upload_module.CompleteRequest(whole, upload.token)
--- a/persimmonhinge/parts.py
+++ b/persimmonhinge/parts.py
@@ -11,8 +11,8 @@
 from persimmonhinge.contracts import drains as drain_stores
 from persimmonhinge.contracts import host_list as host_lists
 from persimmonhinge.contracts import store as contract_stores
+from persimmonhinge.flows import caller_sockets as fronts
 from persimmonhinge.flows import chooser as choosers
-from persimmonhinge.flows import front as fronts
 from persimmonhinge.flows import home as homes
 from persimmonhinge.flows import router as routers
 from persimmonhinge.flows import tickets
@@ -49,7 +49,7 @@
     keepers: keepers.Keepers
     feeds: feed_parts.Feeds
     home: homes.Home
-    front: fronts.Front
+    front: fronts.CallerSockets
     router: routers.Router
     pages: page.PageServer
 
@@ -87,7 +87,7 @@
         base.counts,
     )
     membership.on_new_incarnation(keeper_part.note_incarnation)
-    front = fronts.Front(settings, base.contracts, base.counts)
+    front = fronts.CallerSockets(settings, base.contracts, base.counts)
     feeds = _make_feeds(settings, base, front, chooser)
     home = _make_home(settings, base, front, chooser, feeds)
     parts = Parts(
@@ -152,7 +152,7 @@
 def _make_feeds(
     settings: settings_entry.EntrySettings,
     base: _Base,
-    front: fronts.Front,
+    front: fronts.CallerSockets,
     chooser: choosers.UpstreamChooser,
 ) -> feed_parts.Feeds:
     return feed_parts.Feeds(
@@ -170,7 +170,7 @@
 def _make_home(
     settings: settings_entry.EntrySettings,
     base: _Base,
-    front: fronts.Front,
+    front: fronts.CallerSockets,
     chooser: choosers.UpstreamChooser,
     feeds: feed_parts.Feeds,
 ) -> homes.Home:
--- a/tests/test_flows/feeds_chooser.py
+++ b/tests/test_flows/feeds_chooser.py
@@ -28,7 +28,7 @@
         kind: contracts.CallKind,
         *,
         exclude: frozenset[ids.UpstreamId] = frozenset(),
-        among: frozenset[ids.HostRef] | None = None,
+        keeper_refs: frozenset[ids.HostRef] | None = None,
     ) -> port.Choice | None:
         """Chooses among the active upstreams."""
         fit = [
@@ -49,13 +49,13 @@
         """Is not used by feeds."""
         return ()
 
-    def note(self, *args: Any) -> None:
+    def record_load(self, *args: Any) -> None:
         """Is not used by feeds."""
 
-    def begin(self, *args: Any) -> None:
+    def record_start(self, *args: Any) -> None:
         """Counts a stream."""
         self.open += 1
 
-    def end(self, *args: Any) -> None:
+    def record_end(self, *args: Any) -> None:
         """Counts a stream no more."""
         self.open -= 1
--- a/tests/test_flows/home_fakes.py
+++ b/tests/test_flows/home_fakes.py
@@ -19,20 +19,20 @@
 from persimmonhinge import errors
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.contracts import store as stores
-from persimmonhinge.flows import home as homes
+from persimmonhinge.contracts import contract
+from persimmonhinge.contracts import store
+from persimmonhinge.flows import home
 from persimmonhinge.flows import port
 from persimmonhinge.flows import replies
-from persimmonhinge.keys import store as key_stores
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.keys import store as store_module
+from persimmonhinge.membership import member as member_module
+from persimmonhinge.membership import placement
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts
 from persimmonhinge.peers.messages import base
 from persimmonhinge.peers.messages import control
 from persimmonhinge.peers.messages import work
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.settings import entry as entry_module
 
 SERVICE = ids.ServiceName("floor-trading")
 FLOW = port.Flow(SERVICE, ("127.0.0.1", 4001))
@@ -46,11 +46,11 @@
     derandomize=True,
     suppress_health_check=[hypothesis.HealthCheck.too_slow],
 )
-Keep = Callable[[base.Message], Awaitable[base.Message]]
+CallHandler = Callable[[base.Message], Awaitable[base.Message]]
 
 
-def make_settings(**flows: Any) -> settings_entry.EntrySettings:
-    return settings_entry.EntrySettings.model_validate(
+def make_settings(**flows: Any) -> entry_module.EntrySettings:
+    return entry_module.EntrySettings.model_validate(
         {
             "host": ME,
             "domain": "north",
@@ -61,8 +61,8 @@
     )
 
 
-def make_member(host: ids.HostId, incarnation: int = 1) -> members.Member:
-    return members.Member(
+def make_member(host: ids.HostId, incarnation: int = 1) -> member_module.Member:
+    return member_module.Member(
         host,
         ids.DomainId("north"),
         "127.0.0.1",
@@ -72,7 +72,7 @@
     )
 
 
-def make_contract() -> contracts.Contract:
+def make_contract() -> contract.Contract:
     upstreams = [
         {
             "id": f"target-{number}",
@@ -88,7 +88,7 @@
         {"name": "put", "method": "PUT", "path": "/lots*"},
         {"name": "reserve", "method": "POST", "path": "/reserve"},
     ]
-    return contracts.Contract.model_validate(
+    return contract.Contract.model_validate(
         {
             "service": SERVICE,
             "address": "127.0.0.1:5683",
@@ -138,16 +138,16 @@
     return codec.encode(answer)
 
 
-def answered(payload: bytes) -> work.Dispatched:
+def make_answered(payload: bytes) -> work.Dispatched:
     return work.Dispatched(work.Outcome.ANSWERED, make_answer(payload))
 
 
 async def answer_done(message: base.Message) -> base.Message:
     """Answers as a keeper whose upstream did the work."""
-    return answered(b"done")
+    return make_answered(b"done")
 
 
-class FakeAnswers:
+class FakeCallerSender:
     """Keeps what is sent to callers."""
 
     def __init__(self) -> None:
@@ -167,7 +167,7 @@
     """Hands calls to a function for each host and keeps them."""
 
     def __init__(self) -> None:
-        self.keep: dict[ids.HostId, Keep] = {}
+        self.handlers: dict[ids.HostId, CallHandler] = {}
         self.calls: list[tuple[ids.HostId, base.Message]] = []
 
     async def call(
@@ -175,10 +175,10 @@
     ) -> base.Message:
         """Makes a call."""
         self.calls.append((host, message))
-        if host not in self.keep:
+        if host not in self.handlers:
             raise errors.PeerUnreachableError("gone", step="call", peer=host)
         with trio.move_on_after(timeout_s):
-            return await self.keep[host](message)
+            return await self.handlers[host](message)
         raise errors.PeerCallTimeoutError("late", step="call", peer=host)
 
     def dispatches(self) -> list[work.Dispatch]:
@@ -189,16 +189,16 @@
 class FakeChooser:
     """Takes the first upstream that is left; each has its own keeper."""
 
-    def __init__(self, view: views.View) -> None:
+    def __init__(self, view: view_module.View) -> None:
         self._view = view
 
     def choose(
         self,
-        entry: stores.ContractEntry,
-        kind: contracts.CallKind,
+        entry: store.ContractEntry,
+        kind: contract.CallKind,
         *,
         exclude: frozenset[ids.UpstreamId] = frozenset(),
-        among: frozenset[ids.HostRef] | None = None,
+        keeper_refs: frozenset[ids.HostRef] | None = None,
     ) -> port.Choice | None:
         """Returns the first choice that is left."""
         for host, upstream in zip(
@@ -207,26 +207,28 @@
             member = self._view.get(host)
             if member is None or not member.takes_roles:
                 continue
-            if among is not None and member.ref not in among:
+            if keeper_refs is not None and member.ref not in keeper_refs:
                 continue
             if ids.UpstreamId(upstream.id) not in exclude:
                 return port.Choice(upstream, host, member.ref)
         return None
 
-    def note(self, service: ids.ServiceName, load: work.UpstreamLoad) -> None:
+    def record_load(
+        self, service: ids.ServiceName, load: work.UpstreamLoad
+    ) -> None:
         """Takes in a report; of no use here."""
 
     def pick_keepers(
-        self, entry: stores.ContractEntry, count: int
+        self, entry: store.ContractEntry, count: int
     ) -> tuple[ids.HostRef, ...]:
         """Returns all keepers."""
         found = [self._view.get(host) for host in KEEPERS]
         return tuple(m.ref for m in found if m and m.takes_roles)
 
-    def begin(self, *args: object) -> None:
+    def record_start(self, *args: object) -> None:
         """Counts nothing."""
 
-    def end(self, *args: object) -> None:
+    def record_end(self, *args: object) -> None:
         """Counts nothing."""
 
 
@@ -268,27 +270,27 @@
     def __init__(
         self,
         me: ids.HostId = ME,
-        make_chooser: Callable[[views.View], FakeChooser] = FakeChooser,
+        make_chooser: Callable[[view_module.View], FakeChooser] = FakeChooser,
         **flows: Any,
     ) -> None:
-        self.view = views.View(make_member(me))
+        self.view = view_module.View(make_member(me))
         for host in KEEPERS:
             self.view.put(make_member(host))
-        self.contracts = stores.ContractStore()
+        self.contracts = store.ContractStore()
         body = make_contract().model_dump_json().encode()
         self.contracts.offer(
             control.ContractRecord(SERVICE, ids.Revision(1), body)
         )
-        self.keys = key_stores.KeyStore()
+        self.keys = store_module.KeyStore()
         self.keys.offer(make_key_record())
         self.network = FakeNetwork()
-        self.answers = FakeAnswers()
+        self.answers = FakeCallerSender()
         self.feeds = FakeFeeds()
-        self.counts = host_counts.Counts()
-        self.home = homes.Home(
+        self.counts = counts.Counts()
+        self.home = home.Home(
             make_settings(**flows),
             self.view,
-            placements.Placement(self.view),
+            placement.Placement(self.view),
             self.contracts,
             self.keys,
             self.network,  # type: ignore[arg-type]
@@ -307,12 +309,12 @@
             yield
             nursery.cancel_scope.cancel()
 
-    def keep_all(self, keep: Keep) -> None:
+    def handle_calls_with(self, handler: CallHandler) -> None:
         """Lets all keepers answer calls in this way."""
         for host in KEEPERS:
-            self.network.keep[host] = keep
+            self.network.handlers[host] = handler
 
-    async def ask(
+    async def send_request(
         self,
         code: codes.Code,
         path: str,
@@ -330,13 +332,13 @@
 
     async def get_ticket(self, flow: port.Flow = FLOW) -> bytes:
         """Returns a fresh ticket as a caller gets it."""
-        reply = await self.ask(codes.Code.POST, "/reserve", flow=flow)
+        reply = await self.send_request(codes.Code.POST, "/reserve", flow=flow)
         assert reply.code == replies.Code.UNAUTHORIZED
         echo: bytes = reply.opt.echo
         return echo
 
 
-def post(
+def send_reservation(
     world: HomeWorld,
     echo: bytes,
     token: bytes,
--- a/tests/test_flows/rescue_host.py
+++ b/tests/test_flows/rescue_host.py
@@ -130,7 +130,7 @@
         kind: contracts.CallKind,
         *,
         exclude: frozenset[ids.UpstreamId] = frozenset(),
-        among: frozenset[ids.HostRef] | None = None,
+        keeper_refs: frozenset[ids.HostRef] | None = None,
     ) -> port.Choice | None:
         """Chooses among the active upstreams whose keeper answers."""
         for upstream in entry.contract.upstreams:
@@ -150,11 +150,11 @@
         """Is not used by feeds."""
         return ()
 
-    def note(self, *args: Any) -> None:
+    def record_load(self, *args: Any) -> None:
         """Takes no account of loads."""
 
-    def begin(self, *args: Any) -> None:
+    def record_start(self, *args: Any) -> None:
         """Takes no account of loads."""
 
-    def end(self, *args: Any) -> None:
+    def record_end(self, *args: Any) -> None:
         """Takes no account of loads."""
--- a/tests/test_flows/test_flows_blocks.py
+++ b/tests/test_flows/test_flows_blocks.py
@@ -11,12 +11,12 @@
 import trio
 
 from persimmonhinge.coap import codec
+from persimmonhinge.flows import block_params
 from persimmonhinge.flows import blocks
-from persimmonhinge.flows import shape as shapes
-from persimmonhinge.flows import slices
-from persimmonhinge.flows import upload as upload_types
+from persimmonhinge.flows import large_replies
+from persimmonhinge.flows import upload
 from persimmonhinge.flows import uploads
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.metrics import counts
 from persimmonhinge.peers.messages import base
 from persimmonhinge.peers.messages import work
 from tests.support import trios
@@ -63,7 +63,7 @@
     The network duplicates, delays and loses blocks; another upload of the
     same caller, with its own tag, goes on at the same time.
     """
-    taker = uploads.Uploads(host_counts.Counts(), 30)
+    taker = uploads.Uploads(counts.Counts(), 30)
     sent = _split(body, exponent, b"a")
     for _ in range(extra):
         sent.insert(disorder.randrange(len(sent)), disorder.choice(sent))
@@ -74,9 +74,9 @@
     wholes = []
     for message in sent:
         if other:
-            taker.take(home_fakes.FLOW, other.pop(0), _LIMIT)
-        taken = taker.take(home_fakes.FLOW, message, _LIMIT)
-        if isinstance(taken, upload_types.Whole):
+            taker.add_block(home_fakes.FLOW, other.pop(0), _LIMIT)
+        taken = taker.add_block(home_fakes.FLOW, message, _LIMIT)
+        if isinstance(taken, upload.CompleteRequest):
             wholes.append(taken.message.payload)
         else:
             assert isinstance(taken, codec.Message)
@@ -98,35 +98,39 @@
 async def test_blocks_of_an_answer_join_to_the_whole(
     body: bytes, exponent: int
 ) -> None:
-    cutter = slices.Slices(30)
-    key = shapes.SliceKey(home_fakes.FLOW, b"name")
+    cutter = large_replies.LargeReplies(30)
+    key = block_params.ReplyKey(home_fakes.FLOW, b"name")
     reply = codec.Message(code=Code.CONTENT, payload=body)
     first = blocks.Block(0, False, exponent)
-    part = cutter.shape(reply, shapes.Shape(None, first, (key,)))
+    part = cutter.extract_block(
+        reply, block_params.BlockParams(None, first, (key,))
+    )
     joined = part.payload
     etag = part.opt.etag
     number = 0
     while part.opt.block2 is not None and part.opt.block2.more:
         number += 1
         wanted = blocks.Block(number, False, exponent)
-        shape = shapes.Shape(None, wanted, (key,))
-        whole = cutter.find(shape)
+        shape = block_params.BlockParams(None, wanted, (key,))
+        whole = cutter.find_reply(shape)
         assert whole is not None
-        part = cutter.shape(whole, shape)
+        part = cutter.extract_block(whole, shape)
         assert part.opt.etag == etag
         joined += part.payload
     assert joined == body
     beyond = blocks.Block(number + 1, False, exponent)
-    end = cutter.shape(reply, shapes.Shape(None, beyond, (key,)))
+    end = cutter.extract_block(
+        reply, block_params.BlockParams(None, beyond, (key,))
+    )
     assert end.code is Code.BAD_REQUEST
 
 
 async def _answer(message: base.Message) -> base.Message:
-    return home_fakes.answered(b"done")
+    return home_fakes.make_answered(b"done")
 
 
 async def _answer_large(message: base.Message) -> base.Message:
-    return home_fakes.answered(b"x" * 1500 + b"y" * 1500)
+    return home_fakes.make_answered(b"x" * 1500 + b"y" * 1500)
 
 
 async def _upload(
@@ -145,7 +149,7 @@
 @trios.clock_test
 async def test_upload_reaches_the_upstream_whole() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     body = bytes(range(250)) * 10
     async with world.running():
         reply = await _upload(world, _split(body, 6, b"t"), 50)
@@ -174,14 +178,14 @@
     A caller gives up an upload and sends a changed body under the same
     tag; blocks of both arrive.
     """
-    taker = uploads.Uploads(host_counts.Counts(), 30)
+    taker = uploads.Uploads(counts.Counts(), 30)
     old = _split(b"o" * 3000, 6, b"t")
     new = _split(b"n" * 3000, 6, b"t")
     for message in (*new[:2], old[1]):
-        taken = taker.take(home_fakes.FLOW, message, _LIMIT)
+        taken = taker.add_block(home_fakes.FLOW, message, _LIMIT)
     assert isinstance(taken, codec.Message)
     assert taken.code is Code.REQUEST_ENTITY_INCOMPLETE
-    last = taker.take(home_fakes.FLOW, new[2], _LIMIT)
+    last = taker.add_block(home_fakes.FLOW, new[2], _LIMIT)
     assert isinstance(last, codec.Message)
     assert last.code is Code.REQUEST_ENTITY_INCOMPLETE
 
@@ -212,7 +216,7 @@
     callers do, and then the whole upload once more.
     """
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     body = b"m" * 2500
     async with world.running():
         bare = await _upload(world, _split_post(body, b"", b"a")[:1], 40)
@@ -231,22 +235,22 @@
 @trios.clock_test
 async def test_later_blocks_cost_no_second_call() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer_large)
+    world.handle_calls_with(_answer_large)
     async with world.running():
-        first = await world.ask(Code.GET, "/lots")
+        first = await world.send_request(Code.GET, "/lots")
         assert first.opt.block2 == (0, True, 6)
         body = first.payload
         for number in (1, 2):
-            body += await _ask_block(world, Code.GET, number, b"")
+            body += await _request_block(world, Code.GET, number, b"")
         assert body == b"x" * 1500 + b"y" * 1500
         assert len(world.network.dispatches()) == 1
         # A new home, or one that forgot it, fetches it again.
         await trio.sleep(40)
-        assert await _ask_block(world, Code.GET, 2, b"") == b"y" * 952
+        assert await _request_block(world, Code.GET, 2, b"") == b"y" * 952
         assert len(world.network.dispatches()) == 2
 
 
-async def _ask_block(
+async def _request_block(
     world: home_fakes.HomeWorld, code: Code, number: int, echo: bytes
 ) -> bytes:
     path = "/lots" if code is Code.GET else "/reserve"
@@ -270,17 +274,19 @@
     ticket and token for the whole answer; nothing runs.
     """
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer_large)
+    world.handle_calls_with(_answer_large)
     async with world.running():
         echo = await world.get_ticket()
-        first = await world.ask(Code.POST, "/reserve", token=b"n", echo=echo)
-        here = await _ask_block(world, Code.POST, 1, echo)
+        first = await world.send_request(
+            Code.POST, "/reserve", token=b"n", echo=echo
+        )
+        here = await _request_block(world, Code.POST, 1, echo)
     successor = home_fakes.HomeWorld(home_fakes.ids.HostId("entry-4"))
-    successor.keep_all(_answer_large)
+    successor.handle_calls_with(_answer_large)
     async with successor.running():
-        there = await _ask_block(successor, Code.POST, 1, echo)
+        there = await _request_block(successor, Code.POST, 1, echo)
         assert there == here
-        rest = await _ask_block(successor, Code.POST, 2, echo)
+        rest = await _request_block(successor, Code.POST, 2, echo)
     assert first.payload + there + rest == b"x" * 1500 + b"y" * 1500
     assert not successor.network.dispatches()
     (_, question), *_ = successor.network.calls
@@ -303,9 +309,9 @@
     async def deny(message: base.Message) -> base.Message:
         return work.Dispatched(work.Outcome.NOT_RUN)
 
-    successor.keep_all(deny)
+    successor.handle_calls_with(deny)
     async with successor.running():
-        await _ask_block(successor, Code.POST, 1, echo)
+        await _request_block(successor, Code.POST, 1, echo)
     assert successor.answers.sent[-1][1].code is Code.GATEWAY_TIMEOUT
 
 
--- a/tests/test_flows/test_flows_chooser.py
+++ b/tests/test_flows/test_flows_chooser.py
@@ -52,7 +52,9 @@
     def note(self, upstream: ids.UpstreamId, **changes: object) -> None:
         """Takes in a report on an upstream."""
         load = work.UpstreamLoad(upstream, 2, 0, 0, 0)
-        self.chooser.note(_SERVICE, msgspec.structs.replace(load, **changes))
+        self.chooser.record_load(
+            _SERVICE, msgspec.structs.replace(load, **changes)
+        )
 
     def choose(
         self,
@@ -60,7 +62,7 @@
         among: frozenset[ids.HostRef] | None = None,
     ) -> ids.UpstreamId:
         """Returns the upstream that is chosen."""
-        choice = self.chooser.choose(self.entry, kind, among=among)
+        choice = self.chooser.choose(self.entry, kind, keeper_refs=among)
         assert choice is not None
         return ids.UpstreamId(choice.upstream.id)
 
@@ -120,7 +122,7 @@
     for _ in range(20):
         for bench in benches:
             chosen = bench.choose(_FEED)
-            bench.chooser.begin(_SERVICE, chosen, _FEED)
+            bench.chooser.record_start(_SERVICE, chosen, _FEED)
             counts[chosen] += 1
     assert abs(counts[_ONE] - counts[_TWO]) <= 12
 
@@ -137,8 +139,8 @@
     for _ in range(40):
         chosen = bench.choose()
         counts[chosen] += 1
-        bench.chooser.begin(_SERVICE, chosen, _REQUEST)
-        bench.chooser.end(_SERVICE, chosen, _REQUEST)
+        bench.chooser.record_start(_SERVICE, chosen, _REQUEST)
+        bench.chooser.record_end(_SERVICE, chosen, _REQUEST)
         await trio.sleep(0.01)
     assert abs(counts[_ONE] - counts[_TWO]) <= 2
 
@@ -153,16 +155,16 @@
     bench = _Bench()
     bench.note(_ONE, accepting=False)
     for _ in range(600):
-        bench.chooser.begin(_SERVICE, bench.choose(), _REQUEST)
-        bench.chooser.end(_SERVICE, _TWO, _REQUEST)
+        bench.chooser.record_start(_SERVICE, bench.choose(), _REQUEST)
+        bench.chooser.record_end(_SERVICE, _TWO, _REQUEST)
         await trio.sleep(0.1)
     bench.note(_ONE)
     counts: collections.Counter[ids.UpstreamId] = collections.Counter()
     for _ in range(300):
         chosen = bench.choose()
         counts[chosen] += 1
-        bench.chooser.begin(_SERVICE, chosen, _REQUEST)
-        bench.chooser.end(_SERVICE, chosen, _REQUEST)
+        bench.chooser.record_start(_SERVICE, chosen, _REQUEST)
+        bench.chooser.record_end(_SERVICE, chosen, _REQUEST)
         await trio.sleep(0.1)
     assert counts[_ONE] <= 200
 
@@ -175,11 +177,11 @@
         assert keeper is not None
         among = frozenset({keeper.ref})
         bench.note(ids.UpstreamId(upstream.id), queued=9)
-        choice = bench.chooser.choose(bench.entry, _REQUEST, among=among)
+        choice = bench.chooser.choose(bench.entry, _REQUEST, keeper_refs=among)
         assert choice is not None
         assert choice.keeper_ref == keeper.ref
     none = frozenset({ids.HostRef(1)})
-    assert bench.chooser.choose(bench.entry, _REQUEST, among=none) is None
+    assert bench.chooser.choose(bench.entry, _REQUEST, keeper_refs=none) is None
 
 
 def test_free_slot_is_asked_for_only_where_that_can_help() -> None:
@@ -216,7 +218,7 @@
         return work.LoadReport(())
 
     for member in bench.view.role_takers():
-        bench.network.keep[member.host] = report
+        bench.network.handlers[member.host] = report
     with trio.move_on_after(60):
         await bench.chooser.run()
     assert len(bench.network.calls) <= 60 * 10 * 1.3 + 200
@@ -234,7 +236,7 @@
         return work.LoadReport(())
 
     for member in bench.view.role_takers():
-        bench.network.keep[member.host] = report
+        bench.network.handlers[member.host] = report
     with trio.move_on_after(60):
         await bench.chooser.run()
     asked = [host for host, _ in bench.network.calls]
@@ -250,7 +252,7 @@
         name = ids.UpstreamId(f"{_SERVICE}/{_ONE}")
         return work.LoadReport((work.UpstreamLoad(name, 2, 1, 4, 7),))
 
-    bench.network.keep[ids.HostId("entry-2")] = report
+    bench.network.handlers[ids.HostId("entry-2")] = report
     with trio.move_on_after(2):
         await bench.chooser.run()
     load = bench.chooser.get_load(_SERVICE, _ONE)
--- a/tests/test_flows/test_flows_free_slot.py
+++ b/tests/test_flows/test_flows_free_slot.py
@@ -54,12 +54,12 @@
         asked.append(dispatch)
         if not dispatch.waits:
             return work.Dispatched(work.Outcome.BUSY)
-        return home_fakes.answered(b"done")
+        return home_fakes.make_answered(b"done")
 
-    world.keep_all(keep)
+    world.handle_calls_with(keep)
     async with world.running():
         echo = await world.get_ticket()
-        answer = await world.ask(POST, "/reserve", echo=echo)
+        answer = await world.send_request(POST, "/reserve", echo=echo)
     assert answer.payload == b"done"
     assert [dispatch.waits for dispatch in asked] == [False, True]
 
@@ -80,12 +80,12 @@
         uptimes.append(dispatch.home_uptime_ms)
         if not dispatch.waits:
             return work.Dispatched(work.Outcome.BUSY)
-        return home_fakes.answered(b"done")
+        return home_fakes.make_answered(b"done")
 
-    world.keep_all(keep)
+    world.handle_calls_with(keep)
     async with world.running():
         echo = await world.get_ticket()
-        await world.ask(POST, "/reserve", echo=echo)
+        await world.send_request(POST, "/reserve", echo=echo)
     first, second = uptimes
     assert second > first
 
@@ -101,13 +101,13 @@
     async def keep(message: base.Message) -> base.Message:
         if not _get_dispatch(message).waits:
             return work.Dispatched(work.Outcome.BUSY)
-        return home_fakes.answered(b"done")
+        return home_fakes.make_answered(b"done")
 
-    world.keep_all(keep)
+    world.handle_calls_with(keep)
     async with world.running():
         echo = await world.get_ticket()
         for number in range(20):
             token = bytes([number + 1])
-            await world.ask(POST, "/reserve", echo=echo, token=token)
+            await world.send_request(POST, "/reserve", echo=echo, token=token)
     assert world.counts.sum("home_retries_total") == 0
     assert world.counts.sum("home_retries_denied_total") == 0
--- a/tests/test_flows/test_flows_home.py
+++ b/tests/test_flows/test_flows_home.py
@@ -27,15 +27,15 @@
 
 
 async def _answer(message: base.Message) -> base.Message:
-    return home_fakes.answered(b"done")
+    return home_fakes.make_answered(b"done")
 
 
 @trios.clock_test
 async def test_get_is_answered_by_an_upstream() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     async with world.running():
-        reply = await world.ask(Code.GET, "/lots/7", token=b"tok")
+        reply = await world.send_request(Code.GET, "/lots/7", token=b"tok")
     assert (reply.code, reply.payload) == (Code.CHANGED, b"done")
     assert (reply.token, reply.mtype) == (b"tok", types.NON)
 
@@ -43,9 +43,9 @@
 @trios.clock_test
 async def test_post_without_ticket_is_asked_for_one_and_not_run() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     async with world.running():
-        reply = await world.ask(Code.POST, "/reserve")
+        reply = await world.send_request(Code.POST, "/reserve")
         assert reply.code == Code.UNAUTHORIZED
         assert len(reply.opt.echo) == 40
         assert not world.network.calls
@@ -54,10 +54,10 @@
 @trios.clock_test
 async def test_post_with_ticket_runs_and_renews_it() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     async with world.running():
         echo = await world.get_ticket()
-        reply = await world.ask(Code.POST, "/reserve", echo=echo)
+        reply = await world.send_request(Code.POST, "/reserve", echo=echo)
     assert reply.payload == b"done"
     assert reply.opt.echo not in (None, echo)
 
@@ -65,10 +65,10 @@
 @trios.clock_test
 async def test_copy_of_a_datagram_gets_the_same_answer() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     async with world.running():
-        first = await world.ask(Code.GET, "/lots", mid=9)
-        second = await world.ask(Code.GET, "/lots", mid=9)
+        first = await world.send_request(Code.GET, "/lots", mid=9)
+        second = await world.send_request(Code.GET, "/lots", mid=9)
     assert codec.encode(first) == codec.encode(second)
     assert len(world.network.dispatches()) == 1
 
@@ -82,10 +82,10 @@
     with what the first one asked for.
     """
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     async with world.running():
-        await world.ask(Code.GET, "/lots/1", mid=9, token=b"a")
-        reply = await world.ask(Code.GET, "/lots/2", mid=9, token=b"b")
+        await world.send_request(Code.GET, "/lots/1", mid=9, token=b"a")
+        reply = await world.send_request(Code.GET, "/lots/2", mid=9, token=b"b")
     assert reply.token == b"b"
     assert len(world.network.dispatches()) == 2
 
@@ -93,9 +93,11 @@
 @trios.clock_test
 async def test_quick_answer_rides_on_the_ack() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     async with world.running():
-        reply = await world.ask(Code.GET, "/lots", mid=5, mtype=types.CON)
+        reply = await world.send_request(
+            Code.GET, "/lots", mid=5, mtype=types.CON
+        )
     assert (reply.mtype, reply.mid) == (types.ACK, 5)
 
 
@@ -107,22 +109,24 @@
 
     async def answer_late(message: base.Message) -> base.Message:
         await trio.sleep(_LATE_S)
-        return home_fakes.answered(b"late")
+        return home_fakes.make_answered(b"late")
 
-    world.keep_all(answer_late)
+    world.handle_calls_with(answer_late)
     async with world.running():
-        ack = await world.ask(Code.GET, "/lots", mid=5, mtype=types.CON)
+        ack = await world.send_request(
+            Code.GET, "/lots", mid=5, mtype=types.CON
+        )
         assert (ack.code, ack.mtype, ack.mid) == (Code.EMPTY, types.ACK, 5)
         await trio.sleep(5)
         copies = [m for _, m in world.answers.sent[1:]]
         assert len(copies) == 2
         assert {m.mid for m in copies} == {copies[0].mid}
         assert copies[0].mtype is types.CON
-        assert world.home.in_progress() == 1
+        assert world.home.count_in_progress() == 1
         _send_empty(world, types.ACK, copies[0].mid)
         await trio.sleep(100)
         assert len(world.answers.sent) == 3
-        assert world.home.in_progress() == 0
+        assert world.home.count_in_progress() == 0
 
 
 @trios.clock_test
@@ -131,28 +135,28 @@
 
     async def answer_late(message: base.Message) -> base.Message:
         await trio.sleep(_LATE_S)
-        return home_fakes.answered(b"late")
+        return home_fakes.make_answered(b"late")
 
-    world.keep_all(answer_late)
+    world.handle_calls_with(answer_late)
     async with world.running():
-        await world.ask(Code.GET, "/lots", mtype=types.CON)
+        await world.send_request(Code.GET, "/lots", mtype=types.CON)
         await trio.sleep(200)
         # One empty ACK, the answer, and four repetitions.
         assert len(world.answers.sent) == 6
-        assert world.home.in_progress() == 0
+        assert world.home.count_in_progress() == 0
 
 
 @trios.clock_test
 async def test_reset_of_the_empty_ack_cancels_the_work() -> None:
     world = home_fakes.HomeWorld()
     cancelled: list[base.Message] = []
-    world.keep_all(home_fakes.make_hanging_keeper(cancelled))
+    world.handle_calls_with(home_fakes.make_hanging_keeper(cancelled))
     async with world.running():
-        await world.ask(Code.GET, "/lots", mid=5, mtype=types.CON)
+        await world.send_request(Code.GET, "/lots", mid=5, mtype=types.CON)
         _send_empty(world, types.RST, 5)
         await trio.sleep(0.1)
         assert len(cancelled) == 1
-        assert world.home.in_progress() == 0
+        assert world.home.count_in_progress() == 0
 
 
 @trios.clock_test
@@ -189,7 +193,7 @@
 @trios.clock_test
 async def test_observe_on_a_plain_class_is_a_plain_request() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     message = home_fakes.make_request(Code.GET, "/lots")
     message.opt.observe = 0
     async with world.running():
@@ -203,7 +207,7 @@
 async def test_unknown_path_is_not_found() -> None:
     world = home_fakes.HomeWorld()
     async with world.running():
-        reply = await world.ask(Code.GET, "/elsewhere")
+        reply = await world.send_request(Code.GET, "/elsewhere")
     assert reply.code == Code.NOT_FOUND
 
 
@@ -215,11 +219,11 @@
     async def agree_late(message: base.Message) -> base.Message:
         if outcomes:
             return work.Dispatched(outcomes.pop())
-        return home_fakes.answered(b"done")
+        return home_fakes.make_answered(b"done")
 
-    world.keep_all(agree_late)
+    world.handle_calls_with(agree_late)
     async with world.running():
-        reply = await world.ask(Code.GET, "/lots")
+        reply = await world.send_request(Code.GET, "/lots")
     assert reply.payload == b"done"
     assert world.counts.sum("home_retries_total") == 0
 
@@ -274,12 +278,12 @@
     except errors.MalformedDatagramError:
         return
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     async with world.running():
         world.home.handle(home_fakes.FLOW, message)
         await trio.sleep(1)
         assert world.counts.sum("home_faults_total") == 0
-        assert (await world.ask(Code.GET, "/lots")).payload == b"done"
+        assert (await world.send_request(Code.GET, "/lots")).payload == b"done"
 
 
 @trios.clock_test
@@ -293,16 +297,16 @@
     async def break_down(message: base.Message) -> base.Message:
         raise KeyError("a fault")
 
-    world.keep_all(break_down)
+    world.handle_calls_with(break_down)
     logging.disable(logging.CRITICAL)
     async with world.running():
         echo = await world.get_ticket()
         for code, path in ((Code.GET, "/lots"), (Code.POST, "/reserve")):
-            reply = await world.ask(code, path, echo=echo)
+            reply = await world.send_request(code, path, echo=echo)
             assert reply.code is Code.GATEWAY_TIMEOUT
         world.home.handle(home_fakes.FLOW, None)
-        world.keep_all(_answer)
-        assert (await world.ask(Code.GET, "/lots")).payload == b"done"
+        world.handle_calls_with(_answer)
+        assert (await world.send_request(Code.GET, "/lots")).payload == b"done"
     logging.disable(logging.NOTSET)
     assert world.counts.sum("home_faults_total") == 3
 
@@ -320,10 +324,10 @@
     async def refuse(message: base.Message) -> base.Message:
         return work.Dispatched(work.Outcome.NOT_RUN, retry_after_s=3)
 
-    world.keep_all(refuse)
+    world.handle_calls_with(refuse)
     async with world.running():
         for _ in range(400):
-            reply = await world.ask(Code.GET, "/lots")
+            reply = await world.send_request(Code.GET, "/lots")
             assert reply.code == Code.SERVICE_UNAVAILABLE
             assert reply.opt.max_age == 3
     assert len(world.network.dispatches()) <= 400 * 1.1 + 10
--- a/tests/test_flows/test_flows_message_ids.py
+++ b/tests/test_flows/test_flows_message_ids.py
@@ -43,7 +43,7 @@
     sent: dict[int, int] = {}
     for host, pause_ms in courses:
         now[0] += pause_ms
-        message_id = hosts[host].take_next(_FLOW)
+        message_id = hosts[host].allocate_id(_FLOW)
         if message_id in sent:
             assert now[0] - sent[message_id] >= _LIFETIME_MS
         sent[message_id] = now[0]
@@ -51,5 +51,5 @@
 
 def test_a_burst_repeats_no_id() -> None:
     counter = message_ids.MessageIds(lambda: 0)
-    taken = [counter.take_next(_FLOW) for _ in range(60_000)]
+    taken = [counter.allocate_id(_FLOW) for _ in range(60_000)]
     assert len(set(taken)) == len(taken)
--- a/tests/test_flows/test_flows_recovery.py
+++ b/tests/test_flows/test_flows_recovery.py
@@ -36,7 +36,9 @@
         return await world.get_ticket(flow)
 
 
-def _make_keeper(host: ids.HostId, outcome: Outcome | None) -> home_fakes.Keep:
+def _make_keeper(
+    host: ids.HostId, outcome: Outcome | None
+) -> home_fakes.CallHandler:
     me = home_fakes.make_member(host).ref
 
     async def keep(message: base.Message) -> base.Message:
@@ -46,7 +48,7 @@
         if message.keeper != me:
             return work.Dispatched(Outcome.NOT_KEEPER)
         if outcome is Outcome.ANSWERED:
-            return home_fakes.answered(b"kept")
+            return home_fakes.make_answered(b"kept")
         return work.Dispatched(outcome)
 
     return keep
@@ -54,7 +56,7 @@
 
 def _keep_all(world: home_fakes.HomeWorld, outcome: Outcome) -> None:
     for host in home_fakes.KEEPERS:
-        world.network.keep[host] = _make_keeper(host, outcome)
+        world.network.handlers[host] = _make_keeper(host, outcome)
 
 
 @home_fakes.PROPERTY
@@ -71,9 +73,9 @@
     echo = await _get_ticket()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     for host, outcome in zip(home_fakes.KEEPERS, (first, second), strict=True):
-        world.network.keep[host] = _make_keeper(host, outcome)
+        world.network.handlers[host] = _make_keeper(host, outcome)
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     if Outcome.ANSWERED in (first, second):
         assert reply.payload == b"kept"
     elif first is second is Outcome.NOT_RUN:
@@ -91,9 +93,9 @@
     world = home_fakes.HomeWorld(_SUCCESSOR)
     _keep_all(world, Outcome.NOT_RUN)
     world.view.remove(home_fakes.KEEPERS[0])
-    del world.network.keep[home_fakes.KEEPERS[0]]
+    del world.network.handlers[home_fakes.KEEPERS[0]]
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
 
 
@@ -111,12 +113,12 @@
     async def answer_for_both(message: base.Message) -> base.Message:
         assert isinstance(message, work.Recover)
         if message.keeper == left:
-            return home_fakes.answered(b"handed over")
+            return home_fakes.make_answered(b"handed over")
         return work.Dispatched(Outcome.NOT_RUN)
 
-    world.network.keep[home_fakes.KEEPERS[1]] = answer_for_both
+    world.network.handlers[home_fakes.KEEPERS[1]] = answer_for_both
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.payload == b"handed over"
 
 
@@ -126,7 +128,7 @@
     world = home_fakes.HomeWorld(_SUCCESSOR, recovery=False)
     _keep_all(world, Outcome.NOT_RUN)
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
     assert not world.network.calls
 
@@ -150,7 +152,7 @@
         assert not world.network.calls
         # Once the home is known to be dead, the next copy is answered.
         world.view.remove(home_fakes.ME)
-        reply = await world.ask(POST, "/reserve", mid=1, echo=echo)
+        reply = await world.send_request(POST, "/reserve", mid=1, echo=echo)
     assert reply.code is Code.SERVICE_UNAVAILABLE
 
 
@@ -169,16 +171,20 @@
         if isinstance(message, work.Recover):
             fenced.append(message.token)
             return work.Dispatched(Outcome.NOT_RUN)
-        return home_fakes.answered(b"done")
+        return home_fakes.make_answered(b"done")
 
-    world.keep_all(keep)
+    world.handle_calls_with(keep)
     async with world.running():
         echo = await world.get_ticket()
-        await world.ask(POST, "/reserve", token=b"a", echo=echo)
+        await world.send_request(POST, "/reserve", token=b"a", echo=echo)
         world.view.put(home_fakes.make_member(home_fakes.ME, 2))
-        begun = await world.ask(POST, "/reserve", token=b"a", echo=echo)
+        begun = await world.send_request(
+            POST, "/reserve", token=b"a", echo=echo
+        )
         assert begun.payload == b"done"
-        other = await world.ask(POST, "/reserve", token=b"b", echo=echo)
+        other = await world.send_request(
+            POST, "/reserve", token=b"b", echo=echo
+        )
         assert other.code is Code.SERVICE_UNAVAILABLE
         assert set(fenced) == {b"b"}
         assert len(world.network.dispatches()) == 1
@@ -196,7 +202,7 @@
     world = home_fakes.HomeWorld(_SUCCESSOR)
     world.keys.offer(home_fakes.make_key_record(5, key_9="current"))
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
 
 
@@ -211,7 +217,7 @@
     echo = await _get_ticket()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     for host in home_fakes.KEEPERS:
-        world.network.keep[host] = _make_keeper(host, None)
+        world.network.handlers[host] = _make_keeper(host, None)
     message = home_fakes.make_request(
         POST, "/reserve", echo=echo, mtype=types.CON
     )
@@ -230,10 +236,10 @@
     echo = await _get_ticket()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     for host in home_fakes.KEEPERS:
-        world.network.keep[host] = _make_keeper(host, None)
+        world.network.handlers[host] = _make_keeper(host, None)
     began = trio.current_time()
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
     assert trio.current_time() - began < 30
 
@@ -247,7 +253,7 @@
             state=members.MemberState.DEAD,
         )
         world.view.put(dead)
-        world.network.keep[host] = _make_keeper(host, None)
+        world.network.handlers[host] = _make_keeper(host, None)
 
 
 @trios.clock_test
@@ -263,7 +269,7 @@
     _bury(world, "north")
     began = trio.current_time()
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
         assert reply.code is Code.GATEWAY_TIMEOUT
         assert trio.current_time() - began < 2
 
@@ -300,7 +306,7 @@
     keepers = [home_fakes.make_member(host) for host in home_fakes.KEEPERS]
     for member in (far, *keepers):
         world.view.put(dataclasses.replace(member, state=state))
-        world.network.keep[member.host] = _make_keeper(member.host, outcome)
+        world.network.handlers[member.host] = _make_keeper(member.host, outcome)
 
 
 def _make_world_that_hears() -> home_fakes.HomeWorld:
@@ -311,14 +317,16 @@
     return world
 
 
-async def _post_over(world: home_fakes.HomeWorld, keep: home_fakes.Keep) -> int:
+async def _post_over(
+    world: home_fakes.HomeWorld, keep: home_fakes.CallHandler
+) -> int:
     """Sends a reservation to the home, whose keepers do as told.
 
     Returns:
         How many messages callers had been sent before.
     """
     echo = await world.get_ticket()
-    world.keep_all(keep)
+    world.handle_calls_with(keep)
     before = len(world.answers.sent)
     message = home_fakes.make_request(
         POST, "/reserve", echo=echo, mtype=types.CON
@@ -424,9 +432,9 @@
             _bury(world, "north")
             raise errors.PeerLinkLostError("killed", step="call")
 
-        world.keep_all(die)
+        world.handle_calls_with(die)
         began = trio.current_time()
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
     assert trio.current_time() - began < 2
 
@@ -442,11 +450,13 @@
     echo = await _get_ticket()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     answering, silent = home_fakes.KEEPERS
-    world.network.keep[answering] = _make_keeper(answering, Outcome.ANSWERED)
-    world.network.keep[silent] = _hang
+    world.network.handlers[answering] = _make_keeper(
+        answering, Outcome.ANSWERED
+    )
+    world.network.handlers[silent] = _hang
     began = trio.current_time()
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
         assert reply.payload == b"kept"
         assert trio.current_time() - began < 1
 
@@ -461,13 +471,13 @@
     world.view.put(home_fakes.make_member(_FAR))
 
     async def answer_for_both(message: base.Message) -> base.Message:
-        return home_fakes.answered(b"handed over")
+        return home_fakes.make_answered(b"handed over")
 
-    world.network.keep[answering] = answer_for_both
-    world.network.keep[_FAR] = _hang
-    world.network.keep[_SUCCESSOR] = _hang
+    world.network.handlers[answering] = answer_for_both
+    world.network.handlers[_FAR] = _hang
+    world.network.handlers[_SUCCESSOR] = _hang
     began = trio.current_time()
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
         assert reply.payload == b"handed over"
         assert trio.current_time() - began < 1
--- a/tests/test_flows/test_flows_requests.py
+++ b/tests/test_flows/test_flows_requests.py
@@ -51,13 +51,13 @@
         count += 1
         mine = count
         await trio.sleep(delays[mine % len(delays)])
-        return home_fakes.answered(b"%d" % mine)
+        return home_fakes.make_answered(b"%d" % mine)
 
-    world.keep_all(count_up)
+    world.handle_calls_with(count_up)
     async with world.running():
         echo = await world.get_ticket()
         for number, mid, pause_s in sends:
-            home_fakes.post(
+            home_fakes.send_reservation(
                 world, echo, b"%d" % number, 100 + 10 * number + mid
             )
             await trio.sleep(pause_s)
@@ -74,13 +74,13 @@
 @trios.clock_test
 async def test_row_outlives_all_repetitions() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(home_fakes.answer_done)
+    world.handle_calls_with(home_fakes.answer_done)
     async with world.running():
         echo = await world.get_ticket()
         await trio.sleep(119)
-        home_fakes.post(world, echo, b"a", 50)
+        home_fakes.send_reservation(world, echo, b"a", 50)
         await trio.sleep(93)
-        reply = await world.ask(
+        reply = await world.send_request(
             POST, "/reserve", token=b"a", payload=b"lot 7", echo=echo
         )
     assert reply.payload == b"done"
@@ -90,11 +90,11 @@
 @trios.clock_test
 async def test_expired_ticket_begins_nothing() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(home_fakes.answer_done)
+    world.handle_calls_with(home_fakes.answer_done)
     async with world.running():
         echo = await world.get_ticket()
         await trio.sleep(121)
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
         assert reply.code is Code.UNAUTHORIZED
         assert reply.opt.echo != echo
         assert not world.network.calls
@@ -106,13 +106,13 @@
     outcomes = [work.Dispatched(work.Outcome.NOT_RUN, retry_after_s=4)] * 2
 
     async def refuse_first(message: base.Message) -> base.Message:
-        return outcomes.pop() if outcomes else home_fakes.answered(b"done")
+        return outcomes.pop() if outcomes else home_fakes.make_answered(b"done")
 
-    world.keep_all(refuse_first)
+    world.handle_calls_with(refuse_first)
     async with world.running():
         echo = await world.get_ticket()
-        first = await world.ask(POST, "/reserve", echo=echo)
-        late = await world.ask(POST, "/reserve", echo=echo)
+        first = await world.send_request(POST, "/reserve", echo=echo)
+        late = await world.send_request(POST, "/reserve", echo=echo)
     assert first.code is late.code is Code.SERVICE_UNAVAILABLE
     assert first.opt.max_age == 4
 
@@ -125,19 +125,23 @@
     of its datagram that was held up in the network arrives.
     """
     world = home_fakes.HomeWorld(most_flows=1, ticket_life_s=300)
-    world.keep_all(home_fakes.answer_done)
+    world.handle_calls_with(home_fakes.answer_done)
     async with world.running():
         echo = await world.get_ticket()
         await trio.sleep(250)
         later = await world.get_ticket()
-        await world.ask(POST, "/reserve", token=b"a", echo=echo)
-        refused = await world.ask(POST, "/reserve", token=b"b", echo=later)
+        await world.send_request(POST, "/reserve", token=b"a", echo=echo)
+        refused = await world.send_request(
+            POST, "/reserve", token=b"b", echo=later
+        )
         assert refused.code is Code.SERVICE_UNAVAILABLE
         # The first row is forgotten after 400 s of uptime.
         await trio.sleep(160)
-        copy = await world.ask(POST, "/reserve", token=b"b", echo=later)
+        copy = await world.send_request(
+            POST, "/reserve", token=b"b", echo=later
+        )
         assert copy.code is Code.UNAUTHORIZED
-        again = await world.ask(
+        again = await world.send_request(
             POST, "/reserve", token=b"c", echo=refused.opt.echo
         )
         assert again.payload == b"done"
@@ -153,16 +157,16 @@
     caller would send the request again under a new one.
     """
     world = home_fakes.HomeWorld()
-    world.keep_all(home_fakes.answer_done)
+    world.handle_calls_with(home_fakes.answer_done)
     async with world.running():
         echo = await world.get_ticket()
-        await world.ask(POST, "/reserve", token=b"a", echo=echo)
-        moved = await world.ask(
+        await world.send_request(POST, "/reserve", token=b"a", echo=echo)
+        moved = await world.send_request(
             POST, "/reserve", token=b"a", echo=echo, flow=home_fakes.OTHER_FLOW
         )
         assert moved.code is Code.GATEWAY_TIMEOUT
         assert moved.payload != b"done"
-        fresh = await world.ask(
+        fresh = await world.send_request(
             POST, "/reserve", token=b"b", echo=echo, flow=home_fakes.OTHER_FLOW
         )
         assert fresh.code is Code.UNAUTHORIZED
--- a/tests/test_flows/test_flows_requests_contracts.py
+++ b/tests/test_flows/test_flows_requests_contracts.py
@@ -25,17 +25,17 @@
     not yet known at the host that gets the next copy.
     """
     world = home_fakes.HomeWorld()
-    world.keep_all(home_fakes.answer_done)
+    world.handle_calls_with(home_fakes.answer_done)
     async with world.running():
         echo = await world.get_ticket()
-        await world.ask(POST, "/reserve", echo=echo)
+        await world.send_request(POST, "/reserve", echo=echo)
         record = control.ContractRecord(
             home_fakes.SERVICE, ids.Revision(2), b""
         )
         world.contracts.offer(record)
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
         assert reply.code is Code.GATEWAY_TIMEOUT
-        bare = await world.ask(POST, "/reserve")
+        bare = await world.send_request(POST, "/reserve")
         assert bare.code is Code.SERVICE_UNAVAILABLE
 
 
@@ -58,10 +58,10 @@
         world.contracts.offer(record)
         return work.Dispatched(work.Outcome.STALE)
 
-    world.keep_all(learn_late)
+    world.handle_calls_with(learn_late)
     async with world.running():
-        reply = await world.ask(Code.PUT, "/lots/1")
+        reply = await world.send_request(Code.PUT, "/lots/1")
         assert reply.code is Code.SERVICE_UNAVAILABLE
         assert len(world.network.calls) == 1
-        again = await world.ask(Code.PUT, "/lots/1")
+        again = await world.send_request(Code.PUT, "/lots/1")
         assert again.code is Code.UNAUTHORIZED
--- a/tests/test_flows/test_flows_requests_ends.py
+++ b/tests/test_flows/test_flows_requests_ends.py
@@ -23,20 +23,22 @@
 
     async def answer_late(message: base.Message) -> base.Message:
         await trio.sleep(3)
-        return home_fakes.answered(b"late")
+        return home_fakes.make_answered(b"late")
 
-    world.keep_all(answer_late)
+    world.handle_calls_with(answer_late)
     async with world.running():
         echo = await world.get_ticket()
-        home_fakes.post(world, echo, b"a", 60)
+        home_fakes.send_reservation(world, echo, b"a", 60)
         await trio.sleep(0.5)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(world.home.leave)
             await trio.sleep(0.5)
-            reply = await world.ask(POST, "/reserve", token=b"b", echo=echo)
+            reply = await world.send_request(
+                POST, "/reserve", token=b"b", echo=echo
+            )
             assert reply.code is Code.SERVICE_UNAVAILABLE
             assert reply.opt.echo is None
-            assert world.home.in_progress() == 1
+            assert world.home.count_in_progress() == 1
         late = world.answers.sent[-1][1]
     assert (late.token, late.payload) == (b"a", b"late")
     assert late.opt.echo is None
@@ -46,7 +48,7 @@
 async def test_last_caller_that_resets_cancels_the_work() -> None:
     world = home_fakes.HomeWorld()
     cancelled: list[base.Message] = []
-    world.keep_all(home_fakes.make_hanging_keeper(cancelled))
+    world.handle_calls_with(home_fakes.make_hanging_keeper(cancelled))
     async with world.running():
         echo = await world.get_ticket()
         for mid in (70, 71):
@@ -77,17 +79,17 @@
 async def test_late_copy_is_not_answered_once_its_token_is_used_again() -> None:
     """A buyer who books a second lot reads the answer to the first."""
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer_body)
+    world.handle_calls_with(_answer_body)
     async with world.running():
         echo = await world.get_ticket()
         for mid, lot in ((1, b"lot 1"), (2, b"lot 2")):
-            home_fakes.post(world, echo, b"a", mid, lot)
+            home_fakes.send_reservation(world, echo, b"a", mid, lot)
             await trio.sleep(0.1)
         before = len(world.answers.sent)
-        home_fakes.post(world, echo, b"a", 1, b"lot 1")
+        home_fakes.send_reservation(world, echo, b"a", 1, b"lot 1")
         await trio.sleep(0.1)
         assert _list_payloads(world, before) == []
-        home_fakes.post(world, echo, b"a", 2, b"lot 2")
+        home_fakes.send_reservation(world, echo, b"a", 2, b"lot 2")
         await trio.sleep(0.1)
         assert _list_payloads(world, before) == [b"lot 2"]
 
@@ -101,7 +103,7 @@
         await trio.sleep(2)
         return await _answer_body(message)
 
-    world.keep_all(answer_late)
+    world.handle_calls_with(answer_late)
     async with world.running():
         echo = await world.get_ticket()
         _post_confirmable(world, echo, 1, b"lot 1")
@@ -119,14 +121,14 @@
 async def test_late_retry_does_not_end_the_answer_to_the_next_request() -> None:
     """A buyer hears nothing of its second lot for a late copy of the first."""
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer_body)
+    world.handle_calls_with(_answer_body)
     async with world.running():
         echo = await world.get_ticket()
         for mid, lot in ((1, b"lot 1"), (2, b"lot 2"), (3, b"lot 1")):
-            home_fakes.post(world, echo, b"a", mid, lot)
+            home_fakes.send_reservation(world, echo, b"a", mid, lot)
             await trio.sleep(0.1)
         before = len(world.answers.sent)
-        home_fakes.post(world, echo, b"a", 2, b"lot 2")
+        home_fakes.send_reservation(world, echo, b"a", 2, b"lot 2")
         await trio.sleep(0.1)
         assert _list_payloads(world, before) == [b"lot 2"]
 
@@ -134,7 +136,7 @@
 async def _answer_body(message: base.Message) -> base.Message:
     """Answers a request with its own body."""
     assert isinstance(message, work.Dispatch)
-    return home_fakes.answered(codec.decode(message.request).payload)
+    return home_fakes.make_answered(codec.decode(message.request).payload)
 
 
 def _post_confirmable(
--- a/tests/test_flows/test_flows_requests_keepers.py
+++ b/tests/test_flows/test_flows_requests_keepers.py
@@ -23,15 +23,15 @@
     run" of a request that ran.
     """
     world = home_fakes.HomeWorld()
-    world.keep_all(home_fakes.answer_done)
+    world.handle_calls_with(home_fakes.answer_done)
     async with world.running():
         echo = await world.get_ticket()
         for host in home_fakes.KEEPERS:
             world.view.put(home_fakes.make_member(host, 2))
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
         assert reply.code is Code.SERVICE_UNAVAILABLE
         assert not world.network.calls
-        again = await world.ask(
+        again = await world.send_request(
             POST, "/reserve", token=b"n", echo=reply.opt.echo
         )
         assert again.payload == b"done"
@@ -40,14 +40,14 @@
 @trios.clock_test
 async def test_unreachable_keeper_is_passed_over() -> None:
     world = home_fakes.HomeWorld()
-    world.network.keep[home_fakes.KEEPERS[1]] = home_fakes.answer_done
+    world.network.handlers[home_fakes.KEEPERS[1]] = home_fakes.answer_done
     async with world.running():
         echo = await world.get_ticket()
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.payload == b"done"
 
 
-def _make_lost_link(found: work.Dispatched) -> home_fakes.Keep:
+def _make_lost_link(found: work.Dispatched) -> home_fakes.CallHandler:
     async def keep(message: base.Message) -> base.Message:
         if isinstance(message, work.Dispatch):
             raise errors.PeerLinkLostError("cut", step="call")
@@ -64,10 +64,10 @@
     lives and a new link opens.
     """
     world = home_fakes.HomeWorld()
-    world.keep_all(_make_lost_link(home_fakes.answered(b"kept")))
+    world.handle_calls_with(_make_lost_link(home_fakes.make_answered(b"kept")))
     async with world.running():
         echo = await world.get_ticket()
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.payload == b"kept"
     assert len(world.network.dispatches()) == 1
 
@@ -81,12 +81,12 @@
     """
     world = home_fakes.HomeWorld()
     other = work.Dispatched(work.Outcome.NOT_KEEPER)
-    world.keep_all(_make_lost_link(other))
+    world.handle_calls_with(_make_lost_link(other))
     async with world.running():
         echo = await world.get_ticket()
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
         assert reply.code is Code.GATEWAY_TIMEOUT
-        again = await world.ask(POST, "/reserve", echo=echo)
+        again = await world.send_request(POST, "/reserve", echo=echo)
         assert again.code is Code.GATEWAY_TIMEOUT
     assert len(world.network.dispatches()) == 1
     asked = [m for _, m in world.network.calls if isinstance(m, work.Recover)]
@@ -100,10 +100,10 @@
     async def fall_silent(message: base.Message) -> base.Message:
         return work.Dispatched(work.Outcome.UNKNOWN)
 
-    world.keep_all(fall_silent)
+    world.handle_calls_with(fall_silent)
     async with world.running():
         echo = await world.get_ticket()
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
     assert len(world.network.dispatches()) == 1
 
@@ -116,8 +116,8 @@
     request was dispatched.
     """
     world = home_fakes.HomeWorld(home_fakes.KEEPERS[0])
-    world.keep_all(home_fakes.answer_done)
+    world.handle_calls_with(home_fakes.answer_done)
     async with world.running():
         echo = await world.get_ticket()
-        await world.ask(POST, "/reserve", echo=echo)
+        await world.send_request(POST, "/reserve", echo=echo)
     assert [host for host, _ in world.network.calls] == [home_fakes.KEEPERS[1]]
--- a/tests/test_flows/test_flows_router.py
+++ b/tests/test_flows/test_flows_router.py
@@ -10,13 +10,13 @@
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
 from persimmonhinge.flows import port
-from persimmonhinge.flows import router as routers
+from persimmonhinge.flows import router as router_module
 from persimmonhinge.flows import tickets
-from persimmonhinge.keys import store as key_stores
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.keys import store
+from persimmonhinge.membership import member
+from persimmonhinge.membership import placement
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts
 from persimmonhinge.peers.messages import base
 from persimmonhinge.peers.messages import relay
 from tests.test_flows import home_fakes
@@ -47,28 +47,26 @@
     """Keeps what this host is home of."""
 
     def __init__(self) -> None:
-        self.taken: list[codec.Message] = []
+        self.handled: list[codec.Message] = []
 
     def handle(self, flow: port.Flow, message: codec.Message) -> None:
         """Keeps a datagram."""
-        self.taken.append(message)
+        self.handled.append(message)
 
 
 def _route(message: codec.Message) -> tuple[Links, Home]:
     """Routes a datagram at a host that is alone with one that leaves."""
-    view = views.View(home_fakes.make_member(home_fakes.ME))
+    view = view_module.View(home_fakes.make_member(home_fakes.ME))
     leaving = home_fakes.make_member(_LEAVING)
-    view.put(dataclasses.replace(leaving, state=members.MemberState.LEAVING))
+    view.put(dataclasses.replace(leaving, state=member.MemberState.LEAVING))
     links, home = Links(), Home()
-    router = routers.Router(
+    router = router_module.Router(
         view,
-        placements.Placement(view),
-        tickets.TicketMint(
-            home_fakes.make_settings(), key_stores.KeyStore(), view
-        ),
+        placement.Placement(view),
+        tickets.TicketMint(home_fakes.make_settings(), store.KeyStore(), view),
         links,  # type: ignore[arg-type]
         home,
-        host_counts.Counts(),
+        counts.Counts(),
     )
     router.receive(home_fakes.FLOW, codec.encode(message))
     return links, home
@@ -83,10 +81,10 @@
     assert host == _LEAVING
     assert isinstance(sent, relay.Relay)
     assert codec.decode(sent.data).mid == 7
-    assert len(home.taken) == 1
+    assert len(home.handled) == 1
 
 
 def test_request_is_not_sent_to_a_host_that_leaves() -> None:
     links, home = _route(home_fakes.make_request(codes.Code.GET, "/lots"))
     assert not links.sent
-    assert len(home.taken) == 1
+    assert len(home.handled) == 1
--- a/tests/test_flows/test_flows_table.py
+++ b/tests/test_flows/test_flows_table.py
@@ -15,11 +15,11 @@
     second = table.begin(keys[1], 50)
     assert first and second
     assert table.begin(keys[2], 10) is None
-    first.finish(home_fakes.answered(b"x"))
+    first.finish(home_fakes.make_answered(b"x"))
     table.expire(60)
     # The second still runs, and the first has time left.
     assert len(table) == 2
-    second.finish(home_fakes.answered(b"x"))
+    second.finish(home_fakes.make_answered(b"x"))
     table.expire(2000)
     assert len(table) == 0
 
--- a/tests/test_flows/test_flows_tickets.py
+++ b/tests/test_flows/test_flows_tickets.py
@@ -10,8 +10,8 @@
 from persimmonhinge import ids
 from persimmonhinge.flows import port
 from persimmonhinge.flows import tickets
-from persimmonhinge.keys import store as key_stores
-from persimmonhinge.membership import view as views
+from persimmonhinge.keys import store
+from persimmonhinge.membership import view as view_module
 from tests.support import trios
 from tests.test_flows import home_fakes
 
@@ -28,9 +28,9 @@
 
 
 def _make_mint() -> tickets.TicketMint:
-    keys = key_stores.KeyStore()
+    keys = store.KeyStore()
     keys.offer(home_fakes.make_key_record())
-    view = views.View(home_fakes.make_member(home_fakes.ME))
+    view = view_module.View(home_fakes.make_member(home_fakes.ME))
     return tickets.TicketMint(home_fakes.make_settings(), keys, view)
 
 
@@ -56,7 +56,7 @@
     assert mint.is_own(ticket.home)
     assert tickets.peek_home(octets) == ticket.home
     assert tickets.peek_id(octets) == ticket.ticket_id
-    assert mint.read_route(octets, flow) == ticket.home
+    assert mint.read_home(octets, flow) == ticket.home
 
 
 @home_fakes.PROPERTY
@@ -98,8 +98,8 @@
 
 @trios.clock_test
 async def test_keys_rotate_without_a_refusal_until_retired() -> None:
-    keys = key_stores.KeyStore()
-    view = views.View(home_fakes.make_member(home_fakes.ME))
+    keys = store.KeyStore()
+    view = view_module.View(home_fakes.make_member(home_fakes.ME))
     mint = tickets.TicketMint(home_fakes.make_settings(), keys, view)
     flow = home_fakes.FLOW
     keys.offer(home_fakes.make_key_record(1, key_1="current", key_2="next"))
@@ -115,14 +115,14 @@
 
 @trios.clock_test
 async def test_same_key_id_with_another_secret_is_refused() -> None:
-    other = key_stores.KeyStore()
+    other = store.KeyStore()
     record = home_fakes.make_key_record(1, key_1="current")
     body = record.body.replace(b'"key_id": 1', b'"key_id": 2')
     other.offer(record.__class__(record.revision, body))
-    view = views.View(home_fakes.make_member(home_fakes.ME))
+    view = view_module.View(home_fakes.make_member(home_fakes.ME))
     foreign = tickets.TicketMint(home_fakes.make_settings(), other, view)
     octets = bytearray(foreign.mint(home_fakes.FLOW, _KEEPERS))
-    keys = key_stores.KeyStore()
+    keys = store.KeyStore()
     keys.offer(home_fakes.make_key_record(1, key_2="current"))
     mint = tickets.TicketMint(home_fakes.make_settings(), keys, view)
     fault = _find_fault(mint, bytes(octets), home_fakes.FLOW)
@@ -131,9 +131,9 @@
 
 @trios.clock_test
 async def test_without_a_key_nothing_is_minted() -> None:
-    view = views.View(home_fakes.make_member(home_fakes.ME))
+    view = view_module.View(home_fakes.make_member(home_fakes.ME))
     mint = tickets.TicketMint(
-        home_fakes.make_settings(), key_stores.KeyStore(), view
+        home_fakes.make_settings(), store.KeyStore(), view
     )
     try:
         mint.mint(home_fakes.FLOW, _KEEPERS)
@@ -148,9 +148,9 @@
     mint = _make_mint()
     ticket = mint.read(mint.mint(home_fakes.FLOW, _KEEPERS), home_fakes.FLOW)
     await trio.sleep(119)
-    assert mint.begins(ticket)
+    assert mint.may_start_work(ticket)
     await trio.sleep(1.1)
-    assert not mint.begins(ticket)
+    assert not mint.may_start_work(ticket)
     # Its rows are still kept for all that a caller may repeat.
     assert ticket.expiry_ms - mint.uptime_ms() > 93_000
 
@@ -160,17 +160,17 @@
     mint = _make_mint()
     flow = home_fakes.FLOW
     closed = mint.read(mint.mint(flow, _KEEPERS), flow)
-    mint.close_issued()
+    mint.revoke_issued()
     fresh = mint.read(mint.mint(flow, _KEEPERS), flow)
-    assert not mint.begins(closed)
-    assert mint.begins(fresh)
+    assert not mint.may_start_work(closed)
+    assert mint.may_start_work(fresh)
 
 
 @trios.clock_test
 async def test_new_incarnation_of_a_woken_host_knows_its_old_tickets() -> None:
-    keys = key_stores.KeyStore()
+    keys = store.KeyStore()
     keys.offer(home_fakes.make_key_record())
-    view = views.View(home_fakes.make_member(home_fakes.ME, 1))
+    view = view_module.View(home_fakes.make_member(home_fakes.ME, 1))
     mint = tickets.TicketMint(home_fakes.make_settings(), keys, view)
     flow = home_fakes.FLOW
     old = mint.read(mint.mint(flow, _KEEPERS), flow)
