--- a/persimmonhinge/flows/__init__.py
+++ b/persimmonhinge/flows/__init__.py
@@ -1,1 +1,1 @@
-"""The home of flows: routing, tickets, requests and feeds."""
+"""The home of flows: packet routing, tickets, requests and feeds."""
--- a/persimmonhinge/flows/blocks.py
+++ b/persimmonhinge/flows/blocks.py
@@ -1,4 +1,4 @@
-"""Arithmetic of block-wise transfer (RFC 7959)."""
+"""Validation and creation of the blocks of block-wise transfer (RFC 7959)."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 Block: TypeAlias = optiontypes.BlockOption.BlockwiseTuple
 
 MAX_SIZE_EXPONENT = 6
-# For reliable transports only (RFC 8323 section 6).
+# Size exponent 7 is valid on reliable transports only (RFC 8323 section 6).
 _RESERVED_EXPONENT = 7
 _ECHO = optionnumbers.OptionNumber.ECHO
 
 
 def has_valid_size(block: Block, payload_octets: int) -> bool:
-    """Tells whether a block option fits the payload beside it.
+    """Returns whether a payload has a valid size for its block option.
 
     Args:
-        block: The option.
-        octets: Size of the payload.
+        block: The Block1 or Block2 option of the message.
+        payload_octets: Size of the payload of the same message, octets.
     """
     if block.size_exponent == _RESERVED_EXPONENT:
         return False
@@ -36,7 +36,7 @@
 
 
 def add_etag(reply: codec.Message) -> None:
-    """Gives a large answer an ETag, by which a caller tells its blocks."""
+    """Sets the ETag by which a caller matches the blocks of a large reply."""
     if reply.opt.etag is None:
         reply.opt.etag = xxhash.xxh3_64_digest(reply.payload)
 
@@ -44,15 +44,15 @@
 def extract_block(
     reply: codec.Message, requested: Block | None
 ) -> codec.Message | None:
-    """Returns one block of an answer.
+    """Returns one block of a reply.
 
     Args:
-        whole: The answer with its whole body.
-        wanted: Number and size that the caller asked for; None for the
-            first block in the largest size.
+        reply: The reply with its complete body.
+        requested: Number and size of the block that the caller requested;
+            None for the first block in the maximum size.
 
     Returns:
-        None if the answer ends before that block.
+        The message with this block; None if the body ends before it.
     """
     requested = requested or Block(0, False, MAX_SIZE_EXPONENT)
     block = requested.reduced_to(MAX_SIZE_EXPONENT)
@@ -75,12 +75,14 @@
 def make_block1_reply(
     code: codes.Code, block: Block, max_octets: int = 0
 ) -> codec.Message:
-    """Returns the answer to a block that can't be taken.
+    """Returns the reply to a request block that doesn't complete an upload.
 
     Args:
-        code: Why, as RFC 7959 section 2.9 defines.
-        block: The block option of the request.
-        limit_octets: Size that would be taken, for 4.13.
+        code: The response code: 2.31 to continue, or one of the errors of
+            RFC 7959 section 2.9.
+        block: The Block1 option of the request.
+        max_octets: Maximum size of a body, octets, sent with a 4.13; 0 to
+            send no size.
     """
     reply = codec.Message(code=code)
     if block.size_exponent != _RESERVED_EXPONENT:
--- a/persimmonhinge/flows/caller_sockets.py
+++ b/persimmonhinge/flows/caller_sockets.py
@@ -1,4 +1,4 @@
-"""The datagram sockets towards callers, one for each service."""
+"""UDP sockets for datagrams from and to callers, one for each service."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 
 logger = logging.getLogger(__name__)
 
-# Datagrams taken at one wake-up; other tasks run in between.
+# Maximum number of datagrams that a socket's task reads in a row before other
+# tasks can run.
 _MAX_DATAGRAMS_PER_WAKEUP = 64
 _RECEIVE_BUFFER_OCTETS = 4 * 1024 * 1024
 _BIND_RETRY_S = 1.0
@@ -28,10 +29,10 @@
 
 
 class CallerSockets:
-    """Receives callers' datagrams and sends the answers.
+    """Receives datagrams from callers and sends the replies.
 
-    Answers leave through the socket of the service, so that they carry its
-    address whichever host sends them.
+    A reply is sent from the socket of its service, so that its source address
+    is the address of the service on every host.
     """
 
     def __init__(
@@ -47,26 +48,28 @@
         self._message_ids = message_ids.MessageIds()
 
     async def run(self, receive: ReceiveDatagram) -> None:
-        """Serves the services of the contracts in force.
+        """Listens for the services of the contracts in force.
+
+        Sockets are opened and closed as the contracts change.
 
         Args:
-            receive: Takes each datagram with its flow.
+            receive: Is called with the flow and the content of each datagram.
         """
         async with trio.open_nursery() as nursery:
             running: dict[tuple[ids.ServiceName, str, int], trio.CancelScope]
             running = {}
             while True:
                 version = self._contracts.changed.version
-                wanted = self._list_required()
-                for key in set(running) - wanted:
+                required = self._list_required()
+                for key in set(running) - required:
                     running.pop(key).cancel()
-                for key in wanted - set(running):
+                for key in required - set(running):
                     running[key] = trio.CancelScope()
                     nursery.start_soon(self._serve, key, running[key], receive)
                 await self._contracts.changed.wait_beyond(version)
 
     def send(self, flow: port.Flow, message: codec.Message) -> None:
-        """Sends one message to a caller; see `flows.port.Answers`."""
+        """Sends one message to a caller; see `flows.port.CallerSender`."""
         self.send_octets(flow, codec.encode(message))
 
     def send_octets(self, flow: port.Flow, data: bytes) -> None:
@@ -78,23 +81,23 @@
         try:
             sender.sendto(data, flow.caller)
         except OSError as error:
-            # The kernel's queue is full or the caller's port is closed: a
-            # datagram may always be lost, and the sender repeats it.
+            # The kernel's send queue is full or the caller's port is closed.
+            # Any datagram may be lost, and its sender then retransmits it.
             name = type(error).__name__
             self._counts.add("answers_dropped_total", cause=name)
 
     def next_message_id(self, flow: port.Flow) -> int:
-        """Returns a message id that is new to the caller."""
+        """Returns a message id that the caller hasn't seen lately."""
         return self._message_ids.allocate_id(flow)
 
     def _list_required(self) -> set[tuple[ids.ServiceName, str, int]]:
-        wanted = set()
+        required = set()
         for entry in self._contracts.entries():
             contract = entry.contract
             host = self._settings.data_address or contract.address.host
             service = ids.ServiceName(contract.service)
-            wanted.add((service, host, contract.address.port))
-        return wanted
+            required.add((service, host, contract.address.port))
+        return required
 
     async def _serve(
         self,
@@ -128,7 +131,10 @@
             except OSError as error:
                 receiver.close()
                 logger.warning(
-                    "Can't bind %s for %s: %s", address, service, error
+                    "Could not bind address %s for service %s: %s",
+                    address,
+                    service,
+                    error,
                 )
                 await trio.sleep(_BIND_RETRY_S)
                 continue
@@ -141,18 +147,19 @@
         receiver: socket.socket,
         receive: ReceiveDatagram,
     ) -> None:
-        take = functools.partial(
+        receive_datagram = functools.partial(
             receiver.recvfrom, codec.MAX_DATAGRAM_OCTETS + 1
         )
         while True:
             await trio.lowlevel.wait_readable(receiver)
             for _ in range(_MAX_DATAGRAMS_PER_WAKEUP):
                 try:
-                    data, source = take()
+                    data, source = receive_datagram()
                 except BlockingIOError:
                     break
                 except OSError:
-                    # An earlier answer met a closed port (ICMP): it says
-                    # nothing about the datagrams that wait.
+                    # An earlier reply reached a closed port and the kernel
+                    # reports the ICMP error here. Datagrams that are queued
+                    # are not affected.
                     continue
                 receive(port.Flow(service, source[:2]), data)
--- a/persimmonhinge/flows/digests.py
+++ b/persimmonhinge/flows/digests.py
@@ -1,4 +1,4 @@
-"""Hashes of requests, by which copies of one request are told."""
+"""Hashes of requests, which identify copies of the same request."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from persimmonhinge.coap import codec
 from persimmonhinge.coap import options
 
-# What a caller may change between two attempts at the same request, and
-# what ends at the home.
+# Options that a caller may change between two attempts at the same request,
+# and options that the home handles itself and doesn't forward.
 HOP_BY_HOP_OPTIONS = frozenset(
     {
         optionnumbers.OptionNumber.BLOCK1,
@@ -26,23 +26,26 @@
 
 
 def compute_digest(message: codec.Message) -> bytes:
-    """Returns 8 octets that name a request whatever way it takes.
+    """Returns an 8-octet hash that is equal for all attempts at a request.
 
-    They cover code, body and all options but those of `HOP_OPTIONS`.
+    It covers the code, the body and all options except those of
+    `HOP_BY_HOP_OPTIONS`, so it doesn't depend on the route of the request.
     """
     return _hash_message(message, HOP_BY_HOP_OPTIONS, message.payload)
 
 
 def compute_options_digest(message: codec.Message) -> bytes:
-    """Returns 8 octets that name what a request asks for, without its body.
+    """Returns an 8-octet hash of a request without its body.
 
-    The blocks of one upload, or of one large answer, share them.
+    It covers the code and all options except those of
+    `HOP_BY_HOP_OPTIONS`. The requests for the blocks of one upload, or of
+    one large reply, have the same hash.
     """
     return _hash_message(message, HOP_BY_HOP_OPTIONS, b"")
 
 
 def compute_fingerprint(message: codec.Message) -> bytes:
-    """Returns 8 octets that name one datagram, its message id aside."""
+    """Returns an 8-octet hash of a datagram except for its message id."""
     return _hash_message(message, frozenset(), message.payload, message.token)
 
 
@@ -57,7 +60,8 @@
         if option.number in excluded:
             continue
         value = option.encode()
-        # The lengths keep two lists of options apart that join alike.
+        # The lengths separate lists of options whose values concatenate to
+        # the same octets.
         parts.append(int(option.number).to_bytes(4, "big"))
         parts.append(len(value).to_bytes(2, "big"))
         parts.append(value)
--- a/persimmonhinge/flows/exchange.py
+++ b/persimmonhinge/flows/exchange.py
@@ -1,4 +1,4 @@
-"""One request datagram of a caller and what it is answered."""
+"""One request datagram of a caller and the reply to it."""
 
 from __future__ import annotations
 
@@ -16,20 +16,24 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Exchange:
-    """A request datagram, from its first copy until its answer is forgotten.
+    """A request datagram, from its first copy until its reply is removed.
 
     Attributes:
-        flow: Whose it is.
-        message_id: Its message id.
-        token: Its token.
-        confirmable: Whether it came as CON.
-        fingerprint: Hash of the datagram.
-        begun: When its first copy came, on trio's clock.
-        acknowledged: Whether an empty ACK was sent.
-        reply: The answer as it was sent; None before.
-        is_received: Whether the caller has shown that it has the answer.
-        scope: Cancels the work; None if nothing runs.
-        shape: What the request says about the form of its answer.
+        flow: The flow that sent the request.
+        message_id: Message id of the request.
+        token: Token of the request.
+        confirmable: Whether the request is of type CON.
+        fingerprint: Hash of the datagram without its message id.
+        received_at: Time at which the first copy was received, seconds on
+            trio's clock.
+        acknowledged: Whether an empty ACK was sent, or none is to be sent.
+        reply: The reply as it was sent; None before.
+        is_confirmed: Whether the caller has shown that it received the
+            reply.
+        cancel_scope: Cancels the task that runs the request; None if no
+            task runs.
+        block_params: Block options of the request and the keys under which
+            a large reply is stored.
     """
 
     flow: port.Flow
@@ -48,10 +52,10 @@
 
     @property
     def key(self) -> ExchangeKey:
-        """Flow and message id."""
+        """Flow and message id of the request."""
         return (self.flow, self.message_id)
 
     @property
     def has_separate_reply(self) -> bool:
-        """True if a CON answer of its own was sent after an empty ACK."""
+        """True if the reply was sent separately from the ACK, as a CON."""
         return self.reply is not None and self.reply.mtype is types.CON
--- a/persimmonhinge/flows/exchanges.py
+++ b/persimmonhinge/flows/exchanges.py
@@ -20,20 +20,22 @@
 
 logger = logging.getLogger(__name__)
 
-# An answer that is ready within this time rides on the ACK. Callers repeat
-# after 2 s (RFC 7252 section 4.8), so half of that leaves time for the way.
-# A separate answer costs three datagrams in place of one, and its ACK names
-# no ticket: it reaches the home by the hash, not a home that leaves.
+# A reply that is ready within this time is piggybacked on the ACK. Callers
+# retransmit after 2 s (RFC 7252 section 4.8), so half of that leaves time for
+# network delay. A separate reply costs three datagrams instead of one. The
+# caller's ACK of it carries no ticket, so it is routed by the hash and doesn't
+# reach a home that is leaving.
 PIGGYBACK_S = 1.0
-# Answers kept for copies of their request. Beyond it the oldest are
-# forgotten: a copy of idempotent work then runs again, and a copy of other
-# work finds its row in the request table.
+# Maximum number of exchanges whose replies are stored for copies of their
+# requests. Above it the oldest are removed: a copy of an idempotent request
+# then runs again, and a copy of any other request finds its row in the request
+# table.
 MAX_EXCHANGES = 10_000
 _CLEANUP_INTERVAL_S = 1.0
 
 
 class Exchanges:
-    """Tells copies from new requests, acknowledges, and repeats answers."""
+    """Detects duplicate requests, sends ACKs and retransmits replies."""
 
     def __init__(
         self,
@@ -60,22 +62,23 @@
     def register_request(
         self, flow: port.Flow, message: codec.Message
     ) -> exchange_module.Exchange | None:
-        """Takes a request datagram.
+        """Registers a request datagram, or resends the reply to a copy.
 
-        Guards against a caller who gets another's answer: where a port is
-        reused at once, the new caller may hit upon a message id of the old
-        one. A copy has the same fingerprint, token included; anything else
-        under that id is a new request.
+        A port that is reused at once may belong to a new caller, which may
+        use a message id of the former caller and must not get that one's
+        reply. A datagram is therefore a copy only if its fingerprint, which
+        includes the token, is equal too; any other datagram with the same
+        message id is a new request.
 
         Returns:
-            None if it is a copy; what its first copy was answered is then
-            sent again.
+            The exchange of a new request; None if the datagram is a copy.
+            The reply to the first copy is then sent again.
         """
         fingerprint = digests.compute_fingerprint(message)
-        known = self._by_key.get((flow, message.mid))
-        if known is not None and known.fingerprint == fingerprint:
+        existing = self._by_key.get((flow, message.mid))
+        if existing is not None and existing.fingerprint == fingerprint:
             self._counts.add("home_duplicates_total")
-            self._resend_reply(known)
+            self._resend_reply(existing)
             return None
         exchange = exchange_module.Exchange(
             flow,
@@ -88,16 +91,16 @@
         self._by_key[exchange.key] = exchange
         self._by_age.append(exchange)
         self._enforce_limit()
-        answered = self._token_uses.record_request(exchange)
-        if answered is not None:
-            self._stop_retransmission(answered)
+        superseded = self._token_uses.record_request(exchange)
+        if superseded is not None:
+            self._stop_retransmission(superseded)
         return exchange
 
     def _stop_retransmission(self, exchange: exchange_module.Exchange) -> None:
-        """Sends an answer no more whose token its caller has used again.
+        """Stops sending a reply whose token its caller has used again.
 
-        Guards against a caller who takes the copy of an answer, which comes
-        late, for the answer to its next request.
+        Otherwise the caller could match a late copy of this reply to its
+        next request.
         """
         exchange.is_confirmed = True
         self._counts.add("home_tokens_reused_total")
@@ -105,7 +108,7 @@
             self.acknowledge(exchange.flow, exchange.reply.mid)
 
     def schedule_empty_ack(self, exchange: exchange_module.Exchange) -> None:
-        """Sees to an empty ACK if the answer takes its time."""
+        """Schedules an empty ACK if no reply is sent within `PIGGYBACK_S`."""
         if exchange.confirmable:
             self._unacknowledged.append(exchange)
             self._ack_scheduled.set()
@@ -113,7 +116,11 @@
     def send_reply(
         self, exchange: exchange_module.Exchange, reply: codec.Message
     ) -> None:
-        """Sends the answer; a separate one still waits for `confirm`."""
+        """Sends the reply to a request.
+
+        A separate reply isn't retransmitted before
+        `retransmit_until_confirmed` is called.
+        """
         reply.token = exchange.token
         exchange.cancel_scope = None
         if exchange.confirmable and not exchange.acknowledged:
@@ -126,7 +133,10 @@
         self._sender.send(exchange.flow, reply)
 
     def discard_request(self, exchange: exchange_module.Exchange) -> None:
-        """Forgets a request without an answer: a copy of it is a new one."""
+        """Removes a request that gets no reply.
+
+        A copy of it is treated as a new request.
+        """
         exchange.acknowledged = True
         exchange.cancel_scope = None
         self._token_uses.remove_request(exchange)
@@ -136,48 +146,48 @@
     async def retransmit_until_confirmed(
         self, exchange: exchange_module.Exchange
     ) -> None:
-        """Repeats a separate answer until the caller takes or rejects it.
+        """Retransmits a separate reply until the caller sends an ACK or RST.
 
-        It gives up after the attempts of RFC 7252 section 4.2.
+        It stops after the number of retransmissions of RFC 7252 section 4.2.
         """
         reply = exchange.reply
         if reply is None or not exchange.has_separate_reply:
             return
         key = (exchange.flow, reply.mid)
-        done = trio.Event()
-        self._unconfirmed[key] = done
+        confirmed = trio.Event()
+        self._unconfirmed[key] = confirmed
         timeout_s = transmission.ACK_TIMEOUT_S * random.uniform(
             1.0, transmission.ACK_RANDOM_FACTOR
         )
         try:
             for _ in range(transmission.MAX_RETRANSMIT):
                 with trio.move_on_after(timeout_s):
-                    await done.wait()
+                    await confirmed.wait()
                     return
                 self._sender.send(exchange.flow, reply)
                 timeout_s *= 2
             with trio.move_on_after(timeout_s):
-                await done.wait()
+                await confirmed.wait()
                 return
             self._counts.add("home_answers_unconfirmed_total")
         finally:
-            if self._unconfirmed.get(key) is done:
+            if self._unconfirmed.get(key) is confirmed:
                 del self._unconfirmed[key]
 
     def acknowledge(self, flow: port.Flow, message_id: int) -> bool:
-        """Takes an ACK; returns False if it is for none of these answers."""
-        done = self._unconfirmed.get((flow, message_id))
-        if done is None:
+        """Handles an ACK; returns False if it matches no unconfirmed reply."""
+        confirmed = self._unconfirmed.get((flow, message_id))
+        if confirmed is None:
             return False
-        done.set()
+        confirmed.set()
         return True
 
     def reset(self, flow: port.Flow, message_id: int) -> bool:
-        """Takes an RST; returns False if it is for none of these.
+        """Handles an RST; returns False if it matches no reply or request.
 
-        With the id of an answer it ends its repetition. With the id of a
-        request that still runs it cancels that: the caller rejects the
-        empty ACK because it no longer waits.
+        An RST with the message id of a reply stops its retransmission. An
+        RST with the message id of a running request cancels the request: the
+        caller rejects the empty ACK because it no longer waits for the reply.
         """
         if self.acknowledge(flow, message_id):
             return True
@@ -189,7 +199,7 @@
         return True
 
     async def run(self) -> None:
-        """Sends empty ACKs in time and forgets old answers."""
+        """Sends empty ACKs when they are due and removes expired exchanges."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send_due_acks)
             while True:
@@ -201,7 +211,7 @@
             await self._ack_scheduled.wait()
             while self._unacknowledged:
                 exchange = self._unacknowledged.popleft()
-                # All wait the same time, so the queue is in order.
+                # The delay is the same for all, so the queue is sorted.
                 await trio.sleep_until(exchange.received_at + PIGGYBACK_S)
                 if exchange.reply is None and not exchange.acknowledged:
                     self._send_empty_ack(exchange)
@@ -219,7 +229,7 @@
                 self._send_empty_ack(exchange)
             return
         if exchange.has_separate_reply:
-            # The answer itself is repeated until it is confirmed.
+            # `retransmit_until_confirmed` sends the reply itself again.
             self._send_empty_ack(exchange)
             return
         self._sender.send(exchange.flow, exchange.reply)
@@ -232,7 +242,8 @@
             self._remove_oldest()
 
     def _enforce_limit(self) -> None:
-        # Two for each new one, so that it stays cheap where most still run.
+        # At most two are removed for each new exchange, which bounds the cost
+        # when most of the oldest exchanges are still running.
         for _ in range(2):
             if len(self._by_age) > MAX_EXCHANGES:
                 self._remove_oldest()
@@ -240,7 +251,7 @@
     def _remove_oldest(self) -> None:
         exchange = self._by_age.popleft()
         if exchange.cancel_scope is not None:
-            # Still running: a copy must not start it a second time.
+            # The request is still running: a copy must not start it again.
             self._by_age.append(exchange)
             return
         self._token_uses.remove_request(exchange)
@@ -254,7 +265,7 @@
     message_type: types.Type,
     message_id: int,
 ) -> None:
-    """Sends an ACK or RST without content."""
+    """Sends an empty ACK or RST."""
     message = codec.Message(code=codes.Code.EMPTY)
     message.mtype = message_type
     message.mid = message_id
--- a/persimmonhinge/flows/feed_server.py
+++ b/persimmonhinge/flows/feed_server.py
@@ -1,4 +1,4 @@
-"""What a home needs of the part that carries feeds."""
+"""Interface between the home and the code that serves feeds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FeedServer(Protocol):
-    """Opens and closes the feeds of callers."""
+    """Opens and closes the feeds (CoAP observations) of callers."""
 
     def open(
         self,
@@ -20,22 +20,25 @@
         entry: store.ContractEntry,
         call_class: contract.CallClass,
     ) -> None:
-        """Takes a GET with Observe 0, each copy of it; answers it itself."""
+        """Handles a GET with Observe 0, including copies, and replies to it."""
 
     def close(self, flow: port.Flow, message: codec.Message) -> bool:
-        """Takes a GET with Observe 1; False if there is no such feed."""
+        """Handles a GET with Observe 1; returns False without an open feed."""
 
     def acknowledge(self, flow: port.Flow, message_id: int) -> bool:
-        """Takes an ACK; False if it is for none of its notifications."""
+        """Handles an ACK; returns False if it matches no notification."""
 
     def reset(self, flow: port.Flow, message_id: int) -> bool:
-        """Takes an RST; False if it is for none of its notifications."""
+        """Handles an RST; returns False if it matches no notification."""
 
     def read_state(
         self, flow: port.Flow, message: codec.Message
     ) -> codec.Message | None:
-        """Returns the newest answer of an open feed with its whole body.
+        """Returns the latest notification of an open feed with its whole body.
 
-        For a later block of a large notification (RFC 7959 section 2.6).
-        None if the flow has no such feed.
+        Later blocks of a large notification are read from it (RFC 7959
+        section 2.6).
+
+        Returns:
+            The notification; None if the flow has no such feed.
         """
