--- a/persimmonhinge/flows/home.py
+++ b/persimmonhinge/flows/home.py
@@ -1,4 +1,4 @@
-"""The home of flows: takes what callers send and sees to the answers."""
+"""The home of flows: handles the datagrams of callers and replies to them."""
 
 from __future__ import annotations
 
@@ -80,13 +80,13 @@
         )
 
     def count_in_progress(self) -> int:
-        """Returns the requests that run or whose answer is not confirmed."""
+        """Returns the number of running requests and unconfirmed replies."""
         return self._server.count_running() + self._server.count_unconfirmed()
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serves until it is cancelled."""
+        """Serves requests until it is cancelled."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self._once.run)
             await nursery.start(self._server.run)
@@ -94,10 +94,10 @@
             task_status.started()
 
     async def leave(self) -> None:
-        """Begins no new non-idempotent work; returns once all is answered.
+        """Starts no more non-idempotent requests; waits for all replies.
 
-        A caller that does not confirm its answer, because it went away, is
-        not waited for longer than two repetitions take.
+        The wait for callers to confirm their replies is limited to the time
+        of two retransmissions, because a caller may have ended.
         """
         self._once.leave()
         while self._server.count_running():
@@ -107,13 +107,15 @@
                 await trio.sleep(_LEAVE_POLL_INTERVAL_S)
 
     def handle(self, flow: port.Flow, message: codec.Message) -> None:
-        """Takes a datagram of a flow; never waits and never fails."""
+        """Handles a message of a flow; never waits and never raises."""
         try:
             self._handle_message(flow, message)
         except Exception:
-            # Guards against one datagram that ends the host, and all flows
-            # with it, by a fault of ours that it brings out.
-            logger.exception("A datagram for %s failed.", flow.service)
+            # A bug that one datagram triggers must not stop the host and
+            # with it all other flows.
+            logger.exception(
+                "Handling a datagram for service %s failed.", flow.service
+            )
             self._counts.add("home_faults_total")
 
     def _handle_message(self, flow: port.Flow, message: codec.Message) -> None:
@@ -127,7 +129,7 @@
             if not self._exchanges.reset(flow, message.mid):
                 self._feeds.reset(flow, message.mid)
         elif message.mtype is types.CON:
-            # A ping, or a response that we can't have asked for.
+            # A CoAP ping, or a response: this host sends callers no requests.
             exchanges.send_empty(self._sender, flow, types.RST, message.mid)
 
     def _handle_request(self, flow: port.Flow, message: codec.Message) -> None:
@@ -135,7 +137,8 @@
         if entry is not None and self._open_feed(flow, message, entry):
             return
         if message.mtype is types.NON and request.check_options(message):
-            # RFC 7252 section 5.4.1: it is rejected as a message.
+            # RFC 7252 section 5.4.1: a NON request with an unsupported critical
+            # option is rejected with an RST.
             exchanges.send_empty(self._sender, flow, types.RST, message.mid)
             return
         exchange = self._exchanges.register_request(flow, message)
@@ -150,7 +153,7 @@
         message: codec.Message,
         entry: store.ContractEntry,
     ) -> bool:
-        """Hands a registration to the feeds; False if it is none."""
+        """Passes a feed registration on; returns False for other requests."""
         if message.code is not codes.Code.GET:
             return False
         if message.opt.observe != request.OBSERVE_REGISTER:
--- a/persimmonhinge/flows/port.py
+++ b/persimmonhinge/flows/port.py
@@ -1,4 +1,4 @@
-"""What the parts of a home need around them, as narrow interfaces."""
+"""Interfaces through which the home sends datagrams and picks upstreams."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Flow:
-    """A caller at a service.
+    """The traffic between one caller and one service.
 
     Attributes:
-        service: The service whose address it calls.
-        caller: Its IP address and port.
+        service: The service whose address the caller sends to.
+        caller: IP address and port of the caller.
     """
 
     service: ids.ServiceName
@@ -31,22 +31,22 @@
     """Sends datagrams to callers from the address of a service."""
 
     def send(self, flow: Flow, message: codec.Message) -> None:
-        """Queues one datagram; message id, type and token are set."""
+        """Sends one datagram; its message id, type and token must be set."""
 
     def next_message_id(self, flow: Flow) -> int:
-        """Returns a message id that this host has not used lately."""
+        """Returns a message id that wasn't used lately for this caller."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """Where one piece of work goes.
+    """The upstream chosen for one request or feed.
 
     Attributes:
-        upstream: The upstream.
-        keeper: Host that keeps it.
-        keeper_ref: The incarnation of that host.
-        may_be_busy: True if the upstream may turn out to have no free slot
-            while another one, which could take the work too, has.
+        upstream: The chosen upstream.
+        keeper: The host that sends to this upstream.
+        keeper_ref: The incarnation of the keeper.
+        may_be_busy: True if the upstream may have no free slot while another
+            suitable upstream has one.
     """
 
     upstream: contract.Upstream
@@ -56,7 +56,7 @@
 
 
 class Chooser(Protocol):
-    """Chooses upstreams from what the keepers report."""
+    """Chooses upstreams by the load that their keepers report."""
 
     def choose(
         self,
@@ -70,23 +70,25 @@
 
         Args:
             entry: The contract.
-            kind: REQUEST counts busy slots and queue, FEED open feeds.
-            exclude: Upstreams that are not to be chosen.
-            among: Keeper incarnations to stay with; None for all.
+            kind: REQUEST compares busy slots and queue lengths, FEED the
+                numbers of open feeds.
+            exclude: Upstreams that must not be chosen.
+            keeper_refs: Keeper incarnations whose upstreams may be chosen;
+                None for all.
 
         Returns:
-            None if no upstream can be reached through a keeper.
+            The choice; None if no upstream can be reached through a keeper.
         """
 
     def pick_keepers(
         self, entry: store.ContractEntry, count: int
     ) -> tuple[ids.HostRef, ...]:
-        """Returns keeper incarnations for a new ticket."""
+        """Returns at most `count` keeper incarnations for a new ticket."""
 
     def record_load(
         self, service: ids.ServiceName, load: work.UpstreamLoad
     ) -> None:
-        """Takes in a keeper's report that came with an answer."""
+        """Records the load that a keeper reported with an answer."""
 
     def record_start(
         self,
@@ -94,7 +96,7 @@
         upstream: ids.UpstreamId,
         kind: contract.CallKind,
     ) -> None:
-        """Counts work that this host has begun at an upstream."""
+        """Records that this host has started a request or feed there."""
 
     def record_end(
         self,
@@ -102,4 +104,4 @@
         upstream: ids.UpstreamId,
         kind: contract.CallKind,
     ) -> None:
-        """Counts work that this host has ended."""
+        """Records that a request or feed of this host has ended."""
--- a/persimmonhinge/flows/request.py
+++ b/persimmonhinge/flows/request.py
@@ -1,4 +1,4 @@
-"""Reads what a caller's request asks for."""
+"""Parsing and checking of the requests of callers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     codes.Code.iPATCH: contract.Method.IPATCH,
 }
 _PROXY_OPTIONS = frozenset({_Number.PROXY_URI, _Number.PROXY_SCHEME})
-# Critical options that this system or the upstream deals with.
+# Critical options that the home or the upstream processes.
 _SUPPORTED_CRITICAL_OPTIONS = frozenset(
     {
         _Number.IF_MATCH,
@@ -43,19 +43,22 @@
 
 
 def get_method(message: codec.Message) -> contract.Method | None:
-    """Returns the method, None for a code that is none we know."""
+    """Returns the method of a request, None for an unsupported method code."""
     return _METHODS.get(message.code)
 
 
 def get_path(message: codec.Message) -> str:
-    """Returns the path, `/` first."""
+    """Returns the path of a request, with a leading `/`."""
     return "/" + "/".join(message.opt.uri_path)
 
 
 def get_deadline_s(
     message: codec.Message, call_class: contract.CallClass
 ) -> float:
-    """Returns how long the caller still waits, seconds."""
+    """Returns how long the caller waits for the reply, seconds.
+
+    A request without a Deadline option has the deadline of its call class.
+    """
     deadline_ms = codec.read_deadline_ms(message)
     if deadline_ms is None:
         return call_class.deadline_s
@@ -63,10 +66,10 @@
 
 
 def check_options(message: codec.Message) -> codes.Code | None:
-    """Returns the error code for options that can't be honoured, or None."""
+    """Returns the error code for the first invalid option, or None."""
     for block in (message.opt.block1, message.opt.block2):
         if block is not None and block.is_bert:
-            # RFC 7959 section 2.2: reserved, to be answered by 4.00.
+            # RFC 7959 section 2.2: a reserved size exponent requires 4.00.
             return codes.Code.BAD_REQUEST
     for option in message.opt.option_list():
         if option.number in _PROXY_OPTIONS:
@@ -80,12 +83,12 @@
 
 
 def encode_for_upstream(message: codec.Message) -> bytes:
-    """Returns the request without what was meant for this hop."""
-    request = codec.Message(code=message.code, payload=message.payload)
+    """Returns the encoded request without its hop-by-hop options."""
+    forwarded = codec.Message(code=message.code, payload=message.payload)
     for option in message.opt.option_list():
         if option.number not in digests.HOP_BY_HOP_OPTIONS:
-            request.opt.add_option(option)
-    request.mtype = types.NON
-    request.mid = 0
-    request.token = b""
-    return codec.encode(request)
+            forwarded.opt.add_option(option)
+    forwarded.mtype = types.NON
+    forwarded.mid = 0
+    forwarded.token = b""
+    return codec.encode(forwarded)
--- a/persimmonhinge/flows/router.py
+++ b/persimmonhinge/flows/router.py
@@ -1,4 +1,4 @@
-"""Finds the home of each datagram and hands or relays it there."""
+"""Finds the home of each datagram and relays the datagram to it."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class MessageHandler(Protocol):
-    """The home, as the router sees it."""
+    """Interface of the home that the router uses."""
 
     def handle(self, flow: port.Flow, message: codec.Message) -> None:
-        """Takes a datagram whose home is this host."""
+        """Handles a message of a flow whose home is this host."""
 
 
 class Router:
-    """Routes datagrams by their ticket, else by rendezvous hash."""
+    """Routes datagrams by ticket, or by rendezvous hash if they have none."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         network.handle_sent(relay.Relay, self._handle_relayed)
 
     def receive(self, flow: port.Flow, data: bytes) -> None:
-        """Takes a datagram from the fabric."""
+        """Handles a datagram received from the fabric."""
         self._counts.add("datagrams_received_total")
         message = self._decode(flow, data)
         if message is None:
@@ -65,17 +65,19 @@
             if self._network.send(host, self._make_relay(flow, data)):
                 self._counts.add("datagrams_relayed_total")
                 return
-            # That home can't be reached (dead, or cut off from here): the
-            # next in rank serves. Two homes for one flow are safe, since
-            # work that may run once is bound to its ticket.
+            # That home can't be reached: it has failed, or the network
+            # between it and this host has. The next host in rank order serves
+            # the flow. Two homes for one flow are safe, because at-most-once
+            # requests are bound to their ticket.
             self._counts.add("homes_passed_over_total")
         self._home.handle(flow, message)
 
     def _forward_to_leaving_hosts(self, flow: port.Flow, data: bytes) -> None:
-        """Passes a confirmation on to hosts that leave.
+        """Relays an ACK or RST to all hosts that are leaving.
 
-        Guards against a planned stop that waits for confirmations in vain:
-        they name no ticket, and by the hash they go to the next home.
+        ACK and RST messages carry no ticket, so they are routed by the hash
+        to the next home. Without this copy, a leaving host would wait in vain
+        for confirmations.
         """
         for member in self._view.all():
             if member.host == self._view.me:
@@ -90,7 +92,8 @@
         self._counts.add("datagrams_taken_from_peers_total")
         decoded = self._decode(flow, message.data)
         if decoded is not None:
-            # Never relayed again: with uneven views it could go in circles.
+            # A relayed datagram is never relayed again: between hosts whose
+            # membership views differ it could loop.
             self._home.handle(flow, decoded)
 
     def _decode(self, flow: port.Flow, data: bytes) -> codec.Message | None:
@@ -103,15 +106,16 @@
     def _list_homes(
         self, flow: port.Flow, message: codec.Message
     ) -> Iterator[ids.HostId]:
-        minted_by = self._find_ticket_home(flow, message)
-        if minted_by is not None:
-            yield minted_by
+        ticket_home = self._find_ticket_home(flow, message)
+        if ticket_home is not None:
+            yield ticket_home
             return
         home = self._placement.find_home(flow.service, flow.caller)
         if home is None:
             return
         yield home.host
-        # Seldom needed, and worked out only then: this is on the packet path.
+        # The full ranking is rarely needed. It is computed only then, because
+        # this code runs for each packet.
         ranked = self._placement.rank_homes(flow.service, flow.caller)
         yield from (member.host for member in ranked[1:])
 
--- a/persimmonhinge/flows/ticket_issuer.py
+++ b/persimmonhinge/flows/ticket_issuer.py
@@ -1,4 +1,4 @@
-"""Gives tickets to callers, with answers and with requests for one."""
+"""Issues tickets to callers, in replies to their requests."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class TicketIssuer:
-    """Mints tickets with the keepers of the moment.
+    """Issues tickets that name keepers that can be reached now.
 
     Attributes:
-        leaving: Set once this host mints no more.
+        leaving: True once this host issues no more tickets.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
     def issue_ticket(
         self, flow: port.Flow, entry: store.ContractEntry
     ) -> bytes:
-        """Returns a fresh ticket; empty if none can be minted."""
+        """Returns a new ticket; empty if none can be issued."""
         if self.leaving:
             return b""
         keepers = self._pick_keepers(entry)
@@ -55,7 +55,7 @@
     def require_ticket(
         self, flow: port.Flow, entry: store.ContractEntry, cause: str
     ) -> codec.Message:
-        """Answers that a ticket is needed; nothing ran."""
+        """Returns the reply that a ticket is required; nothing has run."""
         self._counts.add("tickets_asked_for_total", cause=cause)
         echo = self.issue_ticket(flow, entry)
         if not echo:
@@ -68,7 +68,10 @@
         entry: store.ContractEntry,
         fault: tickets.TicketFault,
     ) -> codec.Message:
-        """Answers a ticket that can't be checked; it may have run before."""
+        """Returns the reply to a request whose ticket can't be verified.
+
+        The outcome is unknown: a former copy of the request may have run.
+        """
         self._counts.add("tickets_unverified_total", cause=fault.value)
         echo = self.issue_ticket(flow, entry)
         return replies.report_unknown("ticket can't be checked", echo)
@@ -76,10 +79,10 @@
     def _pick_keepers(
         self, entry: store.ContractEntry
     ) -> tuple[ids.HostRef, ...]:
-        """Returns keepers for a ticket, other hosts than this one first.
+        """Returns keepers for a ticket, this host only if there is no other.
 
-        Guards against one death that takes home and keeper at once: the
-        outcome of what ran there would be unknown.
+        If home and keeper were the same host, its failure would make the
+        outcome of the requests that ran there unknown.
         """
         picked = self._chooser.pick_keepers(entry, tickets.MAX_KEEPERS)
         me = self._view.self_member.ref
--- a/persimmonhinge/flows/tickets.py
+++ b/persimmonhinge/flows/tickets.py
@@ -1,4 +1,4 @@
-"""Tickets: what lets a flow run non-idempotent work, and where."""
+"""Tickets, which permit a flow to run non-idempotent requests."""
 
 from __future__ import annotations
 
@@ -22,15 +22,16 @@
 # RFC 9175 section 2.2.1: Echo holds 1 to 40 octets.
 TICKET_OCTETS = 40
 MAX_KEEPERS = 2
-# A ticket begins new work for its life and is remembered for this much
-# longer: RFC 7252 section 4.8.2 lets a caller repeat a confirmable request
-# for 93 s (MAX_TRANSMIT_WAIT), and each repetition must find the row.
+# A ticket can start new requests during its life; their rows are retained for
+# this time after it. RFC 7252 section 4.8.2 allows a caller to retransmit a
+# confirmable request for 93 s (MAX_TRANSMIT_WAIT), and each copy must find the
+# row of its request.
 ROW_RETENTION_MS = 100_000
 
-# Keepers take an hour for the longest time between mint and expiry.
+# Keepers assume that a ticket expires at most an hour after it was minted.
 _MAX_TICKET_LIFE_MS = 3_599_000 - ROW_RETENTION_MS
 _VERSION = 1
-# Version, key id, service, home, ticket id, expiry, two keepers.
+# Version, key id, service hash, home, ticket id, expiry, two keepers.
 _BODY = struct.Struct("!BBII5s5sII")
 _MAC_OCTETS = TICKET_OCTETS - _BODY.size
 _EXPIRY_OCTETS = 5
@@ -43,11 +44,12 @@
 class TicketFault(enum.Enum):
     """Why a ticket is refused.
 
-    MALFORMED: Not a ticket of this system at all.
-    OTHER_SERVICE: Of another service.
-    UNKNOWN_KEY: Its key is retired, or this host doesn't know it yet; or a
-        host of a newer version minted it.
-    FORGED: Its code does not fit: forged, or of another caller.
+    MALFORMED: The octets aren't a ticket of this system.
+    OTHER_SERVICE: The ticket was minted for another service.
+    UNKNOWN_KEY: The key of the ticket is retired, or this host hasn't
+        received it yet; or a host with a newer version minted the ticket.
+    FORGED: The authentication code is wrong: the ticket is forged, or was
+        minted for another caller.
     """
 
     MALFORMED = "malformed"
@@ -60,7 +62,7 @@
     """A ticket is refused.
 
     Attributes:
-        fault: Why.
+        fault: Why it is refused.
     """
 
     def __init__(self, fault: TicketFault, flow: port.Flow) -> None:
@@ -73,13 +75,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """What a ticket says.
+    """The decoded content of a ticket.
 
     Attributes:
-        home: The incarnation that minted it.
-        ticket_id: Its number, unique within that incarnation.
-        expiry_ms: Uptime of that incarnation at which it is forgotten.
-        keepers: Incarnations through which its work may run.
+        home: Incarnation of the host that minted the ticket.
+        ticket_id: Number of the ticket, unique within that incarnation.
+        expiry_ms: Uptime of that incarnation at which the rows of the ticket
+            are removed, milliseconds.
+        keepers: Keeper incarnations through which its requests may run.
     """
 
     home: ids.HostRef
@@ -95,8 +98,8 @@
     service (4), home incarnation (4), ticket id (5), expiry in milliseconds
     of the home's uptime (5), two keeper incarnations (4 each, 0 for none),
     and 12 octets of an HMAC-SHA256 over these, the service and the caller's
-    address. 96 bits can't be guessed online, and 40 octets are all that
-    Echo takes.
+    address. 96 bits can't be guessed in an online attack, and an Echo option
+    holds at most 40 octets.
     """
 
     def __init__(
@@ -117,25 +120,32 @@
         self._secrets: dict[int, bytes] = {}
 
     def uptime_ms(self) -> int:
-        """Returns the age of this process, milliseconds, monotonic."""
+        """Returns the uptime of this process, milliseconds.
+
+        It is monotonic and starts at 0 with the first call.
+        """
         now = trio.current_time()
         if self._started_at is None:
             self._started_at = now
         return int((now - self._started_at) * 1000)
 
     def mint(self, flow: port.Flow, keepers: tuple[ids.HostRef, ...]) -> bytes:
-        """Makes a ticket for a flow.
+        """Mints a ticket for a flow.
 
         Args:
-            flow: Whose it is.
-            keepers: Where its work may run; the first two count.
+            flow: The flow that may use the ticket.
+            keepers: Keepers through which its requests may run; only the
+                first two are used.
 
         Raises:
-            TicketError: No key may mint, for the ring has not come yet.
+            TicketError: No current key, because the key ring hasn't been
+                received yet.
         """
         key = self._keys.ring.current()
         if key is None:
-            raise errors.TicketError("no current key", step="mint ticket")
+            raise errors.TicketError(
+                "no current ticket key on this host", step="mint ticket"
+            )
         home = self._view.self_member.ref
         self._own_refs.add(home)
         issued_ms = max(self.uptime_ms(), self._revoked_until_ms + 1)
@@ -152,14 +162,14 @@
         return body + _compute_mac(self._get_secret(key.key_id), body, flow)
 
     def read(self, octets: bytes, flow: port.Flow) -> Ticket:
-        """Reads a ticket that came with a request of a flow.
+        """Verifies and decodes a ticket that a flow sent with a request.
 
-        The expiry is not looked at: only the home that minted it knows its
-        own uptime; see `begins`.
+        The expiry isn't checked here, because it is a time on the uptime
+        clock of the home that minted the ticket; see `may_start_work`.
 
         Raises:
-            RefusedTicketError: It is not a ticket of this flow, or its key
-                is not accepted here.
+            RefusedTicketError: The octets aren't a ticket of this flow, or
+                the key of the ticket isn't accepted here.
         """
         if len(octets) != TICKET_OCTETS:
             raise RefusedTicketError(TicketFault.MALFORMED, flow)
@@ -187,10 +197,11 @@
         )
 
     def read_home(self, octets: bytes, flow: port.Flow) -> ids.HostRef | None:
-        """Returns the home to route a packet to, None to go by the hash.
+        """Returns the home that a ticket names, None to route by the hash.
 
-        A ticket under a key that this host doesn't know is routed by what
-        it claims: its home may have learned a new key first, and can check.
+        For a ticket with a key that this host doesn't know, it returns the
+        claimed home unverified: that home may have received a new key
+        earlier, and can verify the ticket.
         """
         try:
             return self.read(octets, flow).home
@@ -200,27 +211,28 @@
             return None
 
     def is_own(self, home: ids.HostRef) -> bool:
-        """Tells whether this process minted tickets under a ref."""
+        """Returns whether this process mints or minted tickets under a ref."""
         return home in self._own_refs or home == self._view.self_member.ref
 
     def is_current(self, home: ids.HostRef) -> bool:
-        """Tells whether a ref is the one that this host goes by now."""
+        """Returns whether a host ref is the current one of this host."""
         return home == self._view.self_member.ref
 
     def may_start_work(self, ticket: Ticket) -> bool:
-        """Tells whether one of this host's tickets may begin new work."""
+        """Returns whether a ticket of this host may start a new request."""
         issued_ms = ticket.expiry_ms - ROW_RETENTION_MS - self._ticket_life_ms
         if issued_ms <= self._revoked_until_ms:
             return False
         return self.uptime_ms() < ticket.expiry_ms - ROW_RETENTION_MS
 
     def revoke_issued(self) -> None:
-        """Lets no ticket issued so far begin new work any more.
+        """Prevents all tickets issued so far from starting new requests.
 
-        Guards against a refusal that is forgotten: when the request table
-        is full, a request is refused as not run, and a copy of its datagram
-        that comes late would run once there is room. One number remembers
-        all such refusals; a ticket minted after it serves again.
+        When the request table is full, a request is refused as not run and
+        gets no row. A late copy of its datagram must not run once the table
+        has free capacity. Storing the time of the latest such refusal is
+        enough to refuse all these copies; tickets minted after it can start
+        requests.
         """
         self._revoked_until_ms = max(
             self.uptime_ms(), self._revoked_until_ms + 1
@@ -234,7 +246,7 @@
 
 
 def peek_home(octets: bytes) -> ids.HostRef | None:
-    """Returns the home that a ticket claims, unchecked."""
+    """Returns the home that a ticket claims, without verification."""
     if len(octets) != TICKET_OCTETS or octets[0] != _VERSION:
         return None
     end = _HOME_OFFSET + 4
@@ -242,7 +254,7 @@
 
 
 def peek_id(octets: bytes) -> ids.TicketId:
-    """Returns the number that a ticket claims, unchecked."""
+    """Returns the id that a ticket claims, without verification."""
     return ids.TicketId(octets[_ID_OFFSET : _ID_OFFSET + _ID_OCTETS])
 
 
@@ -261,5 +273,5 @@
 
 def _compute_mac(secret: bytes | None, body: bytes, flow: port.Flow) -> bytes:
     host, caller_port = flow.caller
-    place = f"{flow.service}\n{host}\n{caller_port}".encode()
-    return hmac.digest(secret or b"", body + place, "sha256")[:_MAC_OCTETS]
+    address = f"{flow.service}\n{host}\n{caller_port}".encode()
+    return hmac.digest(secret or b"", body + address, "sha256")[:_MAC_OCTETS]
--- a/persimmonhinge/flows/token_uses.py
+++ b/persimmonhinge/flows/token_uses.py
@@ -1,4 +1,4 @@
-"""Which request of a flow used a token last."""
+"""Tracking of the request that last used each token of a flow."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclasses.dataclass(slots=True)
 class _Use:
-    """What is known of one token of a flow.
+    """The uses of one token of a flow.
 
     Attributes:
-        newest: The newest request under it.
-        former: Fingerprints of the requests before.
+        latest: The latest request with this token.
+        former_fingerprints: Fingerprints of the earlier requests with it.
     """
 
     latest: exchange_module.Exchange
@@ -24,11 +24,11 @@
 
 
 class TokenUses:
-    """Finds answers that a caller must have, since it used their token again.
+    """Finds replies that a caller has received, as it used their token again.
 
-    Callers may use a token again once they have its answer (RFC 7252 section
-    5.3.1). A copy of that answer that comes later can be taken for the answer
-    to the next request.
+    Callers may use a token again once they have received the reply to it (RFC
+    7252 section 5.3.1). The caller could match a later copy of that reply to
+    its next request.
     """
 
     def __init__(self) -> None:
@@ -37,11 +37,12 @@
     def record_request(
         self, exchange: exchange_module.Exchange
     ) -> exchange_module.Exchange | None:
-        """Takes in a new request.
+        """Records a new request.
 
         Returns:
-            The request before under its token, if that has been answered and
-            this one is not a late copy of one that came still earlier.
+            The previous request with the same token, if a reply to it was
+            sent and the new request isn't a late copy of an even earlier one;
+            otherwise None.
         """
         key = (exchange.flow, exchange.token)
         use = self._uses.get(key)
@@ -50,15 +51,15 @@
             return None
         if exchange.fingerprint in use.former_fingerprints:
             return None
-        before = use.latest
+        previous = use.latest
         use.latest = exchange
-        if before.fingerprint == exchange.fingerprint:
+        if previous.fingerprint == exchange.fingerprint:
             return None
-        use.former_fingerprints.add(before.fingerprint)
-        return before if before.reply is not None else None
+        use.former_fingerprints.add(previous.fingerprint)
+        return previous if previous.reply is not None else None
 
     def remove_request(self, exchange: exchange_module.Exchange) -> None:
-        """Forgets a request whose answer is no longer kept."""
+        """Removes a request whose reply is no longer stored."""
         key = (exchange.flow, exchange.token)
         use = self._uses.get(key)
         if use is None:
