--- a/persimmonhinge/flows/block_params.py
+++ b/persimmonhinge/flows/block_params.py
@@ -1,4 +1,4 @@
-"""How the answer to a request is cut into blocks."""
+"""Parameters of block-wise transfer that apply to one request."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplyKey:
-    """What a large answer is found by for its later blocks.
+    """Key under which a large reply is stored for requests of later blocks.
 
     Attributes:
-        flow: Whose it is.
-        name: Names the request: a hash of it, or its ticket and token.
+        flow: The flow that sent the request.
+        request_key: Identifies the request: a hash of it, or its ticket
+            followed by its token or by a hash of it.
     """
 
     flow: port.Flow
@@ -23,12 +24,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BlockParams:
-    """What a request says about the form of its answer.
+    """Block options of a request and the keys of its reply.
 
     Attributes:
-        block1: Block1 option to confirm; None if there was none.
-        block2: Block that is wanted; None for the first.
-        keys: What the whole answer is to be found by.
+        block1: Block1 option to confirm in the reply; None if the request
+            had none.
+        block2: The requested block of the reply; None for the first.
+        reply_keys: Keys under which the complete reply is stored.
     """
 
     block1: blocks.Block | None = None
@@ -37,7 +39,7 @@
 
     @property
     def is_later_block(self) -> bool:
-        """True if a block after the first is wanted."""
+        """True if a block after the first is requested."""
         return self.block2 is not None and self.block2.block_number > 0
 
 
--- a/persimmonhinge/flows/large_replies.py
+++ b/persimmonhinge/flows/large_replies.py
@@ -1,4 +1,4 @@
-"""Large answers, cut into blocks and kept for the later ones."""
+"""Large replies, stored so that callers can request their later blocks."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
 from persimmonhinge.flows import block_params
 from persimmonhinge.flows import blocks
 
-# Octets of answers over all callers. One that is forgotten early is fetched
-# again, or asked of the keepers.
+# Maximum total size of the stored replies of all callers. A reply that is
+# removed early is fetched from an upstream again, or requested from the
+# keepers.
 MAX_STORED_OCTETS = 32 * 1024 * 1024
 
 
@@ -24,7 +25,7 @@
 
 
 class LargeReplies:
-    """Cuts answers, and keeps those that did not fit in one datagram."""
+    """Splits replies into blocks and stores those larger than one block."""
 
     def __init__(self, retention_s: float) -> None:
         self._retention_s = retention_s
@@ -36,7 +37,7 @@
     def extract_block(
         self, reply: codec.Message, params: block_params.BlockParams
     ) -> codec.Message:
-        """Returns the block of an answer that its request wants."""
+        """Returns the requested block of a reply."""
         part = self._extract(reply, params)
         if params.block1 is not None and part.opt.block1 is None:
             part.opt.block1 = params.block1
@@ -45,19 +46,19 @@
     def find_reply(
         self, params: block_params.BlockParams
     ) -> codec.Message | None:
-        """Returns the kept answer of which a later block is wanted."""
+        """Returns the stored reply of which a later block is requested."""
         for key in params.reply_keys:
-            kept = self._replies.get(key)
-            if kept is not None:
-                return kept.reply
+            stored = self._replies.get(key)
+            if stored is not None:
+                return stored.reply
         return None
 
     def remove_expired(self) -> None:
-        """Drops answers whose time is over."""
+        """Removes replies whose retention time has passed."""
         now = trio.current_time()
         while self._replies:
-            key, kept = next(iter(self._replies.items()))
-            if kept.expires_at > now:
+            key, stored = next(iter(self._replies.items()))
+            if stored.expires_at > now:
                 return
             self._remove_reply(key)
 
@@ -81,15 +82,15 @@
     def _store_reply(
         self, reply: codec.Message, params: block_params.BlockParams
     ) -> None:
-        until = trio.current_time() + self._retention_s
+        expires_at = trio.current_time() + self._retention_s
         for key in params.reply_keys:
             self._remove_reply(key)
-            self._replies[key] = _StoredReply(reply, until)
+            self._replies[key] = _StoredReply(reply, expires_at)
             self._stored_octets += len(reply.payload)
         while self._stored_octets > MAX_STORED_OCTETS:
             self._remove_reply(next(iter(self._replies)))
 
     def _remove_reply(self, key: block_params.ReplyKey) -> None:
-        kept = self._replies.pop(key, None)
-        if kept is not None:
-            self._stored_octets -= len(kept.reply.payload)
+        stored = self._replies.pop(key, None)
+        if stored is not None:
+            self._stored_octets -= len(stored.reply.payload)
--- a/persimmonhinge/flows/server.py
+++ b/persimmonhinge/flows/server.py
@@ -1,4 +1,4 @@
-"""Serves requests: from the contract to the answer, one task each."""
+"""Serves requests by their contract, each in a task of its own."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 logger = logging.getLogger(__name__)
 
 Code = codes.Code
-# An answer at once, none at all, or None if a task will give it.
+# A reply to send now, `Silence` to send none, or None if a task will send it.
 ServeResult = codec.Message | outcome.Silence | None
 
-# Each takes a task and its messages, about 10 kB.
+# Each request in progress needs about 10 kB for its task and messages.
 MAX_IN_PROGRESS = 20_000
 _NO_CONTRACT_RETRY_S = 1
 _OVERLOAD_RETRY_S = 1
@@ -42,7 +42,7 @@
 
 
 class RequestServer:
-    """Serves the requests of callers, feeds aside."""
+    """Serves the requests of callers, except feed registrations."""
 
     def __init__(
         self,
@@ -67,17 +67,17 @@
         self._unconfirmed = 0
 
     def count_running(self) -> int:
-        """Returns the requests that are not answered yet."""
+        """Returns the number of requests whose reply isn't sent yet."""
         return self._running
 
     def count_unconfirmed(self) -> int:
-        """Returns the answers that are repeated until callers have them."""
+        """Returns the number of replies that wait for confirmation."""
         return self._unconfirmed
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Runs what is served and forgets it in time."""
+        """Runs request tasks and removes expired uploads and replies."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
@@ -92,12 +92,12 @@
         message: codec.Message,
         entry: store.ContractEntry | None,
     ) -> None:
-        """Takes a request that is not a copy."""
-        served = self._serve(exchange, message, entry)
-        if isinstance(served, outcome.Silence):
+        """Handles a request datagram that isn't a copy."""
+        result = self._serve(exchange, message, entry)
+        if isinstance(result, outcome.Silence):
             self._exchanges.discard_request(exchange)
-        elif served is not None:
-            self._send_reply(exchange, served)
+        elif result is not None:
+            self._send_reply(exchange, result)
 
     def _send_reply(
         self, exchange: exchange_module.Exchange, reply: codec.Message
@@ -139,15 +139,17 @@
         *,
         closed: bool,
     ) -> codec.Message:
-        """Answers a plain GET of a path that serves feeds only."""
-        wanted = message.opt.block2
-        if wanted is not None and wanted.block_number > 0:
+        """Returns the reply to a plain GET of a path that serves feeds only."""
+        requested = message.opt.block2
+        if requested is not None and requested.block_number > 0:
             state = self._feeds.read_state(exchange.flow, message)
             if state is not None:
-                exchange.block_params = block_params.BlockParams(block2=wanted)
+                exchange.block_params = block_params.BlockParams(
+                    block2=requested
+                )
                 return state
-        # A feed that ends is answered like a plain GET (RFC 7641 section
-        # 3.6), without a call of the upstream.
+        # The reply to a deregistration is that to a plain GET (RFC 7641
+        # section 3.6), but no request is sent to the upstream.
         return replies.reject(Code.CONTENT if closed else Code.NOT_FOUND)
 
     def _serve_idempotent(
@@ -157,18 +159,18 @@
         entry: store.ContractEntry,
         call_class: contract.CallClass,
     ) -> ServeResult:
-        taken = self._collect_body(exchange, message, entry)
-        if not isinstance(taken, upload.CompleteRequest):
-            return taken
-        order = _make_order(exchange, taken, call_class)
+        body = self._collect_body(exchange, message, entry)
+        if not isinstance(body, upload.CompleteRequest):
+            return body
+        order = _make_order(exchange, body, call_class)
         exchange.block_params = block_params.BlockParams(
             message.opt.block1,
             message.opt.block2,
             (block_params.ReplyKey(exchange.flow, order.digest),),
         )
-        whole = self._find_stored_reply(exchange)
-        if whole is not None:
-            return whole
+        stored = self._find_stored_reply(exchange)
+        if stored is not None:
+            return stored
         if not self._has_free_capacity():
             self._counts.add("home_refused_total", cause="overload")
             return replies.refuse(_OVERLOAD_RETRY_S, "host is full")
@@ -187,16 +189,16 @@
             refusal = self._once.screen(exchange.flow, entry, echo)
             if refusal is not None:
                 return refusal
-        taken = self._collect_body(exchange, message, entry)
-        if not isinstance(taken, upload.CompleteRequest):
-            return taken
-        order = _make_order(exchange, taken, call_class)
+        body = self._collect_body(exchange, message, entry)
+        if not isinstance(body, upload.CompleteRequest):
+            return body
+        order = _make_order(exchange, body, call_class)
         exchange.block_params = _make_at_most_once_params(
             exchange, message, echo
         )
-        whole = self._find_stored_reply(exchange)
-        if whole is not None:
-            return whole
+        stored = self._find_stored_reply(exchange)
+        if stored is not None:
+            return stored
         if exchange.block_params.is_later_block:
             admission = self._once.find_answer(order, entry, echo)
         else:
@@ -223,7 +225,7 @@
     def _find_stored_reply(
         self, exchange: exchange_module.Exchange
     ) -> codec.Message | None:
-        """Returns the kept answer that a later block is asked of."""
+        """Returns the stored reply of which a later block is requested."""
         if not exchange.block_params.is_later_block:
             return None
         return self._large_replies.find_reply(exchange.block_params)
@@ -242,7 +244,8 @@
             echo = self._issuer.issue_ticket(order.flow, entry)
             return replies.forward(row.result, echo)
         if not self._has_free_capacity():
-            # It runs, so "not run" would be wrong; a later copy finds it.
+            # The request is running, so "not run" would be wrong. A later
+            # copy of it finds its row.
             return outcome.Silence()
         self._start_task(exchange, order, entry, row)
         return None
@@ -258,8 +261,9 @@
         self._running += 1
         exchange.cancel_scope = trio.CancelScope()
         if row is None or not row.is_recovered:
-            # An empty ACK would end the caller's copies, by which it finds
-            # a host that can answer when this one can't.
+            # No empty ACK for a request that is being recovered: the ACK would
+            # stop the caller's retransmissions, through which it reaches a
+            # host that has the outcome if this one can't find it.
             self._exchanges.schedule_empty_ack(exchange)
         self._nursery.start_soon(self._run_request, exchange, order, entry, row)
 
@@ -275,9 +279,11 @@
             with exchange.cancel_scope as scope:
                 reply = await self._get_reply(order, entry, row)
         except Exception:
-            # Guards against one request that ends the host, and all flows
-            # with it: a fault of ours that some datagram brings out.
-            logger.exception("A request of %s failed.", order.service)
+            # A bug that one request triggers must not stop the host and
+            # with it all other flows.
+            logger.exception(
+                "Handling a request to service %s failed.", order.service
+            )
             self._counts.add("home_faults_total")
             reply = replies.report_unknown("internal fault")
         finally:
@@ -308,7 +314,7 @@
 
 def _refuse_without_contract(message: codec.Message) -> codec.Message:
     if message.opt.echo:
-        # An earlier copy may have run while the contract was known.
+        # An earlier copy may have run while the contract was available.
         return replies.report_unknown("no contract")
     return replies.refuse(_NO_CONTRACT_RETRY_S, "no contract")
 
@@ -316,19 +322,19 @@
 def _make_at_most_once_params(
     exchange: exchange_module.Exchange, message: codec.Message, echo: bytes
 ) -> block_params.BlockParams:
-    """Returns the shape of an answer that is found by its ticket.
+    """Returns the block parameters of a request with a ticket.
 
-    A caller asks for later blocks under the token of the request or, as
-    plain CoAP callers do, under a new one; then only what was asked for
-    names the answer.
+    A caller requests later blocks with the token of the first request or, as
+    plain CoAP clients do, with a new one. The reply is therefore stored under
+    two keys: ticket and token, and ticket and hash of the options.
     """
-    line = digests.compute_options_digest(message)
+    options_digest = digests.compute_options_digest(message)
     return block_params.BlockParams(
         message.opt.block1,
         message.opt.block2,
         (
             block_params.ReplyKey(exchange.flow, echo + exchange.token),
-            block_params.ReplyKey(exchange.flow, echo + line),
+            block_params.ReplyKey(exchange.flow, echo + options_digest),
         ),
     )
 
--- a/persimmonhinge/flows/upload.py
+++ b/persimmonhinge/flows/upload.py
@@ -1,4 +1,4 @@
-"""One body that a caller sends in blocks."""
+"""Records of a request body that a caller sends in blocks."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UploadKey:
-    """What the blocks of one body share.
+    """What the requests for the blocks of one body have in common.
 
     Attributes:
-        flow: Whose they are.
-        line: Hash of what they ask for.
-        tags: Their Request-Tag options (RFC 9175 section 3).
+        flow: The flow that sends them.
+        options_digest: Hash of their code and options.
+        request_tags: Their Request-Tag options (RFC 9175 section 3).
     """
 
     flow: port.Flow
@@ -25,19 +25,21 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Upload:
-    """A body as far as it has come.
+    """The part of a body that has been received.
 
     Attributes:
-        touched: When its last block came, on trio's clock.
-        body: The octets so far.
-        ended_at: Where its last block began; None before it came.
-        token: Token of the first copy of the last block.
+        last_block_at: Time at which a block was last received, seconds on
+            trio's clock.
+        body: The octets received so far.
+        last_block_start: Offset of the final block, octets; None until it
+            is received.
+        token: Token of the first copy of the final block.
         echo: Ticket of that copy.
     """
 
     last_block_at: float
     body: bytearray = dataclasses.field(default_factory=bytearray)
-    last_block_start: int | None = None
+    final_block_start: int | None = None
     token: bytes = b""
     echo: bytes = b""
 
@@ -47,8 +49,8 @@
     """A request whose body is complete.
 
     Attributes:
-        message: The request with its whole body.
-        token: The token that it is known by.
+        message: The request with its complete body.
+        token: The token that identifies the request under its ticket.
     """
 
     message: codec.Message
--- a/persimmonhinge/flows/uploads.py
+++ b/persimmonhinge/flows/uploads.py
@@ -1,4 +1,4 @@
-"""Bodies that callers send in blocks, put together (RFC 7959)."""
+"""Reassembly of request bodies that callers send in blocks (RFC 7959)."""
 
 from __future__ import annotations
 
@@ -15,23 +15,24 @@
 from persimmonhinge.flows import upload as upload_module
 from persimmonhinge.metrics import counts as counts_module
 
-# Octets of bodies over all callers.
+# Maximum total size of the stored bodies of all callers.
 MAX_STORED_OCTETS = 32 * 1024 * 1024
-# A body that grew lately is not dropped for another one.
+# An upload that received a block within this time isn't removed to free
+# capacity for another one.
 _ACTIVE_UPLOAD_S = 5.0
 
 UploadResult = upload_module.CompleteRequest | codec.Message | outcome.Silence
 
 
 class Uploads:
-    """Puts bodies together, in order and never from two requests."""
+    """Reassembles bodies in order and never mixes two requests."""
 
     def __init__(
         self, counts: counts_module.Counts, retention_s: float
     ) -> None:
         self._counts = counts
         self._retention_s = retention_s
-        # Least recently touched first.
+        # Sorted by the time of the last block, oldest first.
         self._uploads: collections.OrderedDict[
             upload_module.UploadKey, upload_module.Upload
         ] = collections.OrderedDict()
@@ -40,18 +41,19 @@
     def add_block(
         self, flow: port.Flow, message: codec.Message, max_octets: int
     ) -> UploadResult:
-        """Takes a request with a Block1 option.
+        """Adds the block of a request with a Block1 option to its upload.
 
         Args:
-            flow: Whose it is.
+            flow: The flow that sent the request.
             message: The request.
-            limit_octets: Size that its body may have.
+            max_octets: Maximum size of the body, octets.
 
         Returns:
-            The whole request after its last block; else the answer to this
-            block: 2.31 for the next one, 4.08 if earlier ones are missing
-            (they went to another home, or it forgot them), 4.13 if the body
-            gets too large; or none if there is no room now.
+            The complete request after its final block; otherwise the reply to
+            this block: 2.31 to request the next one, 4.00 if the block has an
+            invalid size, 4.08 if earlier blocks are missing (another home
+            received them, or they were removed here), 4.13 if the body is too
+            large; or `Silence` if there is no free capacity now.
         """
         refusal = _check_block(message, max_octets)
         if refusal is not None:
@@ -79,7 +81,7 @@
         return _make_complete_request(upload, message)
 
     def remove_expired(self) -> None:
-        """Drops bodies that stand still."""
+        """Removes uploads that received no block within the retention time."""
         limit = trio.current_time() - self._retention_s
         while self._uploads:
             key, upload = next(iter(self._uploads.items()))
@@ -88,13 +90,16 @@
             self._remove_upload(key)
 
     def _start_upload(self, key: upload_module.UploadKey) -> bool:
-        """Makes room for a new body; False if there is none."""
+        """Starts an upload; returns False if there is no free capacity.
+
+        The oldest inactive uploads are removed to free capacity for it.
+        """
         self._remove_upload(key)
         while self._stored_octets >= MAX_STORED_OCTETS:
-            oldest, upload = next(iter(self._uploads.items()))
+            oldest_key, upload = next(iter(self._uploads.items()))
             if upload.last_block_at > trio.current_time() - _ACTIVE_UPLOAD_S:
                 return False
-            self._remove_upload(oldest)
+            self._remove_upload(oldest_key)
         self._uploads[key] = upload_module.Upload(trio.current_time())
         return True
 
@@ -104,23 +109,24 @@
         upload: upload_module.Upload,
         message: codec.Message,
     ) -> bool:
-        """Adds a block; False if it does not continue what is there.
+        """Appends a block; returns False if it doesn't fit the upload.
 
-        Guards against a body made of two requests: a block that differs
-        from what is there, or leaves a gap, ends the upload.
+        A block that differs from the octets already received, or leaves a
+        gap after them, ends the upload. Otherwise the body could contain
+        blocks of two different requests.
         """
         block = message.opt.block1
         end = block.start + len(message.payload)
         upload.last_block_at = trio.current_time()
         self._uploads.move_to_end(key)
-        if block.start == len(upload.body) and upload.last_block_start is None:
+        if block.start == len(upload.body) and upload.final_block_start is None:
             upload.body += message.payload
             self._stored_octets += len(message.payload)
-            upload.last_block_start = None if block.more else block.start
+            upload.final_block_start = None if block.more else block.start
             return True
         if upload.body[block.start : end] != message.payload:
             return False
-        return block.more or upload.last_block_start == block.start
+        return block.more or upload.final_block_start == block.start
 
     def _remove_upload(self, key: upload_module.UploadKey) -> None:
         upload = self._uploads.pop(key, None)
@@ -131,7 +137,7 @@
 def _check_block(
     message: codec.Message, max_octets: int
 ) -> codec.Message | None:
-    """Returns the answer to a block that no upload can take; else None."""
+    """Returns the error reply to an invalid block, None to a valid one."""
     block = message.opt.block1
     if not blocks.has_valid_size(block, len(message.payload)):
         return blocks.make_block1_reply(codes.Code.BAD_REQUEST, block)
@@ -145,17 +151,17 @@
 def _make_complete_request(
     upload: upload_module.Upload, message: codec.Message
 ) -> upload_module.CompleteRequest:
-    """Returns the whole request.
+    """Returns the complete request.
 
-    Guards against a second run where the last block is repeated under a new
-    token, as a caller may that lost the answer: under the same ticket it is
-    known by the token of the first copy.
+    A caller that lost the reply may send the final block again with a new
+    token. So that the request doesn't run twice, all copies of that block with
+    the same ticket are identified by the token of the first copy.
     """
     echo = message.opt.echo or b""
     if not echo or upload.echo != echo:
         upload.echo = echo
         upload.token = message.token
-    whole = codec.Message(code=message.code, payload=bytes(upload.body))
+    complete = codec.Message(code=message.code, payload=bytes(upload.body))
     for option in message.opt.option_list():
-        whole.opt.add_option(option)
-    return upload_module.CompleteRequest(whole, upload.token)
+        complete.opt.add_option(option)
+    return upload_module.CompleteRequest(complete, upload.token)
--- a/tests/test_flows/home_fakes.py
+++ b/tests/test_flows/home_fakes.py
@@ -133,9 +133,9 @@
 
 
 def make_answer(payload: bytes, code: codes.Code = codes.Code.CHANGED) -> bytes:
-    answer = codec.Message(code=code, payload=payload)
-    answer.mtype, answer.mid, answer.token = types.NON, 0, b""
-    return codec.encode(answer)
+    reply = codec.Message(code=code, payload=payload)
+    reply.mtype, reply.mid, reply.token = types.NON, 0, b""
+    return codec.encode(reply)
 
 
 def make_answered(payload: bytes) -> work.Dispatched:
@@ -152,7 +152,7 @@
 
     def __init__(self) -> None:
         self.sent: list[tuple[port.Flow, codec.Message]] = []
-        self._ids = itertools.count(1000)
+        self._message_ids = itertools.count(1000)
 
     def send(self, flow: port.Flow, message: codec.Message) -> None:
         """Keeps a message as a caller reads it."""
@@ -160,7 +160,7 @@
 
     def next_message_id(self, flow: port.Flow) -> int:
         """Returns a new message id."""
-        return next(self._ids)
+        return next(self._message_ids)
 
 
 class FakeNetwork:
@@ -299,7 +299,7 @@
             self.feeds,
             self.counts,
         )
-        self._mids = itertools.count(1)
+        self._message_ids = itertools.count(1)
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
@@ -323,7 +323,7 @@
         **request: Any,
     ) -> codec.Message:
         """Sends a request and returns its answer."""
-        request.setdefault("mid", next(self._mids))
+        request.setdefault("mid", next(self._message_ids))
         before = len(self.answers.sent)
         self.home.handle(flow, make_request(code, path, **request))
         while len(self.answers.sent) == before:
