--- a/tests/test_flows/home_fakes.py
+++ b/tests/test_flows/home_fakes.py
@@ -1,4 +1,4 @@
-"""A home with small fakes around it."""
+"""A home with fakes of its dependencies."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 ME = ids.HostId("entry-1")
 KEEPERS = (ids.HostId("entry-2"), ids.HostId("entry-3"))
 
-# On a busy machine it takes long to make the examples, which is no fault.
+# On a busy machine generating the examples is slow, which is not a failure.
 PROPERTY = hypothesis.settings(
     deadline=None,
     derandomize=True,
@@ -100,7 +100,7 @@
 
 
 def make_key_record(revision: int = 1, **states: str) -> control.KeyRecord:
-    """Returns a ring; `key_7="current"` is a key with id 7."""
+    """Returns a key ring; `key_7="current"` is the current key with id 7."""
     keys = [
         {
             "key_id": int(name.removeprefix("key_")),
@@ -128,7 +128,7 @@
     message.opt.uri_path = tuple(path.strip("/").split("/"))
     if echo is not None:
         message.opt.echo = echo
-    # As a caller would send it: through the octets.
+    # Encoded and decoded, as it would be received from a caller.
     return codec.decode(codec.encode(message))
 
 
@@ -143,19 +143,19 @@
 
 
 async def answer_done(message: base.Message) -> base.Message:
-    """Answers as a keeper whose upstream did the work."""
+    """Answers as a keeper whose upstream processed the request."""
     return make_answered(b"done")
 
 
 class FakeCallerSender:
-    """Keeps what is sent to callers."""
+    """Records the messages that are sent to callers."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[port.Flow, codec.Message]] = []
         self._message_ids = itertools.count(1000)
 
     def send(self, flow: port.Flow, message: codec.Message) -> None:
-        """Keeps a message as a caller reads it."""
+        """Records a message as a caller decodes it."""
         self.sent.append((flow, codec.decode(codec.encode(message))))
 
     def next_message_id(self, flow: port.Flow) -> int:
@@ -164,7 +164,7 @@
 
 
 class FakeNetwork:
-    """Hands calls to a function for each host and keeps them."""
+    """Records calls and passes them to a handler for each host."""
 
     def __init__(self) -> None:
         self.handlers: dict[ids.HostId, CallHandler] = {}
@@ -173,7 +173,7 @@
     async def call(
         self, host: ids.HostId, message: base.Message, timeout_s: float
     ) -> base.Message:
-        """Makes a call."""
+        """Passes a call to the handler of its host."""
         self.calls.append((host, message))
         if host not in self.handlers:
             raise errors.PeerUnreachableError("gone", step="call", peer=host)
@@ -182,12 +182,12 @@
         raise errors.PeerCallTimeoutError("late", step="call", peer=host)
 
     def dispatches(self) -> list[work.Dispatch]:
-        """Returns the dispatches among the calls."""
+        """Returns the recorded calls that are dispatches."""
         return [m for _, m in self.calls if isinstance(m, work.Dispatch)]
 
 
 class FakeChooser:
-    """Takes the first upstream that is left; each has its own keeper."""
+    """Chooses the first permitted upstream; each has its own keeper."""
 
     def __init__(self, view: view_module.View) -> None:
         self._view = view
@@ -200,7 +200,7 @@
         exclude: frozenset[ids.UpstreamId] = frozenset(),
         keeper_refs: frozenset[ids.HostRef] | None = None,
     ) -> port.Choice | None:
-        """Returns the first choice that is left."""
+        """Returns the first permitted choice."""
         for host, upstream in zip(
             KEEPERS, entry.contract.upstreams, strict=True
         ):
@@ -216,7 +216,7 @@
     def record_load(
         self, service: ids.ServiceName, load: work.UpstreamLoad
     ) -> None:
-        """Takes in a report; of no use here."""
+        """Ignores a load report."""
 
     def pick_keepers(
         self, entry: store.ContractEntry, count: int
@@ -226,46 +226,46 @@
         return tuple(m.ref for m in found if m and m.takes_roles)
 
     def record_start(self, *args: object) -> None:
-        """Counts nothing."""
+        """Ignores the call."""
 
     def record_end(self, *args: object) -> None:
-        """Counts nothing."""
+        """Ignores the call."""
 
 
 class FakeFeeds:
-    """Keeps the names of its calls."""
+    """Records the names of the methods that are called."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
 
     def open(self, *args: object) -> None:
-        """Keeps the call."""
+        """Records the call."""
         self.calls.append("open")
 
     def close(self, flow: port.Flow, message: codec.Message) -> bool:
-        """Keeps the call."""
+        """Records the call."""
         self.calls.append("close")
         return True
 
     def read_state(
         self, flow: port.Flow, message: codec.Message
     ) -> codec.Message | None:
-        """Returns a large answer."""
+        """Returns a large notification."""
         return codec.Message(code=codes.Code.CONTENT, payload=b"p" * 3000)
 
     def acknowledge(self, flow: port.Flow, message_id: int) -> bool:
-        """Keeps the call."""
+        """Records the call."""
         self.calls.append("acknowledge")
         return True
 
     def reset(self, flow: port.Flow, message_id: int) -> bool:
-        """Keeps the call."""
+        """Records the call."""
         self.calls.append("reset")
         return True
 
 
 class HomeWorld:
-    """A home, its fakes, and a caller's hand."""
+    """A home with fakes, and methods that act as its caller."""
 
     def __init__(
         self,
@@ -303,14 +303,14 @@
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Runs the home."""
+        """Runs the home within the context."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.home.run)
             yield
             nursery.cancel_scope.cancel()
 
     def handle_calls_with(self, handler: CallHandler) -> None:
-        """Lets all keepers answer calls in this way."""
+        """Sets the handler of the calls to all keepers."""
         for host in KEEPERS:
             self.network.handlers[host] = handler
 
@@ -322,7 +322,7 @@
         flow: port.Flow = FLOW,
         **request: Any,
     ) -> codec.Message:
-        """Sends a request and returns its answer."""
+        """Sends a request and returns the reply to it."""
         request.setdefault("mid", next(self._message_ids))
         before = len(self.answers.sent)
         self.home.handle(flow, make_request(code, path, **request))
@@ -331,7 +331,7 @@
         return self.answers.sent[before][1]
 
     async def get_ticket(self, flow: port.Flow = FLOW) -> bytes:
-        """Returns a fresh ticket as a caller gets it."""
+        """Requests a new ticket as a caller and returns it."""
         reply = await self.send_request(codes.Code.POST, "/reserve", flow=flow)
         assert reply.code == replies.Code.UNAUTHORIZED
         echo: bytes = reply.opt.echo
@@ -345,7 +345,7 @@
     mid: int,
     payload: bytes = b"lot 7",
 ) -> None:
-    """Hands the home a reservation and doesn't wait for the answer."""
+    """Sends the home a reservation without waiting for the reply."""
     message = make_request(
         codes.Code.POST,
         "/reserve",
@@ -363,7 +363,8 @@
     """Returns a keeper that never answers.
 
     Args:
-        cancelled: Where it enters the messages whose work was cancelled.
+        cancelled: List to which it appends the messages whose handling was
+            cancelled.
     """
 
     async def hang(message: base.Message) -> base.Message:
--- a/tests/test_flows/test_flows_blocks.py
+++ b/tests/test_flows/test_flows_blocks.py
@@ -1,4 +1,4 @@
-"""Tests of block-wise transfer both ways."""
+"""Tests of block-wise transfer of requests and replies."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 from tests.test_flows import home_fakes
 
 Code: TypeAlias = codes.Code
-_LIMIT = 4096
+_MAX_BODY_OCTETS = 4096
 
 
 def _split(
     body: bytes, exponent: int, tag: bytes, **request: Any
 ) -> list[codec.Message]:
-    """Returns the datagrams of an upload."""
+    """Returns the requests for the blocks of an upload."""
     size = 1 << (exponent + 4)
-    found = []
+    messages = []
     for start in range(0, max(len(body), 1), size):
         message = home_fakes.make_request(
             Code.PUT,
@@ -42,51 +42,51 @@
         more = start + size < len(body)
         message.opt.block1 = (start // size, more, exponent)
         message.opt.request_tag = [tag]
-        found.append(message)
-    return found
+        messages.append(message)
+    return messages
 
 
 @home_fakes.PROPERTY
 @hypothesis.given(
     body=strategies.binary(min_size=20, max_size=400),
     exponent=strategies.integers(0, 4),
-    disorder=strategies.randoms(use_true_random=False),
+    randomness=strategies.randoms(use_true_random=False),
     extra=strategies.integers(0, 6),
     swaps=strategies.integers(0, 3),
 )
 @trios.clock_test
 async def test_any_order_of_blocks_gives_the_body_or_a_clean_error(
-    body: bytes, exponent: int, disorder: Any, extra: int, swaps: int
+    body: bytes, exponent: int, randomness: Any, extra: int, swaps: int
 ) -> None:
-    """A manifest arrives with a part missing, twice, or of another one.
+    """Guards against a body with missing, repeated or foreign blocks.
 
-    The network duplicates, delays and loses blocks; another upload of the
-    same caller, with its own tag, goes on at the same time.
+    The network duplicates, delays and loses blocks, while the same caller
+    sends another upload with its own Request-Tag.
     """
-    taker = uploads.Uploads(counts.Counts(), 30)
+    receiver = uploads.Uploads(counts.Counts(), 30)
     sent = _split(body, exponent, b"a")
     for _ in range(extra):
-        sent.insert(disorder.randrange(len(sent)), disorder.choice(sent))
+        sent.insert(randomness.randrange(len(sent)), randomness.choice(sent))
     for _ in range(swaps):
-        first, second = (disorder.randrange(len(sent)) for _ in range(2))
+        first, second = (randomness.randrange(len(sent)) for _ in range(2))
         sent[first], sent[second] = sent[second], sent[first]
     other = _split(bytes(reversed(body)), exponent, b"b")
-    wholes = []
+    bodies = []
     for message in sent:
         if other:
-            taker.add_block(home_fakes.FLOW, other.pop(0), _LIMIT)
-        taken = taker.add_block(home_fakes.FLOW, message, _LIMIT)
-        if isinstance(taken, upload.CompleteRequest):
-            wholes.append(taken.message.payload)
+            receiver.add_block(home_fakes.FLOW, other.pop(0), _MAX_BODY_OCTETS)
+        result = receiver.add_block(home_fakes.FLOW, message, _MAX_BODY_OCTETS)
+        if isinstance(result, upload.CompleteRequest):
+            bodies.append(result.message.payload)
         else:
-            assert isinstance(taken, codec.Message)
-            assert taken.code in (
+            assert isinstance(result, codec.Message)
+            assert result.code in (
                 Code.CONTINUE,
                 Code.REQUEST_ENTITY_INCOMPLETE,
             )
-    assert set(wholes) <= {body}
+    assert set(bodies) <= {body}
     if not extra and not swaps:
-        assert wholes == [body]
+        assert bodies == [body]
 
 
 @home_fakes.PROPERTY
@@ -98,11 +98,11 @@
 async def test_blocks_of_an_answer_join_to_the_whole(
     body: bytes, exponent: int
 ) -> None:
-    cutter = large_replies.LargeReplies(30)
+    stored_replies = large_replies.LargeReplies(30)
     key = block_params.ReplyKey(home_fakes.FLOW, b"name")
     reply = codec.Message(code=Code.CONTENT, payload=body)
     first = blocks.Block(0, False, exponent)
-    part = cutter.extract_block(
+    part = stored_replies.extract_block(
         reply, block_params.BlockParams(None, first, (key,))
     )
     joined = part.payload
@@ -110,16 +110,16 @@
     number = 0
     while part.opt.block2 is not None and part.opt.block2.more:
         number += 1
-        wanted = blocks.Block(number, False, exponent)
-        shape = block_params.BlockParams(None, wanted, (key,))
-        whole = cutter.find_reply(shape)
-        assert whole is not None
-        part = cutter.extract_block(whole, shape)
+        requested = blocks.Block(number, False, exponent)
+        params = block_params.BlockParams(None, requested, (key,))
+        stored = stored_replies.find_reply(params)
+        assert stored is not None
+        part = stored_replies.extract_block(stored, params)
         assert part.opt.etag == etag
         joined += part.payload
     assert joined == body
     beyond = blocks.Block(number + 1, False, exponent)
-    end = cutter.extract_block(
+    end = stored_replies.extract_block(
         reply, block_params.BlockParams(None, beyond, (key,))
     )
     assert end.code is Code.BAD_REQUEST
@@ -136,7 +136,7 @@
 async def _upload(
     world: home_fakes.HomeWorld, sent: list[codec.Message], first_mid: int
 ) -> codec.Message:
-    """Sends blocks one after another; returns the last answer."""
+    """Sends blocks one after another; returns the last reply."""
     for number, message in enumerate(sent):
         message.mid = first_mid + number
         before = len(world.answers.sent)
@@ -173,19 +173,19 @@
 
 @trios.clock_test
 async def test_block_that_differs_ends_the_upload() -> None:
-    """A manifest is made of two: one part of it is of an older upload.
+    """Guards against a body that contains a block of an older upload.
 
-    A caller gives up an upload and sends a changed body under the same
-    tag; blocks of both arrive.
+    A caller abandons an upload and sends a changed body with the same
+    Request-Tag; blocks of both uploads arrive.
     """
-    taker = uploads.Uploads(counts.Counts(), 30)
+    receiver = uploads.Uploads(counts.Counts(), 30)
     old = _split(b"o" * 3000, 6, b"t")
     new = _split(b"n" * 3000, 6, b"t")
     for message in (*new[:2], old[1]):
-        taken = taker.add_block(home_fakes.FLOW, message, _LIMIT)
-    assert isinstance(taken, codec.Message)
-    assert taken.code is Code.REQUEST_ENTITY_INCOMPLETE
-    last = taker.add_block(home_fakes.FLOW, new[2], _LIMIT)
+        result = receiver.add_block(home_fakes.FLOW, message, _MAX_BODY_OCTETS)
+    assert isinstance(result, codec.Message)
+    assert result.code is Code.REQUEST_ENTITY_INCOMPLETE
+    last = receiver.add_block(home_fakes.FLOW, new[2], _MAX_BODY_OCTETS)
     assert isinstance(last, codec.Message)
     assert last.code is Code.REQUEST_ENTITY_INCOMPLETE
 
@@ -210,20 +210,23 @@
 
 @trios.clock_test
 async def test_repeated_upload_runs_once() -> None:
-    """A manifest is taken twice because its last answer was lost.
+    """Guards against a second run after the reply to an upload was lost.
 
-    The caller sends the last block again under a new token, as plain CoAP
-    callers do, and then the whole upload once more.
+    The caller sends the final block again with a new token, as plain CoAP
+    clients do, and then the complete upload again.
     """
     world = home_fakes.HomeWorld()
     world.handle_calls_with(_answer)
     body = b"m" * 2500
     async with world.running():
-        bare = await _upload(world, _split_post(body, b"", b"a")[:1], 40)
-        assert bare.code is Code.UNAUTHORIZED
-        echo = bare.opt.echo
+        unauthorized = await _upload(
+            world, _split_post(body, b"", b"a")[:1], 40
+        )
+        assert unauthorized.code is Code.UNAUTHORIZED
+        echo = unauthorized.opt.echo
         await _upload(world, _split_post(body, echo, b"a"), 50)
-        # The message layer has forgotten the first copies by now.
+        # By now the message layer has removed the exchanges of the first
+        # copies.
         await trio.sleep(20)
         last = await _upload(world, _split_post(body, echo, b"b")[2:], 60)
         assert last.payload == b"done"
@@ -244,7 +247,8 @@
             body += await _request_block(world, Code.GET, number, b"")
         assert body == b"x" * 1500 + b"y" * 1500
         assert len(world.network.dispatches()) == 1
-        # A new home, or one that forgot it, fetches it again.
+        # The home has removed the reply by now, so it fetches it again, as a
+        # new home would.
         await trio.sleep(40)
         assert await _request_block(world, Code.GET, 2, b"") == b"y" * 952
         assert len(world.network.dispatches()) == 2
@@ -268,10 +272,10 @@
 
 @trios.clock_test
 async def test_rest_of_an_answer_survives_its_home() -> None:
-    """A buyer gets the first part of an answer and never the rest.
+    """Guards against a large reply whose later blocks can't be read.
 
-    The home dies between two blocks. The next home asks the keepers by
-    ticket and token for the whole answer; nothing runs.
+    The home fails between two blocks. The next home queries the keepers by
+    ticket and token for the complete reply; the request doesn't run again.
     """
     world = home_fakes.HomeWorld()
     world.handle_calls_with(_answer_large)
@@ -280,26 +284,27 @@
         first = await world.send_request(
             Code.POST, "/reserve", token=b"n", echo=echo
         )
-        here = await _request_block(world, Code.POST, 1, echo)
+        first_home_block = await _request_block(world, Code.POST, 1, echo)
     successor = home_fakes.HomeWorld(home_fakes.ids.HostId("entry-4"))
     successor.handle_calls_with(_answer_large)
     async with successor.running():
-        there = await _request_block(successor, Code.POST, 1, echo)
-        assert there == here
+        next_home_block = await _request_block(successor, Code.POST, 1, echo)
+        assert next_home_block == first_home_block
         rest = await _request_block(successor, Code.POST, 2, echo)
-    assert first.payload + there + rest == b"x" * 1500 + b"y" * 1500
+    assert first.payload + next_home_block + rest == b"x" * 1500 + b"y" * 1500
     assert not successor.network.dispatches()
-    (_, question), *_ = successor.network.calls
-    assert isinstance(question, work.Recover)
-    assert (question.token, question.digest) == (b"n", b"")
+    (_, query), *_ = successor.network.calls
+    assert isinstance(query, work.Recover)
+    assert (query.token, query.digest) == (b"n", b"")
 
 
 @trios.clock_test
 async def test_missing_rest_of_an_answer_is_never_called_not_run() -> None:
-    """A buyer reserves again because the rest of an answer is gone.
+    """Guards against "not run" for a request that ran, which invites a repeat.
 
-    A plain CoAP caller asks for the second block under a new token, at a
-    new home; no keeper knows that token and each says "not run".
+    A plain CoAP client requests the second block of a reply with a new token
+    from a new home. No keeper has a row for that token, so each answers "not
+    run".
     """
     world = home_fakes.HomeWorld()
     async with world.running():
--- a/tests/test_flows/test_flows_home.py
+++ b/tests/test_flows/test_flows_home.py
@@ -1,4 +1,4 @@
-"""Tests of a home's message layer and of the requests it hands on."""
+"""Tests of the home's message layer and of the requests that it dispatches."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 Code = codes.Code
 
-# Too late to ride on the ACK.
+# A reply after this time is too late to be piggybacked on the ACK.
 _LATE_S = exchanges.PIGGYBACK_S + 0.5
 
 
@@ -75,11 +75,11 @@
 
 @trios.clock_test
 async def test_reused_port_and_message_id_is_not_a_copy() -> None:
-    """A new caller gets the answer to an old caller's request.
+    """Guards against a caller that gets the reply to another caller's request.
 
-    A caller ends, another gets its port at once and happens to begin with
-    the same message id. Taken for a copy, its request would be answered
-    with what the first one asked for.
+    A caller ends; a new caller gets its port at once and starts with the same
+    message id. If its request were treated as a copy, it would get the reply
+    to the former caller's request.
     """
     world = home_fakes.HomeWorld()
     world.handle_calls_with(_answer)
@@ -91,7 +91,7 @@
 
 
 @trios.clock_test
-async def test_quick_answer_rides_on_the_ack() -> None:
+async def test_quick_reply_is_piggybacked_on_the_ack() -> None:
     world = home_fakes.HomeWorld()
     world.handle_calls_with(_answer)
     async with world.running():
@@ -141,7 +141,7 @@
     async with world.running():
         await world.send_request(Code.GET, "/lots", mtype=types.CON)
         await trio.sleep(200)
-        # One empty ACK, the answer, and four repetitions.
+        # One empty ACK, the reply and four retransmissions.
         assert len(world.answers.sent) == 6
         assert world.home.count_in_progress() == 0
 
@@ -230,7 +230,8 @@
 
 _path = strategies.sampled_from([(11, b"lots"), (11, b"reserve"), (11, b"x")])
 _option = strategies.one_of(
-    # Block1, Block2 and Observe with few octets, so that they mean much.
+    # Block2, Block1 and Observe with at most one octet, so that most values
+    # are valid.
     strategies.tuples(
         strategies.sampled_from([6, 23, 27]), strategies.binary(max_size=1)
     ),
@@ -262,9 +263,10 @@
     options: list[tuple[int, bytes]],
     payload: bytes,
 ) -> None:
-    """A datagram ends a task of the host, and with it the service.
+    """Guards against a datagram that stops a task and thereby the host.
 
-    Any option may hold any octets; what a library makes of them differs.
+    Any option may contain any octets, and the CoAP library decodes invalid
+    values in different ways, depending on the option.
     """
     kind, code, token = header
     data = bytes((0x40 | kind << 4 | len(token), code, 0, 9)) + token
@@ -288,9 +290,9 @@
 
 @trios.clock_test
 async def test_fault_in_one_request_ends_no_other() -> None:
-    """One request takes down the host, and all its feeds with it.
+    """Guards against one request that stops the host and all its feeds.
 
-    A fault of ours shows up with a datagram that nobody has thought of.
+    An unforeseen datagram triggers a bug, which raises an exception.
     """
     world = home_fakes.HomeWorld()
 
@@ -313,11 +315,11 @@
 
 @trios.clock_test
 async def test_failing_service_gets_no_retry_storm() -> None:
-    """A service that fails gets each request several times over.
+    """Guards against retries that keep an overloaded service failing.
 
-    Each home retries what failed elsewhere; with all upstreams failing that
-    doubles the load, which keeps them failing. The budget of the contract
-    bounds it.
+    Each home retries a failed request at another upstream. If all upstreams
+    fail, this doubles their load, which keeps them failing. The retry budget
+    of the contract limits the retries.
     """
     world = home_fakes.HomeWorld()
 
--- a/tests/test_flows/test_flows_message_ids.py
+++ b/tests/test_flows/test_flows_message_ids.py
@@ -1,4 +1,4 @@
-"""Tests of message ids to callers."""
+"""Tests of the message ids of datagrams to callers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 @hypothesis.given(
     start=strategies.integers(0, 1 << 40),
     skew_ms=strategies.integers(0, 20),
-    courses=strategies.lists(
+    steps=strategies.lists(
         strategies.tuples(
             strategies.integers(0, 1), strategies.integers(25, 2000)
         ),
@@ -26,14 +26,14 @@
         max_size=300,
     ),
 )
-def test_no_id_comes_back_when_a_flow_moves_between_hosts(
-    start: int, skew_ms: int, courses: list[tuple[int, int]]
+def test_no_id_is_reused_when_a_flow_moves_between_hosts(
+    start: int, skew_ms: int, steps: list[tuple[int, int]]
 ) -> None:
-    """A wholesaler's price board stands still for a while after a change.
+    """Guards against notifications that a caller discards as copies.
 
-    The feed's home changes, and the new home sends under message ids that
-    the former used a moment ago. The caller drops them as copies. Cause:
-    each host counted on its own, from a random number on.
+    The home of a feed changes, and the new home uses message ids that the
+    former home has just used. This happens if each host counts independently
+    from a random number.
     """
     now = [start]
     hosts = (
@@ -41,7 +41,7 @@
         message_ids.MessageIds(lambda: now[0] + skew_ms),
     )
     sent: dict[int, int] = {}
-    for host, pause_ms in courses:
+    for host, pause_ms in steps:
         now[0] += pause_ms
         message_id = hosts[host].allocate_id(_FLOW)
         if message_id in sent:
@@ -50,6 +50,6 @@
 
 
 def test_a_burst_repeats_no_id() -> None:
-    counter = message_ids.MessageIds(lambda: 0)
-    taken = [counter.allocate_id(_FLOW) for _ in range(60_000)]
-    assert len(set(taken)) == len(taken)
+    allocator = message_ids.MessageIds(lambda: 0)
+    allocated = [allocator.allocate_id(_FLOW) for _ in range(60_000)]
+    assert len(set(allocated)) == len(allocated)
--- a/tests/test_flows/test_flows_requests.py
+++ b/tests/test_flows/test_flows_requests.py
@@ -1,4 +1,4 @@
-"""Tests of requests that may run at most once."""
+"""Tests of at-most-once requests."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
 async def test_no_interleaving_runs_a_request_twice(
     sends: list[tuple[int, int, float]], delays: list[float]
 ) -> None:
-    """One reservation runs twice, or two callers of it hear differently.
+    """Guards against a reservation that runs twice or gets differing replies.
 
-    Copies and retries of three requests arrive in any order and at any
-    time, also after the message layer forgot the first copy, while the
-    upstream takes its time.
+    Copies and retries of three requests arrive in any order and at any time,
+    also after the message layer has removed the first copy, while the
+    upstream is still processing them.
     """
     world = home_fakes.HomeWorld()
     count = 0
@@ -49,9 +49,9 @@
     async def count_up(message: base.Message) -> base.Message:
         nonlocal count
         count += 1
-        mine = count
-        await trio.sleep(delays[mine % len(delays)])
-        return home_fakes.make_answered(b"%d" % mine)
+        run_number = count
+        await trio.sleep(delays[run_number % len(delays)])
+        return home_fakes.make_answered(b"%d" % run_number)
 
     world.handle_calls_with(count_up)
     async with world.running():
@@ -119,10 +119,10 @@
 
 @trios.clock_test
 async def test_full_table_refuses_for_good() -> None:
-    """A reservation runs after its buyer was told that it did not.
+    """Guards against a request that runs after it was refused as not run.
 
-    The table is full, so the request is refused; rows expire, and a copy
-    of its datagram that was held up in the network arrives.
+    The request table is full, so the request is refused. Then rows expire,
+    and a copy of its datagram arrives that the network delayed.
     """
     world = home_fakes.HomeWorld(most_flows=1, ticket_life_s=300)
     world.handle_calls_with(home_fakes.answer_done)
@@ -135,7 +135,7 @@
             POST, "/reserve", token=b"b", echo=later
         )
         assert refused.code is Code.SERVICE_UNAVAILABLE
-        # The first row is forgotten after 400 s of uptime.
+        # The first row is removed after 400 s of uptime.
         await trio.sleep(160)
         copy = await world.send_request(
             POST, "/reserve", token=b"b", echo=later
@@ -150,11 +150,11 @@
 
 @trios.clock_test
 async def test_changed_address_does_not_invite_a_second_run() -> None:
-    """A coach is sent twice after an address translator lost its entry.
+    """Guards against a second run after a NAT lost its entry for the caller.
 
-    The request ran, its answer went to the old port. The caller's next
-    copy comes from a new port, so its ticket no longer fits; with 4.01 the
-    caller would send the request again under a new one.
+    The request ran, but its reply went to the old port. The caller's next
+    copy comes from a new port, for which its ticket isn't valid. After a 4.01
+    the caller would send the request again with a new ticket.
     """
     world = home_fakes.HomeWorld()
     world.handle_calls_with(home_fakes.answer_done)
--- a/tests/test_flows/test_flows_requests_contracts.py
+++ b/tests/test_flows/test_flows_requests_contracts.py
@@ -1,4 +1,4 @@
-"""Tests of requests while the contract in force changes."""
+"""Tests of requests during a change of the contract in force."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 @trios.clock_test
 async def test_lost_contract_is_not_called_not_run() -> None:
-    """A buyer reserves twice around a change of contracts.
+    """Guards against a second run during a change of contracts.
 
-    The request ran; its answer was lost, and the contract is deleted, or
-    not yet known at the host that gets the next copy.
+    The request ran and its reply was lost. The host that receives the next
+    copy has no contract, because it was deleted or hasn't arrived yet.
     """
     world = home_fakes.HomeWorld()
     world.handle_calls_with(home_fakes.answer_done)
@@ -35,16 +35,17 @@
         world.contracts.offer(record)
         reply = await world.send_request(POST, "/reserve", echo=echo)
         assert reply.code is Code.GATEWAY_TIMEOUT
-        bare = await world.send_request(POST, "/reserve")
-        assert bare.code is Code.SERVICE_UNAVAILABLE
+        without_ticket = await world.send_request(POST, "/reserve")
+        assert without_ticket.code is Code.SERVICE_UNAVAILABLE
 
 
 @trios.clock_test
 async def test_work_that_became_non_idempotent_asks_for_a_ticket() -> None:
-    """A call runs twice though its new contract forbids it.
+    """Guards against a non-idempotent request that runs twice.
 
-    The operators declare it non-idempotent while an attempt, begun under
-    the former contract, waits for the keeper to agree.
+    The operators declare the call class non-idempotent while an attempt that
+    started under the former contract waits for the keeper to receive the new
+    one.
     """
     world = home_fakes.HomeWorld()
     stricter = home_fakes.make_contract().model_dump(mode="json")
--- a/tests/test_flows/test_flows_router.py
+++ b/tests/test_flows/test_flows_router.py
@@ -1,4 +1,4 @@
-"""Tests of which hosts get a datagram."""
+"""Tests of the routing of datagrams to hosts."""
 
 from __future__ import annotations
 
@@ -24,60 +24,64 @@
 _LEAVING = ids.HostId("entry-8")
 
 
-class Links:
-    """Keeps what is sent to other hosts.
+class FakeNetwork:
+    """Records the messages that are sent to other hosts.
 
     Attributes:
-        sent: Messages by host.
+        sent: Pairs of receiving host and message, in order.
     """
 
     def __init__(self) -> None:
         self.sent: list[tuple[ids.HostId, base.Message]] = []
 
     def handle_sent(self, *_: object) -> None:
-        """Has no other hosts that send."""
+        """Ignores the handler: no other host sends messages."""
 
     def send(self, host: ids.HostId, message: base.Message) -> bool:
-        """Keeps a message."""
+        """Records a message."""
         self.sent.append((host, message))
         return True
 
 
-class Home:
-    """Keeps what this host is home of."""
+class FakeHome:
+    """Records the messages of flows whose home is this host."""
 
     def __init__(self) -> None:
         self.handled: list[codec.Message] = []
 
     def handle(self, flow: port.Flow, message: codec.Message) -> None:
-        """Keeps a datagram."""
+        """Records a message."""
         self.handled.append(message)
 
 
-def _route(message: codec.Message) -> tuple[Links, Home]:
-    """Routes a datagram at a host that is alone with one that leaves."""
+def _route(message: codec.Message) -> tuple[FakeNetwork, FakeHome]:
+    """Routes a datagram at a host whose only peer is leaving."""
     view = view_module.View(home_fakes.make_member(home_fakes.ME))
     leaving = home_fakes.make_member(_LEAVING)
     view.put(dataclasses.replace(leaving, state=member.MemberState.LEAVING))
-    links, home = Links(), Home()
+    network, home = FakeNetwork(), FakeHome()
     router = router_module.Router(
         view,
         placement.Placement(view),
         tickets.TicketMint(home_fakes.make_settings(), store.KeyStore(), view),
-        links,  # type: ignore[arg-type]
+        network,  # type: ignore[arg-type]
         home,
         counts.Counts(),
     )
     router.receive(home_fakes.FLOW, codec.encode(message))
-    return links, home
+    return network, home
 
 
 def test_confirmation_reaches_the_home_that_leaves() -> None:
-    """A planned stop waits for seconds though all callers have answers."""
+    """Guards against a planned stop that waits for callers without need.
+
+    An ACK carries no ticket, so it is routed by the hash to the next home and
+    the host that is leaving doesn't receive it.
+    """
     message = codec.Message(code=codes.Code.EMPTY)
     message.mtype, message.mid, message.token = types.ACK, 7, b""
-    links, home = _route(message)
-    ((host, sent),) = links.sent
+    network, home = _route(message)
+    ((host, sent),) = network.sent
     assert host == _LEAVING
     assert isinstance(sent, relay.Relay)
     assert codec.decode(sent.data).mid == 7
@@ -85,6 +89,6 @@
 
 
 def test_request_is_not_sent_to_a_host_that_leaves() -> None:
-    links, home = _route(home_fakes.make_request(codes.Code.GET, "/lots"))
-    assert not links.sent
+    network, home = _route(home_fakes.make_request(codes.Code.GET, "/lots"))
+    assert not network.sent
     assert len(home.handled) == 1
--- a/tests/test_flows/test_flows_tickets.py
+++ b/tests/test_flows/test_flows_tickets.py
@@ -1,4 +1,4 @@
-"""Tests of tickets."""
+"""Tests of minting and verifying tickets."""
 
 from __future__ import annotations
 
@@ -75,10 +75,10 @@
 async def test_ticket_of_another_flow_is_refused(
     flow: port.Flow, other: port.Flow
 ) -> None:
-    """A packet meant for one service, or caller, passes for another's.
+    """Guards against a ticket that is accepted from another flow.
 
-    A caller shows the ticket that it got for one service at the address of
-    another; or someone shows a ticket that was read off the wire.
+    A caller sends the ticket that it got for one service to the address of
+    another service, or an attacker sends a ticket captured on the network.
     """
     hypothesis.assume(flow != other)
     mint = _make_mint()
@@ -140,7 +140,7 @@
     except errors.TicketError as error:
         assert error.step == "mint ticket"
     else:
-        raise AssertionError("a ticket without a key")
+        raise AssertionError("a ticket was minted without a key")
 
 
 @trios.clock_test
@@ -151,7 +151,7 @@
     assert mint.may_start_work(ticket)
     await trio.sleep(1.1)
     assert not mint.may_start_work(ticket)
-    # Its rows are still kept for all that a caller may repeat.
+    # Its rows are still retained for all retransmissions of a caller.
     assert ticket.expiry_ms - mint.uptime_ms() > 93_000
 
 
