--- a/persimmonhinge/flows/caller_sockets.py
+++ b/persimmonhinge/flows/caller_sockets.py
@@ -87,7 +87,7 @@
             self._counts.add("answers_dropped_total", cause=name)
 
     def next_message_id(self, flow: port.Flow) -> int:
-        """Returns a message id that the caller hasn't seen lately."""
+        """Returns a message id that the caller hasn't seen recently."""
         return self._message_ids.allocate_id(flow)
 
     def _list_required(self) -> set[tuple[ids.ServiceName, str, int]]:
--- a/persimmonhinge/flows/message_ids.py
+++ b/persimmonhinge/flows/message_ids.py
@@ -41,7 +41,7 @@
         self._last_steps = array.array("Q", bytes(8 * _BUCKET_COUNT))
 
     def allocate_id(self, flow: port.Flow) -> int:
-        """Returns a message id that the caller hasn't seen lately."""
+        """Returns a message id that the caller hasn't seen recently."""
         host, caller_port = flow.caller
         key = f"{flow.service}\n{host}\n{caller_port}".encode()
         bucket = xxhash.xxh32_intdigest(key) % _BUCKET_COUNT
--- a/persimmonhinge/flows/port.py
+++ b/persimmonhinge/flows/port.py
@@ -34,7 +34,7 @@
         """Sends one datagram; its message id, type and token must be set."""
 
     def next_message_id(self, flow: Flow) -> int:
-        """Returns a message id that wasn't used lately for this caller."""
+        """Returns a message id that wasn't used recently for this caller."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -88,7 +88,7 @@
     def record_load(
         self, service: ids.ServiceName, load: work.UpstreamLoad
     ) -> None:
-        """Records the load that a keeper reported with an answer."""
+        """Records the load that a keeper reported with its reply."""
 
     def record_start(
         self,
--- a/tests/test_flows/home_fakes.py
+++ b/tests/test_flows/home_fakes.py
@@ -284,7 +284,7 @@
         self.keys = store_module.KeyStore()
         self.keys.offer(make_key_record())
         self.network = FakeNetwork()
-        self.answers = FakeCallerSender()
+        self.sender = FakeCallerSender()
         self.feeds = FakeFeeds()
         self.counts = counts.Counts()
         self.home = home.Home(
@@ -294,7 +294,7 @@
             self.contracts,
             self.keys,
             self.network,  # type: ignore[arg-type]
-            self.answers,
+            self.sender,
             make_chooser(self.view),
             self.feeds,
             self.counts,
@@ -324,11 +324,11 @@
     ) -> codec.Message:
         """Sends a request and returns the reply to it."""
         request.setdefault("mid", next(self._message_ids))
-        before = len(self.answers.sent)
+        before = len(self.sender.sent)
         self.home.handle(flow, make_request(code, path, **request))
-        while len(self.answers.sent) == before:
+        while len(self.sender.sent) == before:
             await trio.sleep(0.001)
-        return self.answers.sent[before][1]
+        return self.sender.sent[before][1]
 
     async def get_ticket(self, flow: port.Flow = FLOW) -> bytes:
         """Requests a new ticket as a caller and returns it."""
--- a/tests/test_flows/test_flows_blocks.py
+++ b/tests/test_flows/test_flows_blocks.py
@@ -139,11 +139,11 @@
     """Sends blocks one after another; returns the last reply."""
     for number, message in enumerate(sent):
         message.mid = first_mid + number
-        before = len(world.answers.sent)
+        before = len(world.sender.sent)
         world.home.handle(home_fakes.FLOW, message)
-        while len(world.answers.sent) == before:
+        while len(world.sender.sent) == before:
             await trio.sleep(0.001)
-    return world.answers.sent[-1][1]
+    return world.sender.sent[-1][1]
 
 
 @trios.clock_test
@@ -262,11 +262,11 @@
         code, path, mid=500 + number, token=b"n", echo=echo or None
     )
     message.opt.block2 = (number, False, 6)
-    before = len(world.answers.sent)
+    before = len(world.sender.sent)
     world.home.handle(home_fakes.FLOW, message)
-    while len(world.answers.sent) == before:
+    while len(world.sender.sent) == before:
         await trio.sleep(0.001)
-    payload: bytes = world.answers.sent[before][1].payload
+    payload: bytes = world.sender.sent[before][1].payload
     return payload
 
 
@@ -317,7 +317,7 @@
     successor.handle_calls_with(deny)
     async with successor.running():
         await _request_block(successor, Code.POST, 1, echo)
-    assert successor.answers.sent[-1][1].code is Code.GATEWAY_TIMEOUT
+    assert successor.sender.sent[-1][1].code is Code.GATEWAY_TIMEOUT
 
 
 @trios.clock_test
@@ -327,5 +327,5 @@
     message.opt.block2 = (2, False, 6)
     async with world.running():
         world.home.handle(home_fakes.FLOW, message)
-    reply = world.answers.sent[0][1]
+    reply = world.sender.sent[0][1]
     assert (reply.code, len(reply.payload)) == (Code.CONTENT, 952)
--- a/tests/test_flows/test_flows_home.py
+++ b/tests/test_flows/test_flows_home.py
@@ -23,7 +23,7 @@
 Code = codes.Code
 
 # A reply after this time is too late to be piggybacked on the ACK.
-_LATE_S = exchanges.PIGGYBACK_S + 0.5
+_LATE_REPLY_S = exchanges.PIGGYBACK_S + 0.5
 
 
 async def _answer(message: base.Message) -> base.Message:
@@ -108,7 +108,7 @@
     world = home_fakes.HomeWorld()
 
     async def answer_late(message: base.Message) -> base.Message:
-        await trio.sleep(_LATE_S)
+        await trio.sleep(_LATE_REPLY_S)
         return home_fakes.make_answered(b"late")
 
     world.handle_calls_with(answer_late)
@@ -118,14 +118,14 @@
         )
         assert (ack.code, ack.mtype, ack.mid) == (Code.EMPTY, types.ACK, 5)
         await trio.sleep(5)
-        copies = [m for _, m in world.answers.sent[1:]]
+        copies = [m for _, m in world.sender.sent[1:]]
         assert len(copies) == 2
         assert {m.mid for m in copies} == {copies[0].mid}
         assert copies[0].mtype is types.CON
         assert world.home.count_in_progress() == 1
         _send_empty(world, types.ACK, copies[0].mid)
         await trio.sleep(100)
-        assert len(world.answers.sent) == 3
+        assert len(world.sender.sent) == 3
         assert world.home.count_in_progress() == 0
 
 
@@ -134,7 +134,7 @@
     world = home_fakes.HomeWorld()
 
     async def answer_late(message: base.Message) -> base.Message:
-        await trio.sleep(_LATE_S)
+        await trio.sleep(_LATE_REPLY_S)
         return home_fakes.make_answered(b"late")
 
     world.handle_calls_with(answer_late)
@@ -142,7 +142,7 @@
         await world.send_request(Code.GET, "/lots", mtype=types.CON)
         await trio.sleep(200)
         # One empty ACK, the reply and four retransmissions.
-        assert len(world.answers.sent) == 6
+        assert len(world.sender.sent) == 6
         assert world.home.count_in_progress() == 0
 
 
@@ -164,8 +164,8 @@
     world = home_fakes.HomeWorld()
     async with world.running():
         _send_empty(world, types.CON, 77)
-    assert world.answers.sent[0][1].mtype is types.RST
-    assert world.answers.sent[0][1].mid == 77
+    assert world.sender.sent[0][1].mtype is types.RST
+    assert world.sender.sent[0][1].mid == 77
 
 
 @trios.clock_test
@@ -175,7 +175,7 @@
     message.opt.oscore = b"x"
     async with world.running():
         world.home.handle(home_fakes.FLOW, message)
-    assert world.answers.sent[0][1].code == Code.BAD_OPTION
+    assert world.sender.sent[0][1].code == Code.BAD_OPTION
 
 
 @trios.clock_test
@@ -199,8 +199,8 @@
     async with world.running():
         world.home.handle(home_fakes.FLOW, message)
         await trio.sleep(0.01)
-    assert world.answers.sent[0][1].payload == b"done"
-    assert world.answers.sent[0][1].opt.observe is None
+    assert world.sender.sent[0][1].payload == b"done"
+    assert world.sender.sent[0][1].opt.observe is None
 
 
 @trios.clock_test
--- a/tests/test_flows/test_flows_recovery.py
+++ b/tests/test_flows/test_flows_recovery.py
@@ -148,7 +148,7 @@
     async with world.running():
         world.home.handle(home_fakes.FLOW, message)
         await trio.sleep(5)
-        assert not world.answers.sent
+        assert not world.sender.sent
         assert not world.network.calls
         # Once the home is known to be dead, the next copy is answered.
         world.view.remove(home_fakes.ME)
@@ -224,10 +224,10 @@
     async with world.running():
         world.home.handle(home_fakes.FLOW, message)
         await trio.sleep(3)
-        assert not world.answers.sent
+        assert not world.sender.sent
         _keep_all(world, Outcome.ANSWERED)
         await trio.sleep(2)
-        ((_, reply),) = world.answers.sent
+        ((_, reply),) = world.sender.sent
     assert reply.payload == b"kept"
 
 
@@ -286,9 +286,9 @@
     async with world.running():
         world.home.handle(home_fakes.FLOW, message)
         await trio.sleep(5)
-        assert not world.answers.sent
+        assert not world.sender.sent
         await trio.sleep(20)
-        ((_, reply),) = world.answers.sent
+        ((_, reply),) = world.sender.sent
     assert reply.code is Code.GATEWAY_TIMEOUT
 
 
@@ -327,7 +327,7 @@
     """
     echo = await world.get_ticket()
     world.handle_calls_with(keep)
-    before = len(world.answers.sent)
+    before = len(world.sender.sent)
     message = home_fakes.make_request(
         POST, "/reserve", echo=echo, mtype=types.CON
     )
@@ -366,7 +366,7 @@
     world: home_fakes.HomeWorld, before: int
 ) -> list[codec.Message]:
     """Returns what was sent since, without empty ACKs."""
-    sent = [message for _, message in world.answers.sent[before:]]
+    sent = [message for _, message in world.sender.sent[before:]]
     return [message for message in sent if message.code is not Code.EMPTY]
 
 
--- a/tests/test_flows/test_flows_requests.py
+++ b/tests/test_flows/test_flows_requests.py
@@ -65,7 +65,7 @@
     runs = collections.Counter(d.token for d in world.network.dispatches())
     assert set(runs.values()) <= {1}
     payloads = collections.defaultdict(set)
-    for _, reply in world.answers.sent[1:]:
+    for _, reply in world.sender.sent[1:]:
         if reply.code is Code.CHANGED:
             payloads[reply.token].add(reply.payload)
     assert all(len(found) == 1 for found in payloads.values())
--- a/tests/test_flows/test_flows_requests_ends.py
+++ b/tests/test_flows/test_flows_requests_ends.py
@@ -39,7 +39,7 @@
             assert reply.code is Code.SERVICE_UNAVAILABLE
             assert reply.opt.echo is None
             assert world.home.count_in_progress() == 1
-        late = world.answers.sent[-1][1]
+        late = world.sender.sent[-1][1]
     assert (late.token, late.payload) == (b"a", b"late")
     assert late.opt.echo is None
 
@@ -72,7 +72,7 @@
 
 
 def _list_payloads(world: home_fakes.HomeWorld, before: int) -> list[bytes]:
-    return [message.payload for _, message in world.answers.sent[before:]]
+    return [message.payload for _, message in world.sender.sent[before:]]
 
 
 @trios.clock_test
@@ -85,7 +85,7 @@
         for mid, lot in ((1, b"lot 1"), (2, b"lot 2")):
             home_fakes.send_reservation(world, echo, b"a", mid, lot)
             await trio.sleep(0.1)
-        before = len(world.answers.sent)
+        before = len(world.sender.sent)
         home_fakes.send_reservation(world, echo, b"a", 1, b"lot 1")
         await trio.sleep(0.1)
         assert _list_payloads(world, before) == []
@@ -108,7 +108,7 @@
         echo = await world.get_ticket()
         _post_confirmable(world, echo, 1, b"lot 1")
         await trio.sleep(2.5)
-        before = len(world.answers.sent)
+        before = len(world.sender.sent)
         _post_confirmable(world, echo, 2, b"lot 2")
         await trio.sleep(30)
         later = _list_payloads(world, before)
@@ -127,7 +127,7 @@
         for mid, lot in ((1, b"lot 1"), (2, b"lot 2"), (3, b"lot 1")):
             home_fakes.send_reservation(world, echo, b"a", mid, lot)
             await trio.sleep(0.1)
-        before = len(world.answers.sent)
+        before = len(world.sender.sent)
         home_fakes.send_reservation(world, echo, b"a", 2, b"lot 2")
         await trio.sleep(0.1)
         assert _list_payloads(world, before) == [b"lot 2"]
