--- a/persimmonhinge/flows/home.py
+++ b/persimmonhinge/flows/home.py
@@ -67,8 +67,8 @@
         self._once = once.Once(
             settings, view, mint, issuer, dispatcher, recovery, counts
         )
-        life_s = settings.flows.answer_life_s
-        self._exchanges = exchanges.Exchanges(sender, counts, life_s)
+        reply_retention_s = settings.flows.answer_life_s
+        self._exchanges = exchanges.Exchanges(sender, counts, reply_retention_s)
         self._server = server.RequestServer(
             self._exchanges,
             dispatcher,
@@ -76,7 +76,7 @@
             issuer,
             feeds,
             counts,
-            life_s,
+            reply_retention_s,
         )
 
     def count_in_progress(self) -> int:
@@ -137,8 +137,8 @@
         if entry is not None and self._open_feed(flow, message, entry):
             return
         if message.mtype is types.NON and request.check_options(message):
-            # RFC 7252 section 5.4.1: a NON request with an unsupported critical
-            # option is rejected with an RST.
+            # RFC 7252 section 5.4.1: a NON request with invalid options is
+            # rejected with an RST.
             exchanges.send_empty(self._sender, flow, types.RST, message.mid)
             return
         exchange = self._exchanges.register_request(flow, message)
--- a/persimmonhinge/flows/port.py
+++ b/persimmonhinge/flows/port.py
@@ -96,7 +96,7 @@
         upstream: ids.UpstreamId,
         kind: contract.CallKind,
     ) -> None:
-        """Records that this host has started a request or feed there."""
+        """Records that a request or feed of this host has started."""
 
     def record_end(
         self,
--- a/persimmonhinge/flows/router.py
+++ b/persimmonhinge/flows/router.py
@@ -65,10 +65,10 @@
             if self._network.send(host, self._make_relay(flow, data)):
                 self._counts.add("datagrams_relayed_total")
                 return
-            # That home can't be reached: it has failed, or the network
-            # between it and this host has. The next host in rank order serves
-            # the flow. Two homes for one flow are safe, because at-most-once
-            # requests are bound to their ticket.
+            # That home has failed or is unreachable from this host. The
+            # next host in rank order serves the flow. Two homes for one flow
+            # are safe, because at-most-once requests are bound to their
+            # ticket.
             self._counts.add("homes_passed_over_total")
         self._home.handle(flow, message)
 
--- a/persimmonhinge/flows/tickets.py
+++ b/persimmonhinge/flows/tickets.py
@@ -22,10 +22,10 @@
 # RFC 9175 section 2.2.1: Echo holds 1 to 40 octets.
 TICKET_OCTETS = 40
 MAX_KEEPERS = 2
-# A ticket can start new requests during its life; their rows are retained for
-# this time after it. RFC 7252 section 4.8.2 allows a caller to retransmit a
-# confirmable request for 93 s (MAX_TRANSMIT_WAIT), and each copy must find the
-# row of its request.
+# A ticket can start new requests during its life; the rows of these requests
+# are retained for this time after it. RFC 7252 section 4.8.2 allows a caller
+# to retransmit a confirmable request for 93 s (MAX_TRANSMIT_WAIT), and each
+# copy must find the row of its request.
 ROW_RETENTION_MS = 100_000
 
 # Keepers assume that a ticket expires at most an hour after it was minted.
