--- a/persimmonhinge/flows/chooser.py
+++ b/persimmonhinge/flows/chooser.py
@@ -68,10 +68,10 @@
         kind: contract.CallKind,
         *,
         exclude: frozenset[ids.UpstreamId] = frozenset(),
-        among: frozenset[ids.HostRef] | None = None,
+        keeper_refs: frozenset[ids.HostRef] | None = None,
     ) -> port.Choice | None:
         """Chooses an upstream; see `flows.port.Chooser`."""
-        reachable = self._list_choices(entry, exclude, among)
+        reachable = self._list_choices(entry, exclude, keeper_refs)
         if not reachable:
             return None
         homes = self._placement.count_hosts()
@@ -112,7 +112,7 @@
         service = ids.ServiceName(entry.contract.service)
         return self._keeper_scheduler.pick(service, others or weights, count)
 
-    def begin(
+    def record_start(
         self,
         service: ids.ServiceName,
         upstream: ids.UpstreamId,
@@ -121,7 +121,7 @@
         """Counts a request or feed that this host has started."""
         self._load_tracker.record_start(service, upstream, kind)
 
-    def end(
+    def record_end(
         self,
         service: ids.ServiceName,
         upstream: ids.UpstreamId,
@@ -130,7 +130,9 @@
         """Counts a request or feed that this host has ended."""
         self._load_tracker.record_end(service, upstream, kind)
 
-    def note(self, service: ids.ServiceName, load: work.UpstreamLoad) -> None:
+    def record_load(
+        self, service: ids.ServiceName, load: work.UpstreamLoad
+    ) -> None:
         """Records a load report that arrived with an answer."""
         self._load_tracker.record_load(service, load)
 
--- a/persimmonhinge/flows/dispatcher.py
+++ b/persimmonhinge/flows/dispatcher.py
@@ -131,7 +131,7 @@
                 entry,
                 _REQUEST,
                 exclude=frozenset(state.excluded_upstreams),
-                among=state.allowed_keepers,
+                keeper_refs=state.allowed_keepers,
             )
             if choice is None:
                 return state.last_result
@@ -210,7 +210,7 @@
         upstream = ids.UpstreamId(choice.upstream.id)
         message = self._build_dispatch(request, entry, upstream, waits=waits)
         timeout_s = request.deadline - trio.current_time() + _ANSWER_MARGIN_S
-        self._chooser.begin(request.service, upstream, _REQUEST)
+        self._chooser.record_start(request.service, upstream, _REQUEST)
         try:
             answer = await self._network.call(choice.keeper, message, timeout_s)
         except errors.PeerUnreachableError:
@@ -218,11 +218,11 @@
         except errors.PeerError:
             return _make_failure(Outcome.UNKNOWN, Source.LINK_FAILURE)
         finally:
-            self._chooser.end(request.service, upstream, _REQUEST)
+            self._chooser.record_end(request.service, upstream, _REQUEST)
         if not isinstance(answer, work.Dispatched):
             return _make_failure(Outcome.UNKNOWN, Source.LINK_FAILURE)
         if answer.load is not None:
-            self._chooser.note(request.service, answer.load)
+            self._chooser.record_load(request.service, answer.load)
         self._counts.add("home_dispatched_total", outcome=answer.outcome.value)
         return attempt_module.AttemptResult(answer, Source.KEEPER)
 
--- a/persimmonhinge/flows/non_idempotent.py
+++ b/persimmonhinge/flows/non_idempotent.py
@@ -103,7 +103,7 @@
             has_capacity: False if this host can start no more requests.
         """
         if not echo:
-            return self._issuer.ask(request.flow, entry, "none")
+            return self._issuer.require_ticket(request.flow, entry, "none")
         try:
             ticket = self._mint.read(echo, request.flow)
         except tickets.RefusedTicketError as error:
@@ -129,12 +129,14 @@
             None if the block may be stored, else the decision on it.
         """
         if not echo:
-            return self._issuer.ask(flow, entry, "none")
+            return self._issuer.require_ticket(flow, entry, "none")
         try:
             ticket = self._mint.read(echo, flow)
         except tickets.RefusedTicketError as error:
             if error.fault in _UNUSABLE_TICKET_FAULTS:
-                return self._issuer.ask(flow, entry, error.fault.value)
+                return self._issuer.require_ticket(
+                    flow, entry, error.fault.value
+                )
             return self._issuer.report_unverified(flow, entry, error.fault)
         return self._defer_to_home(ticket)
 
@@ -176,12 +178,14 @@
         key yet.
         """
         if fault in _UNUSABLE_TICKET_FAULTS:
-            return self._issuer.ask(request.flow, entry, fault.value)
+            return self._issuer.require_ticket(request.flow, entry, fault.value)
         home = tickets.peek_home(echo)
         if home is not None and self._mint.is_own(home):
             key = request.make_row_key(home, tickets.peek_id(echo))
             if self._table.find(key) is None:
-                return self._issuer.ask(request.flow, entry, fault.value)
+                return self._issuer.require_ticket(
+                    request.flow, entry, fault.value
+                )
         return self._issuer.report_unverified(request.flow, entry, fault)
 
     def _start_request(
@@ -192,8 +196,8 @@
         has_capacity: bool,
     ) -> Admission:
         ticket = request.required_ticket
-        if not self._mint.begins(ticket):
-            return self._issuer.ask(request.flow, entry, "expired")
+        if not self._mint.may_start_work(ticket):
+            return self._issuer.require_ticket(request.flow, entry, "expired")
         if self._issuer.leaving:
             # A host that leaves never resumes service, so a late copy of
             # the request is refused, too.
@@ -203,8 +207,8 @@
             row = self._table.add(request.row_key, ticket.expiry_ms)
         if row is None:
             self._counts.add("home_refused_total", cause="table-full")
-            self._mint.close_issued()
-            echo = self._issuer.renew(request.flow, entry)
+            self._mint.revoke_issued()
+            echo = self._issuer.issue_ticket(request.flow, entry)
             return replies.make_unavailable(
                 _RETRY_AFTER_S, "host is full", echo
             )
--- a/tests/test_flows/home_fakes.py
+++ b/tests/test_flows/home_fakes.py
@@ -1,4 +1,4 @@
-"""A home with small fakes around it."""
+"""A home with fakes of its dependencies."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 from persimmonhinge import errors
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.contracts import store as stores
-from persimmonhinge.flows import home as homes
+from persimmonhinge.contracts import contract
+from persimmonhinge.contracts import store
+from persimmonhinge.flows import home
 from persimmonhinge.flows import port
 from persimmonhinge.flows import replies
-from persimmonhinge.keys import store as key_stores
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.keys import store as store_module
+from persimmonhinge.membership import member as member_module
+from persimmonhinge.membership import placement
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts
 from persimmonhinge.peers.messages import base
 from persimmonhinge.peers.messages import control
 from persimmonhinge.peers.messages import work
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.settings import entry as entry_module
 
 SERVICE = ids.ServiceName("floor-trading")
 FLOW = port.Flow(SERVICE, ("127.0.0.1", 4001))
@@ -40,17 +40,17 @@
 ME = ids.HostId("entry-1")
 KEEPERS = (ids.HostId("entry-2"), ids.HostId("entry-3"))
 
-# On a busy machine it takes long to make the examples, which is no fault.
+# On a busy machine generating the examples is slow, which is not a failure.
 PROPERTY = hypothesis.settings(
     deadline=None,
     derandomize=True,
     suppress_health_check=[hypothesis.HealthCheck.too_slow],
 )
-Keep = Callable[[base.Message], Awaitable[base.Message]]
+CallHandler = Callable[[base.Message], Awaitable[base.Message]]
 
 
-def make_settings(**flows: Any) -> settings_entry.EntrySettings:
-    return settings_entry.EntrySettings.model_validate(
+def make_settings(**flows: Any) -> entry_module.EntrySettings:
+    return entry_module.EntrySettings.model_validate(
         {
             "host": ME,
             "domain": "north",
@@ -61,8 +61,8 @@
     )
 
 
-def make_member(host: ids.HostId, incarnation: int = 1) -> members.Member:
-    return members.Member(
+def make_member(host: ids.HostId, incarnation: int = 1) -> member_module.Member:
+    return member_module.Member(
         host,
         ids.DomainId("north"),
         "127.0.0.1",
@@ -72,7 +72,7 @@
     )
 
 
-def make_contract() -> contracts.Contract:
+def make_contract() -> contract.Contract:
     upstreams = [
         {
             "id": f"target-{number}",
@@ -88,7 +88,7 @@
         {"name": "put", "method": "PUT", "path": "/lots*"},
         {"name": "reserve", "method": "POST", "path": "/reserve"},
     ]
-    return contracts.Contract.model_validate(
+    return contract.Contract.model_validate(
         {
             "service": SERVICE,
             "address": "127.0.0.1:5683",
@@ -100,7 +100,7 @@
 
 
 def make_key_record(revision: int = 1, **states: str) -> control.KeyRecord:
-    """Returns a ring; `key_7="current"` is a key with id 7."""
+    """Returns a key ring; `key_7="current"` is the current key with id 7."""
     keys = [
         {
             "key_id": int(name.removeprefix("key_")),
@@ -128,191 +128,193 @@
     message.opt.uri_path = tuple(path.strip("/").split("/"))
     if echo is not None:
         message.opt.echo = echo
-    # As a caller would send it: through the octets.
+    # Encoded and decoded, as it would be received from a caller.
     return codec.decode(codec.encode(message))
 
 
 def make_answer(payload: bytes, code: codes.Code = codes.Code.CHANGED) -> bytes:
-    answer = codec.Message(code=code, payload=payload)
-    answer.mtype, answer.mid, answer.token = types.NON, 0, b""
-    return codec.encode(answer)
+    reply = codec.Message(code=code, payload=payload)
+    reply.mtype, reply.mid, reply.token = types.NON, 0, b""
+    return codec.encode(reply)
 
 
-def answered(payload: bytes) -> work.Dispatched:
+def make_answered(payload: bytes) -> work.Dispatched:
     return work.Dispatched(work.Outcome.ANSWERED, make_answer(payload))
 
 
 async def answer_done(message: base.Message) -> base.Message:
-    """Answers as a keeper whose upstream did the work."""
-    return answered(b"done")
+    """Answers as a keeper whose upstream processed the request."""
+    return make_answered(b"done")
 
 
-class FakeAnswers:
-    """Keeps what is sent to callers."""
+class FakeCallerSender:
+    """Records the messages that are sent to callers."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[port.Flow, codec.Message]] = []
-        self._ids = itertools.count(1000)
+        self._message_ids = itertools.count(1000)
 
     def send(self, flow: port.Flow, message: codec.Message) -> None:
-        """Keeps a message as a caller reads it."""
+        """Records a message as a caller decodes it."""
         self.sent.append((flow, codec.decode(codec.encode(message))))
 
     def next_message_id(self, flow: port.Flow) -> int:
         """Returns a new message id."""
-        return next(self._ids)
+        return next(self._message_ids)
 
 
 class FakeNetwork:
-    """Hands calls to a function for each host and keeps them."""
+    """Records calls and passes them to a handler for each host."""
 
     def __init__(self) -> None:
-        self.keep: dict[ids.HostId, Keep] = {}
+        self.handlers: dict[ids.HostId, CallHandler] = {}
         self.calls: list[tuple[ids.HostId, base.Message]] = []
 
     async def call(
         self, host: ids.HostId, message: base.Message, timeout_s: float
     ) -> base.Message:
-        """Makes a call."""
+        """Passes a call to the handler of its host."""
         self.calls.append((host, message))
-        if host not in self.keep:
+        if host not in self.handlers:
             raise errors.PeerUnreachableError("gone", step="call", peer=host)
         with trio.move_on_after(timeout_s):
-            return await self.keep[host](message)
+            return await self.handlers[host](message)
         raise errors.PeerCallTimeoutError("late", step="call", peer=host)
 
     def dispatches(self) -> list[work.Dispatch]:
-        """Returns the dispatches among the calls."""
+        """Returns the recorded calls that are dispatches."""
         return [m for _, m in self.calls if isinstance(m, work.Dispatch)]
 
 
 class FakeChooser:
-    """Takes the first upstream that is left; each has its own keeper."""
+    """Chooses the first permitted upstream; each has its own keeper."""
 
-    def __init__(self, view: views.View) -> None:
+    def __init__(self, view: view_module.View) -> None:
         self._view = view
 
     def choose(
         self,
-        entry: stores.ContractEntry,
-        kind: contracts.CallKind,
+        entry: store.ContractEntry,
+        kind: contract.CallKind,
         *,
         exclude: frozenset[ids.UpstreamId] = frozenset(),
-        among: frozenset[ids.HostRef] | None = None,
+        keeper_refs: frozenset[ids.HostRef] | None = None,
     ) -> port.Choice | None:
-        """Returns the first choice that is left."""
+        """Returns the first permitted choice."""
         for host, upstream in zip(
             KEEPERS, entry.contract.upstreams, strict=True
         ):
             member = self._view.get(host)
             if member is None or not member.takes_roles:
                 continue
-            if among is not None and member.ref not in among:
+            if keeper_refs is not None and member.ref not in keeper_refs:
                 continue
             if ids.UpstreamId(upstream.id) not in exclude:
                 return port.Choice(upstream, host, member.ref)
         return None
 
-    def note(self, service: ids.ServiceName, load: work.UpstreamLoad) -> None:
-        """Takes in a report; of no use here."""
+    def record_load(
+        self, service: ids.ServiceName, load: work.UpstreamLoad
+    ) -> None:
+        """Ignores a load report."""
 
     def pick_keepers(
-        self, entry: stores.ContractEntry, count: int
+        self, entry: store.ContractEntry, count: int
     ) -> tuple[ids.HostRef, ...]:
         """Returns all keepers."""
         found = [self._view.get(host) for host in KEEPERS]
         return tuple(m.ref for m in found if m and m.takes_roles)
 
-    def begin(self, *args: object) -> None:
-        """Counts nothing."""
+    def record_start(self, *args: object) -> None:
+        """Ignores the call."""
 
-    def end(self, *args: object) -> None:
-        """Counts nothing."""
+    def record_end(self, *args: object) -> None:
+        """Ignores the call."""
 
 
 class FakeFeeds:
-    """Keeps the names of its calls."""
+    """Records the names of the methods that are called."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
 
     def open(self, *args: object) -> None:
-        """Keeps the call."""
+        """Records the call."""
         self.calls.append("open")
 
     def close(self, flow: port.Flow, message: codec.Message) -> bool:
-        """Keeps the call."""
+        """Records the call."""
         self.calls.append("close")
         return True
 
     def read_state(
         self, flow: port.Flow, message: codec.Message
     ) -> codec.Message | None:
-        """Returns a large answer."""
+        """Returns a large notification."""
         return codec.Message(code=codes.Code.CONTENT, payload=b"p" * 3000)
 
     def acknowledge(self, flow: port.Flow, message_id: int) -> bool:
-        """Keeps the call."""
+        """Records the call."""
         self.calls.append("acknowledge")
         return True
 
     def reset(self, flow: port.Flow, message_id: int) -> bool:
-        """Keeps the call."""
+        """Records the call."""
         self.calls.append("reset")
         return True
 
 
 class HomeWorld:
-    """A home, its fakes, and a caller's hand."""
+    """A home with fakes, and methods that act as its caller."""
 
     def __init__(
         self,
         me: ids.HostId = ME,
-        make_chooser: Callable[[views.View], FakeChooser] = FakeChooser,
+        make_chooser: Callable[[view_module.View], FakeChooser] = FakeChooser,
         **flows: Any,
     ) -> None:
-        self.view = views.View(make_member(me))
+        self.view = view_module.View(make_member(me))
         for host in KEEPERS:
             self.view.put(make_member(host))
-        self.contracts = stores.ContractStore()
+        self.contracts = store.ContractStore()
         body = make_contract().model_dump_json().encode()
         self.contracts.offer(
             control.ContractRecord(SERVICE, ids.Revision(1), body)
         )
-        self.keys = key_stores.KeyStore()
+        self.keys = store_module.KeyStore()
         self.keys.offer(make_key_record())
         self.network = FakeNetwork()
-        self.answers = FakeAnswers()
+        self.sender = FakeCallerSender()
         self.feeds = FakeFeeds()
-        self.counts = host_counts.Counts()
-        self.home = homes.Home(
+        self.counts = counts.Counts()
+        self.home = home.Home(
             make_settings(**flows),
             self.view,
-            placements.Placement(self.view),
+            placement.Placement(self.view),
             self.contracts,
             self.keys,
             self.network,  # type: ignore[arg-type]
-            self.answers,
+            self.sender,
             make_chooser(self.view),
             self.feeds,
             self.counts,
         )
-        self._mids = itertools.count(1)
+        self._message_ids = itertools.count(1)
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Runs the home."""
+        """Runs the home within the context."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.home.run)
             yield
             nursery.cancel_scope.cancel()
 
-    def keep_all(self, keep: Keep) -> None:
-        """Lets all keepers answer calls in this way."""
+    def handle_calls_with(self, handler: CallHandler) -> None:
+        """Sets the handler of the calls to all keepers."""
         for host in KEEPERS:
-            self.network.keep[host] = keep
+            self.network.handlers[host] = handler
 
-    async def ask(
+    async def send_request(
         self,
         code: codes.Code,
         path: str,
@@ -320,30 +322,30 @@
         flow: port.Flow = FLOW,
         **request: Any,
     ) -> codec.Message:
-        """Sends a request and returns its answer."""
-        request.setdefault("mid", next(self._mids))
-        before = len(self.answers.sent)
+        """Sends a request and returns the reply to it."""
+        request.setdefault("mid", next(self._message_ids))
+        before = len(self.sender.sent)
         self.home.handle(flow, make_request(code, path, **request))
-        while len(self.answers.sent) == before:
+        while len(self.sender.sent) == before:
             await trio.sleep(0.001)
-        return self.answers.sent[before][1]
+        return self.sender.sent[before][1]
 
     async def get_ticket(self, flow: port.Flow = FLOW) -> bytes:
-        """Returns a fresh ticket as a caller gets it."""
-        reply = await self.ask(codes.Code.POST, "/reserve", flow=flow)
+        """Requests a new ticket as a caller and returns it."""
+        reply = await self.send_request(codes.Code.POST, "/reserve", flow=flow)
         assert reply.code == replies.Code.UNAUTHORIZED
         echo: bytes = reply.opt.echo
         return echo
 
 
-def post(
+def send_reservation(
     world: HomeWorld,
     echo: bytes,
     token: bytes,
     mid: int,
     payload: bytes = b"lot 7",
 ) -> None:
-    """Hands the home a reservation and doesn't wait for the answer."""
+    """Sends the home a reservation without waiting for the reply."""
     message = make_request(
         codes.Code.POST,
         "/reserve",
@@ -361,7 +363,8 @@
     """Returns a keeper that never answers.
 
     Args:
-        cancelled: Where it enters the messages whose work was cancelled.
+        cancelled: List to which it appends the messages whose handling was
+            cancelled.
     """
 
     async def hang(message: base.Message) -> base.Message:
--- a/tests/test_flows/test_flows_chooser.py
+++ b/tests/test_flows/test_flows_chooser.py
@@ -52,7 +52,9 @@
     def record_load(self, upstream: ids.UpstreamId, **changes: object) -> None:
         """Records a load report on an upstream."""
         load = work.UpstreamLoad(upstream, 2, 0, 0, 0)
-        self.chooser.note(_SERVICE, msgspec.structs.replace(load, **changes))
+        self.chooser.record_load(
+            _SERVICE, msgspec.structs.replace(load, **changes)
+        )
 
     def choose(
         self,
@@ -60,7 +62,7 @@
         among: frozenset[ids.HostRef] | None = None,
     ) -> ids.UpstreamId:
         """Returns the id of the chosen upstream."""
-        choice = self.chooser.choose(self.entry, kind, among=among)
+        choice = self.chooser.choose(self.entry, kind, keeper_refs=among)
         assert choice is not None
         return ids.UpstreamId(choice.upstream.id)
 
@@ -122,7 +124,7 @@
     for _ in range(20):
         for fixture in fixtures:
             chosen = fixture.choose(_FEED)
-            fixture.chooser.begin(_SERVICE, chosen, _FEED)
+            fixture.chooser.record_start(_SERVICE, chosen, _FEED)
             counts[chosen] += 1
     assert abs(counts[_ONE] - counts[_TWO]) <= 12
 
@@ -139,8 +141,8 @@
     for _ in range(40):
         chosen = fixture.choose()
         counts[chosen] += 1
-        fixture.chooser.begin(_SERVICE, chosen, _REQUEST)
-        fixture.chooser.end(_SERVICE, chosen, _REQUEST)
+        fixture.chooser.record_start(_SERVICE, chosen, _REQUEST)
+        fixture.chooser.record_end(_SERVICE, chosen, _REQUEST)
         await trio.sleep(0.01)
     assert abs(counts[_ONE] - counts[_TWO]) <= 2
 
@@ -155,16 +157,16 @@
     fixture = _ChooserFixture()
     fixture.record_load(_ONE, accepting=False)
     for _ in range(600):
-        fixture.chooser.begin(_SERVICE, fixture.choose(), _REQUEST)
-        fixture.chooser.end(_SERVICE, _TWO, _REQUEST)
+        fixture.chooser.record_start(_SERVICE, fixture.choose(), _REQUEST)
+        fixture.chooser.record_end(_SERVICE, _TWO, _REQUEST)
         await trio.sleep(0.1)
     fixture.record_load(_ONE)
     counts: collections.Counter[ids.UpstreamId] = collections.Counter()
     for _ in range(300):
         chosen = fixture.choose()
         counts[chosen] += 1
-        fixture.chooser.begin(_SERVICE, chosen, _REQUEST)
-        fixture.chooser.end(_SERVICE, chosen, _REQUEST)
+        fixture.chooser.record_start(_SERVICE, chosen, _REQUEST)
+        fixture.chooser.record_end(_SERVICE, chosen, _REQUEST)
         await trio.sleep(0.1)
     assert counts[_ONE] <= 200
 
@@ -177,11 +179,16 @@
         assert keeper is not None
         among = frozenset({keeper.ref})
         fixture.record_load(ids.UpstreamId(upstream.id), queued=9)
-        choice = fixture.chooser.choose(fixture.entry, _REQUEST, among=among)
+        choice = fixture.chooser.choose(
+            fixture.entry, _REQUEST, keeper_refs=among
+        )
         assert choice is not None
         assert choice.keeper_ref == keeper.ref
     none = frozenset({ids.HostRef(1)})
-    assert fixture.chooser.choose(fixture.entry, _REQUEST, among=none) is None
+    assert (
+        fixture.chooser.choose(fixture.entry, _REQUEST, keeper_refs=none)
+        is None
+    )
 
 
 def test_free_slot_is_asked_for_only_where_that_can_help() -> None:
@@ -218,7 +225,7 @@
         return work.LoadReport(())
 
     for member in fixture.view.role_takers():
-        fixture.network.keep[member.host] = report
+        fixture.network.handlers[member.host] = report
     with trio.move_on_after(60):
         await fixture.chooser.run()
     assert len(fixture.network.calls) <= 60 * 10 * 1.3 + 200
@@ -237,7 +244,7 @@
         return work.LoadReport(())
 
     for member in fixture.view.role_takers():
-        fixture.network.keep[member.host] = report
+        fixture.network.handlers[member.host] = report
     with trio.move_on_after(60):
         await fixture.chooser.run()
     queried = [host for host, _ in fixture.network.calls]
@@ -253,7 +260,7 @@
         name = ids.UpstreamId(f"{_SERVICE}/{_ONE}")
         return work.LoadReport((work.UpstreamLoad(name, 2, 1, 4, 7),))
 
-    fixture.network.keep[ids.HostId("entry-2")] = report
+    fixture.network.handlers[ids.HostId("entry-2")] = report
     with trio.move_on_after(2):
         await fixture.chooser.run()
     load = fixture.chooser.get_load(_SERVICE, _ONE)
--- a/tests/test_flows/test_flows_home.py
+++ b/tests/test_flows/test_flows_home.py
@@ -1,4 +1,4 @@
-"""Tests of a home's message layer and of the requests it hands on."""
+"""Tests of the home's message layer and of the requests that it dispatches."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 Code = codes.Code
 
-# Too late to ride on the ACK.
-_LATE_S = exchanges.PIGGYBACK_S + 0.5
+# A reply after this time is too late to be piggybacked on the ACK.
+_LATE_REPLY_S = exchanges.PIGGYBACK_S + 0.5
 
 
 async def _answer(message: base.Message) -> base.Message:
-    return home_fakes.answered(b"done")
+    return home_fakes.make_answered(b"done")
 
 
 @trios.clock_test
 async def test_get_is_answered_by_an_upstream() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     async with world.running():
-        reply = await world.ask(Code.GET, "/lots/7", token=b"tok")
+        reply = await world.send_request(Code.GET, "/lots/7", token=b"tok")
     assert (reply.code, reply.payload) == (Code.CHANGED, b"done")
     assert (reply.token, reply.mtype) == (b"tok", types.NON)
 
@@ -43,9 +43,9 @@
 @trios.clock_test
 async def test_post_without_ticket_is_asked_for_one_and_not_run() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     async with world.running():
-        reply = await world.ask(Code.POST, "/reserve")
+        reply = await world.send_request(Code.POST, "/reserve")
         assert reply.code == Code.UNAUTHORIZED
         assert len(reply.opt.echo) == 40
         assert not world.network.calls
@@ -54,10 +54,10 @@
 @trios.clock_test
 async def test_post_with_ticket_runs_and_renews_it() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     async with world.running():
         echo = await world.get_ticket()
-        reply = await world.ask(Code.POST, "/reserve", echo=echo)
+        reply = await world.send_request(Code.POST, "/reserve", echo=echo)
     assert reply.payload == b"done"
     assert reply.opt.echo not in (None, echo)
 
@@ -65,37 +65,39 @@
 @trios.clock_test
 async def test_copy_of_a_datagram_gets_the_same_answer() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     async with world.running():
-        first = await world.ask(Code.GET, "/lots", mid=9)
-        second = await world.ask(Code.GET, "/lots", mid=9)
+        first = await world.send_request(Code.GET, "/lots", mid=9)
+        second = await world.send_request(Code.GET, "/lots", mid=9)
     assert codec.encode(first) == codec.encode(second)
     assert len(world.network.dispatches()) == 1
 
 
 @trios.clock_test
 async def test_reused_port_and_message_id_is_not_a_copy() -> None:
-    """A new caller gets the answer to an old caller's request.
+    """Guards against a caller that gets the reply to another caller's request.
 
-    A caller ends, another gets its port at once and happens to begin with
-    the same message id. Taken for a copy, its request would be answered
-    with what the first one asked for.
+    A caller ends; a new caller gets its port at once and starts with the same
+    message id. If its request were treated as a copy, it would get the reply
+    to the former caller's request.
     """
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     async with world.running():
-        await world.ask(Code.GET, "/lots/1", mid=9, token=b"a")
-        reply = await world.ask(Code.GET, "/lots/2", mid=9, token=b"b")
+        await world.send_request(Code.GET, "/lots/1", mid=9, token=b"a")
+        reply = await world.send_request(Code.GET, "/lots/2", mid=9, token=b"b")
     assert reply.token == b"b"
     assert len(world.network.dispatches()) == 2
 
 
 @trios.clock_test
-async def test_quick_answer_rides_on_the_ack() -> None:
+async def test_quick_reply_is_piggybacked_on_the_ack() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     async with world.running():
-        reply = await world.ask(Code.GET, "/lots", mid=5, mtype=types.CON)
+        reply = await world.send_request(
+            Code.GET, "/lots", mid=5, mtype=types.CON
+        )
     assert (reply.mtype, reply.mid) == (types.ACK, 5)
 
 
@@ -106,23 +108,25 @@
     world = home_fakes.HomeWorld()
 
     async def answer_late(message: base.Message) -> base.Message:
-        await trio.sleep(_LATE_S)
-        return home_fakes.answered(b"late")
+        await trio.sleep(_LATE_REPLY_S)
+        return home_fakes.make_answered(b"late")
 
-    world.keep_all(answer_late)
+    world.handle_calls_with(answer_late)
     async with world.running():
-        ack = await world.ask(Code.GET, "/lots", mid=5, mtype=types.CON)
+        ack = await world.send_request(
+            Code.GET, "/lots", mid=5, mtype=types.CON
+        )
         assert (ack.code, ack.mtype, ack.mid) == (Code.EMPTY, types.ACK, 5)
         await trio.sleep(5)
-        copies = [m for _, m in world.answers.sent[1:]]
+        copies = [m for _, m in world.sender.sent[1:]]
         assert len(copies) == 2
         assert {m.mid for m in copies} == {copies[0].mid}
         assert copies[0].mtype is types.CON
-        assert world.home.in_progress() == 1
+        assert world.home.count_in_progress() == 1
         _send_empty(world, types.ACK, copies[0].mid)
         await trio.sleep(100)
-        assert len(world.answers.sent) == 3
-        assert world.home.in_progress() == 0
+        assert len(world.sender.sent) == 3
+        assert world.home.count_in_progress() == 0
 
 
 @trios.clock_test
@@ -130,29 +134,29 @@
     world = home_fakes.HomeWorld()
 
     async def answer_late(message: base.Message) -> base.Message:
-        await trio.sleep(_LATE_S)
-        return home_fakes.answered(b"late")
+        await trio.sleep(_LATE_REPLY_S)
+        return home_fakes.make_answered(b"late")
 
-    world.keep_all(answer_late)
+    world.handle_calls_with(answer_late)
     async with world.running():
-        await world.ask(Code.GET, "/lots", mtype=types.CON)
+        await world.send_request(Code.GET, "/lots", mtype=types.CON)
         await trio.sleep(200)
-        # One empty ACK, the answer, and four repetitions.
-        assert len(world.answers.sent) == 6
-        assert world.home.in_progress() == 0
+        # One empty ACK, the reply and four retransmissions.
+        assert len(world.sender.sent) == 6
+        assert world.home.count_in_progress() == 0
 
 
 @trios.clock_test
 async def test_reset_of_the_empty_ack_cancels_the_work() -> None:
     world = home_fakes.HomeWorld()
     cancelled: list[base.Message] = []
-    world.keep_all(home_fakes.make_hanging_keeper(cancelled))
+    world.handle_calls_with(home_fakes.make_hanging_keeper(cancelled))
     async with world.running():
-        await world.ask(Code.GET, "/lots", mid=5, mtype=types.CON)
+        await world.send_request(Code.GET, "/lots", mid=5, mtype=types.CON)
         _send_empty(world, types.RST, 5)
         await trio.sleep(0.1)
         assert len(cancelled) == 1
-        assert world.home.in_progress() == 0
+        assert world.home.count_in_progress() == 0
 
 
 @trios.clock_test
@@ -160,8 +164,8 @@
     world = home_fakes.HomeWorld()
     async with world.running():
         _send_empty(world, types.CON, 77)
-    assert world.answers.sent[0][1].mtype is types.RST
-    assert world.answers.sent[0][1].mid == 77
+    assert world.sender.sent[0][1].mtype is types.RST
+    assert world.sender.sent[0][1].mid == 77
 
 
 @trios.clock_test
@@ -171,7 +175,7 @@
     message.opt.oscore = b"x"
     async with world.running():
         world.home.handle(home_fakes.FLOW, message)
-    assert world.answers.sent[0][1].code == Code.BAD_OPTION
+    assert world.sender.sent[0][1].code == Code.BAD_OPTION
 
 
 @trios.clock_test
@@ -189,21 +193,21 @@
 @trios.clock_test
 async def test_observe_on_a_plain_class_is_a_plain_request() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     message = home_fakes.make_request(Code.GET, "/lots")
     message.opt.observe = 0
     async with world.running():
         world.home.handle(home_fakes.FLOW, message)
         await trio.sleep(0.01)
-    assert world.answers.sent[0][1].payload == b"done"
-    assert world.answers.sent[0][1].opt.observe is None
+    assert world.sender.sent[0][1].payload == b"done"
+    assert world.sender.sent[0][1].opt.observe is None
 
 
 @trios.clock_test
 async def test_unknown_path_is_not_found() -> None:
     world = home_fakes.HomeWorld()
     async with world.running():
-        reply = await world.ask(Code.GET, "/elsewhere")
+        reply = await world.send_request(Code.GET, "/elsewhere")
     assert reply.code == Code.NOT_FOUND
 
 
@@ -215,18 +219,19 @@
     async def agree_late(message: base.Message) -> base.Message:
         if outcomes:
             return work.Dispatched(outcomes.pop())
-        return home_fakes.answered(b"done")
+        return home_fakes.make_answered(b"done")
 
-    world.keep_all(agree_late)
+    world.handle_calls_with(agree_late)
     async with world.running():
-        reply = await world.ask(Code.GET, "/lots")
+        reply = await world.send_request(Code.GET, "/lots")
     assert reply.payload == b"done"
     assert world.counts.sum("home_retries_total") == 0
 
 
 _path = strategies.sampled_from([(11, b"lots"), (11, b"reserve"), (11, b"x")])
 _option = strategies.one_of(
-    # Block1, Block2 and Observe with few octets, so that they mean much.
+    # Block2, Block1 and Observe with at most one octet, so that most values
+    # are valid.
     strategies.tuples(
         strategies.sampled_from([6, 23, 27]), strategies.binary(max_size=1)
     ),
@@ -258,9 +263,10 @@
     options: list[tuple[int, bytes]],
     payload: bytes,
 ) -> None:
-    """A datagram ends a task of the host, and with it the service.
+    """Guards against a datagram that stops a task and thereby the host.
 
-    Any option may hold any octets; what a library makes of them differs.
+    Any option may contain any octets, and the CoAP library decodes invalid
+    values in different ways, depending on the option.
     """
     kind, code, token = header
     data = bytes((0x40 | kind << 4 | len(token), code, 0, 9)) + token
@@ -274,56 +280,56 @@
     except errors.MalformedDatagramError:
         return
     world = home_fakes.HomeWorld()
-    world.keep_all(_answer)
+    world.handle_calls_with(_answer)
     async with world.running():
         world.home.handle(home_fakes.FLOW, message)
         await trio.sleep(1)
         assert world.counts.sum("home_faults_total") == 0
-        assert (await world.ask(Code.GET, "/lots")).payload == b"done"
+        assert (await world.send_request(Code.GET, "/lots")).payload == b"done"
 
 
 @trios.clock_test
 async def test_fault_in_one_request_ends_no_other() -> None:
-    """One request takes down the host, and all its feeds with it.
+    """Guards against one request that stops the host and all its feeds.
 
-    A fault of ours shows up with a datagram that nobody has thought of.
+    An unforeseen datagram triggers a bug, which raises an exception.
     """
     world = home_fakes.HomeWorld()
 
     async def break_down(message: base.Message) -> base.Message:
         raise KeyError("a fault")
 
-    world.keep_all(break_down)
+    world.handle_calls_with(break_down)
     logging.disable(logging.CRITICAL)
     async with world.running():
         echo = await world.get_ticket()
         for code, path in ((Code.GET, "/lots"), (Code.POST, "/reserve")):
-            reply = await world.ask(code, path, echo=echo)
+            reply = await world.send_request(code, path, echo=echo)
             assert reply.code is Code.GATEWAY_TIMEOUT
         world.home.handle(home_fakes.FLOW, None)
-        world.keep_all(_answer)
-        assert (await world.ask(Code.GET, "/lots")).payload == b"done"
+        world.handle_calls_with(_answer)
+        assert (await world.send_request(Code.GET, "/lots")).payload == b"done"
     logging.disable(logging.NOTSET)
     assert world.counts.sum("home_faults_total") == 3
 
 
 @trios.clock_test
 async def test_failing_service_gets_no_retry_storm() -> None:
-    """A service that fails gets each request several times over.
+    """Guards against retries that keep an overloaded service failing.
 
-    Each home retries what failed elsewhere; with all upstreams failing that
-    doubles the load, which keeps them failing. The budget of the contract
-    bounds it.
+    Each home retries a failed request at another upstream. If all upstreams
+    fail, this doubles their load, which keeps them failing. The retry budget
+    of the contract limits the retries.
     """
     world = home_fakes.HomeWorld()
 
     async def refuse(message: base.Message) -> base.Message:
         return work.Dispatched(work.Outcome.NOT_RUN, retry_after_s=3)
 
-    world.keep_all(refuse)
+    world.handle_calls_with(refuse)
     async with world.running():
         for _ in range(400):
-            reply = await world.ask(Code.GET, "/lots")
+            reply = await world.send_request(Code.GET, "/lots")
             assert reply.code == Code.SERVICE_UNAVAILABLE
             assert reply.opt.max_age == 3
     assert len(world.network.dispatches()) <= 400 * 1.1 + 10
--- a/tests/test_flows/test_flows_recovery.py
+++ b/tests/test_flows/test_flows_recovery.py
@@ -36,7 +36,9 @@
         return await world.get_ticket(flow)
 
 
-def _make_keeper(host: ids.HostId, outcome: Outcome | None) -> home_fakes.Keep:
+def _make_keeper(
+    host: ids.HostId, outcome: Outcome | None
+) -> home_fakes.CallHandler:
     own_ref = home_fakes.make_member(host).ref
 
     async def keep(message: base.Message) -> base.Message:
@@ -46,7 +48,7 @@
         if message.keeper != own_ref:
             return work.Dispatched(Outcome.NOT_KEEPER)
         if outcome is Outcome.ANSWERED:
-            return home_fakes.answered(b"kept")
+            return home_fakes.make_answered(b"kept")
         return work.Dispatched(outcome)
 
     return keep
@@ -54,7 +56,7 @@
 
 def _set_keeper_outcomes(world: home_fakes.HomeWorld, outcome: Outcome) -> None:
     for host in home_fakes.KEEPERS:
-        world.network.keep[host] = _make_keeper(host, outcome)
+        world.network.handlers[host] = _make_keeper(host, outcome)
 
 
 @home_fakes.PROPERTY
@@ -71,9 +73,9 @@
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     for host, outcome in zip(home_fakes.KEEPERS, (first, second), strict=True):
-        world.network.keep[host] = _make_keeper(host, outcome)
+        world.network.handlers[host] = _make_keeper(host, outcome)
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     if Outcome.ANSWERED in (first, second):
         assert reply.payload == b"kept"
     elif first is second is Outcome.NOT_RUN:
@@ -91,9 +93,9 @@
     world = home_fakes.HomeWorld(_SUCCESSOR)
     _set_keeper_outcomes(world, Outcome.NOT_RUN)
     world.view.remove(home_fakes.KEEPERS[0])
-    del world.network.keep[home_fakes.KEEPERS[0]]
+    del world.network.handlers[home_fakes.KEEPERS[0]]
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
 
 
@@ -112,12 +114,12 @@
     async def answer_for_both(message: base.Message) -> base.Message:
         assert isinstance(message, work.Recover)
         if message.keeper == left_keeper:
-            return home_fakes.answered(b"handed over")
+            return home_fakes.make_answered(b"handed over")
         return work.Dispatched(Outcome.NOT_RUN)
 
-    world.network.keep[home_fakes.KEEPERS[1]] = answer_for_both
+    world.network.handlers[home_fakes.KEEPERS[1]] = answer_for_both
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.payload == b"handed over"
 
 
@@ -127,7 +129,7 @@
     world = home_fakes.HomeWorld(_SUCCESSOR, recovery=False)
     _set_keeper_outcomes(world, Outcome.NOT_RUN)
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
     assert not world.network.calls
 
@@ -147,11 +149,11 @@
     async with world.running():
         world.home.handle(home_fakes.FLOW, message)
         await trio.sleep(5)
-        assert not world.answers.sent
+        assert not world.sender.sent
         assert not world.network.calls
         # After the home is removed from the view, the next copy is answered.
         world.view.remove(home_fakes.ME)
-        reply = await world.ask(POST, "/reserve", mid=1, echo=echo)
+        reply = await world.send_request(POST, "/reserve", mid=1, echo=echo)
     assert reply.code is Code.SERVICE_UNAVAILABLE
 
 
@@ -170,16 +172,20 @@
         if isinstance(message, work.Recover):
             fenced.append(message.token)
             return work.Dispatched(Outcome.NOT_RUN)
-        return home_fakes.answered(b"done")
+        return home_fakes.make_answered(b"done")
 
-    world.keep_all(keep)
+    world.handle_calls_with(keep)
     async with world.running():
         echo = await world.get_ticket()
-        await world.ask(POST, "/reserve", token=b"a", echo=echo)
+        await world.send_request(POST, "/reserve", token=b"a", echo=echo)
         world.view.put(home_fakes.make_member(home_fakes.ME, 2))
-        stored_reply = await world.ask(POST, "/reserve", token=b"a", echo=echo)
+        stored_reply = await world.send_request(
+            POST, "/reserve", token=b"a", echo=echo
+        )
         assert stored_reply.payload == b"done"
-        other = await world.ask(POST, "/reserve", token=b"b", echo=echo)
+        other = await world.send_request(
+            POST, "/reserve", token=b"b", echo=echo
+        )
         assert other.code is Code.SERVICE_UNAVAILABLE
         assert set(fenced) == {b"b"}
         assert len(world.network.dispatches()) == 1
@@ -197,7 +203,7 @@
     world = home_fakes.HomeWorld(_SUCCESSOR)
     world.keys.offer(home_fakes.make_key_record(5, key_9="current"))
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
 
 
@@ -213,17 +219,17 @@
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     for host in home_fakes.KEEPERS:
-        world.network.keep[host] = _make_keeper(host, None)
+        world.network.handlers[host] = _make_keeper(host, None)
     message = home_fakes.make_request(
         POST, "/reserve", echo=echo, mtype=types.CON
     )
     async with world.running():
         world.home.handle(home_fakes.FLOW, message)
         await trio.sleep(3)
-        assert not world.answers.sent
+        assert not world.sender.sent
         _set_keeper_outcomes(world, Outcome.ANSWERED)
         await trio.sleep(2)
-        ((_, reply),) = world.answers.sent
+        ((_, reply),) = world.sender.sent
     assert reply.payload == b"kept"
 
 
@@ -232,10 +238,10 @@
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     for host in home_fakes.KEEPERS:
-        world.network.keep[host] = _make_keeper(host, None)
+        world.network.handlers[host] = _make_keeper(host, None)
     started_at = trio.current_time()
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
     assert trio.current_time() - started_at < 30
 
@@ -249,7 +255,7 @@
             state=member_module.MemberState.DEAD,
         )
         world.view.put(dead)
-        world.network.keep[host] = _make_keeper(host, None)
+        world.network.handlers[host] = _make_keeper(host, None)
 
 
 @trios.clock_test
@@ -266,7 +272,7 @@
     _mark_keepers_dead(world, "north")
     started_at = trio.current_time()
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
         assert reply.code is Code.GATEWAY_TIMEOUT
         assert trio.current_time() - started_at < 2
 
@@ -287,9 +293,9 @@
     async with world.running():
         world.home.handle(home_fakes.FLOW, message)
         await trio.sleep(5)
-        assert not world.answers.sent
+        assert not world.sender.sent
         await trio.sleep(20)
-        ((_, reply),) = world.answers.sent
+        ((_, reply),) = world.sender.sent
     assert reply.code is Code.GATEWAY_TIMEOUT
 
 
@@ -313,7 +319,7 @@
     keepers = [home_fakes.make_member(host) for host in home_fakes.KEEPERS]
     for member in (other_host, *keepers):
         world.view.put(dataclasses.replace(member, state=state))
-        world.network.keep[member.host] = _make_keeper(member.host, outcome)
+        world.network.handlers[member.host] = _make_keeper(member.host, outcome)
 
 
 def _make_connected_world() -> home_fakes.HomeWorld:
@@ -325,7 +331,7 @@
 
 
 async def _post_reservation(
-    world: home_fakes.HomeWorld, keep: home_fakes.Keep
+    world: home_fakes.HomeWorld, keep: home_fakes.CallHandler
 ) -> int:
     """Sends a reservation to the home.
 
@@ -337,8 +343,8 @@
         Number of messages that were sent to callers before.
     """
     echo = await world.get_ticket()
-    world.keep_all(keep)
-    before = len(world.answers.sent)
+    world.handle_calls_with(keep)
+    before = len(world.sender.sent)
     message = home_fakes.make_request(
         POST, "/reserve", echo=echo, mtype=types.CON
     )
@@ -383,7 +389,7 @@
     world: home_fakes.HomeWorld, before: int
 ) -> list[codec.Message]:
     """Returns the messages sent since, without empty acknowledgements."""
-    sent = [message for _, message in world.answers.sent[before:]]
+    sent = [message for _, message in world.sender.sent[before:]]
     return [message for message in sent if message.code is not Code.EMPTY]
 
 
@@ -457,9 +463,9 @@
             _mark_keepers_dead(world, "north")
             raise errors.PeerLinkLostError("killed", step="call")
 
-        world.keep_all(die)
+        world.handle_calls_with(die)
         started_at = trio.current_time()
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
     assert reply.code is Code.GATEWAY_TIMEOUT
     assert trio.current_time() - started_at < 2
 
@@ -479,11 +485,13 @@
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     answering, silent = home_fakes.KEEPERS
-    world.network.keep[answering] = _make_keeper(answering, Outcome.ANSWERED)
-    world.network.keep[silent] = _hang
+    world.network.handlers[answering] = _make_keeper(
+        answering, Outcome.ANSWERED
+    )
+    world.network.handlers[silent] = _hang
     started_at = trio.current_time()
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
         assert reply.payload == b"kept"
         assert trio.current_time() - started_at < 1
 
@@ -502,13 +510,13 @@
     world.view.put(home_fakes.make_member(_OTHER_DOMAIN_HOST))
 
     async def answer_for_both(message: base.Message) -> base.Message:
-        return home_fakes.answered(b"handed over")
+        return home_fakes.make_answered(b"handed over")
 
-    world.network.keep[answering] = answer_for_both
-    world.network.keep[_OTHER_DOMAIN_HOST] = _hang
-    world.network.keep[_SUCCESSOR] = _hang
+    world.network.handlers[answering] = answer_for_both
+    world.network.handlers[_OTHER_DOMAIN_HOST] = _hang
+    world.network.handlers[_SUCCESSOR] = _hang
     started_at = trio.current_time()
     async with world.running():
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
         assert reply.payload == b"handed over"
         assert trio.current_time() - started_at < 1
--- a/tests/test_flows/test_flows_requests.py
+++ b/tests/test_flows/test_flows_requests.py
@@ -1,4 +1,4 @@
-"""Tests of requests that may run at most once."""
+"""Tests of at-most-once requests."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
 async def test_no_interleaving_runs_a_request_twice(
     sends: list[tuple[int, int, float]], delays: list[float]
 ) -> None:
-    """One reservation runs twice, or two callers of it hear differently.
+    """Guards against a reservation that runs twice or gets differing replies.
 
-    Copies and retries of three requests arrive in any order and at any
-    time, also after the message layer forgot the first copy, while the
-    upstream takes its time.
+    Copies and retries of three requests arrive in any order and at any time,
+    also after the message layer has removed the first copy, while the
+    upstream is still processing them.
     """
     world = home_fakes.HomeWorld()
     count = 0
@@ -49,15 +49,15 @@
     async def count_up(message: base.Message) -> base.Message:
         nonlocal count
         count += 1
-        mine = count
-        await trio.sleep(delays[mine % len(delays)])
-        return home_fakes.answered(b"%d" % mine)
+        run_number = count
+        await trio.sleep(delays[run_number % len(delays)])
+        return home_fakes.make_answered(b"%d" % run_number)
 
-    world.keep_all(count_up)
+    world.handle_calls_with(count_up)
     async with world.running():
         echo = await world.get_ticket()
         for number, mid, pause_s in sends:
-            home_fakes.post(
+            home_fakes.send_reservation(
                 world, echo, b"%d" % number, 100 + 10 * number + mid
             )
             await trio.sleep(pause_s)
@@ -65,7 +65,7 @@
     runs = collections.Counter(d.token for d in world.network.dispatches())
     assert set(runs.values()) <= {1}
     payloads = collections.defaultdict(set)
-    for _, reply in world.answers.sent[1:]:
+    for _, reply in world.sender.sent[1:]:
         if reply.code is Code.CHANGED:
             payloads[reply.token].add(reply.payload)
     assert all(len(found) == 1 for found in payloads.values())
@@ -74,13 +74,13 @@
 @trios.clock_test
 async def test_row_outlives_all_repetitions() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(home_fakes.answer_done)
+    world.handle_calls_with(home_fakes.answer_done)
     async with world.running():
         echo = await world.get_ticket()
         await trio.sleep(119)
-        home_fakes.post(world, echo, b"a", 50)
+        home_fakes.send_reservation(world, echo, b"a", 50)
         await trio.sleep(93)
-        reply = await world.ask(
+        reply = await world.send_request(
             POST, "/reserve", token=b"a", payload=b"lot 7", echo=echo
         )
     assert reply.payload == b"done"
@@ -90,11 +90,11 @@
 @trios.clock_test
 async def test_expired_ticket_begins_nothing() -> None:
     world = home_fakes.HomeWorld()
-    world.keep_all(home_fakes.answer_done)
+    world.handle_calls_with(home_fakes.answer_done)
     async with world.running():
         echo = await world.get_ticket()
         await trio.sleep(121)
-        reply = await world.ask(POST, "/reserve", echo=echo)
+        reply = await world.send_request(POST, "/reserve", echo=echo)
         assert reply.code is Code.UNAUTHORIZED
         assert reply.opt.echo != echo
         assert not world.network.calls
@@ -106,38 +106,42 @@
     outcomes = [work.Dispatched(work.Outcome.NOT_RUN, retry_after_s=4)] * 2
 
     async def refuse_first(message: base.Message) -> base.Message:
-        return outcomes.pop() if outcomes else home_fakes.answered(b"done")
+        return outcomes.pop() if outcomes else home_fakes.make_answered(b"done")
 
-    world.keep_all(refuse_first)
+    world.handle_calls_with(refuse_first)
     async with world.running():
         echo = await world.get_ticket()
-        first = await world.ask(POST, "/reserve", echo=echo)
-        late = await world.ask(POST, "/reserve", echo=echo)
+        first = await world.send_request(POST, "/reserve", echo=echo)
+        late = await world.send_request(POST, "/reserve", echo=echo)
     assert first.code is late.code is Code.SERVICE_UNAVAILABLE
     assert first.opt.max_age == 4
 
 
 @trios.clock_test
 async def test_full_table_refuses_for_good() -> None:
-    """A reservation runs after its buyer was told that it did not.
+    """Guards against a request that runs after it was refused as not run.
 
-    The table is full, so the request is refused; rows expire, and a copy
-    of its datagram that was held up in the network arrives.
+    The request table is full, so the request is refused. Then rows expire,
+    and a copy of its datagram arrives that the network delayed.
     """
     world = home_fakes.HomeWorld(most_flows=1, ticket_life_s=300)
-    world.keep_all(home_fakes.answer_done)
+    world.handle_calls_with(home_fakes.answer_done)
     async with world.running():
         echo = await world.get_ticket()
         await trio.sleep(250)
         later = await world.get_ticket()
-        await world.ask(POST, "/reserve", token=b"a", echo=echo)
-        refused = await world.ask(POST, "/reserve", token=b"b", echo=later)
+        await world.send_request(POST, "/reserve", token=b"a", echo=echo)
+        refused = await world.send_request(
+            POST, "/reserve", token=b"b", echo=later
+        )
         assert refused.code is Code.SERVICE_UNAVAILABLE
-        # The first row is forgotten after 400 s of uptime.
+        # The first row is removed after 400 s of uptime.
         await trio.sleep(160)
-        copy = await world.ask(POST, "/reserve", token=b"b", echo=later)
+        copy = await world.send_request(
+            POST, "/reserve", token=b"b", echo=later
+        )
         assert copy.code is Code.UNAUTHORIZED
-        again = await world.ask(
+        again = await world.send_request(
             POST, "/reserve", token=b"c", echo=refused.opt.echo
         )
         assert again.payload == b"done"
@@ -146,23 +150,23 @@
 
 @trios.clock_test
 async def test_changed_address_does_not_invite_a_second_run() -> None:
-    """A coach is sent twice after an address translator lost its entry.
+    """Guards against a second run after a NAT lost its entry for the caller.
 
-    The request ran, its answer went to the old port. The caller's next
-    copy comes from a new port, so its ticket no longer fits; with 4.01 the
-    caller would send the request again under a new one.
+    The request ran, but its reply went to the old port. The caller's next
+    copy comes from a new port, for which its ticket isn't valid. After a 4.01
+    the caller would send the request again with a new ticket.
     """
     world = home_fakes.HomeWorld()
-    world.keep_all(home_fakes.answer_done)
+    world.handle_calls_with(home_fakes.answer_done)
     async with world.running():
         echo = await world.get_ticket()
-        await world.ask(POST, "/reserve", token=b"a", echo=echo)
-        moved = await world.ask(
+        await world.send_request(POST, "/reserve", token=b"a", echo=echo)
+        moved = await world.send_request(
             POST, "/reserve", token=b"a", echo=echo, flow=home_fakes.OTHER_FLOW
         )
         assert moved.code is Code.GATEWAY_TIMEOUT
         assert moved.payload != b"done"
-        fresh = await world.ask(
+        fresh = await world.send_request(
             POST, "/reserve", token=b"b", echo=echo, flow=home_fakes.OTHER_FLOW
         )
         assert fresh.code is Code.UNAUTHORIZED
