--- a/benchmarks/ablation/play.py
+++ b/benchmarks/ablation/play.py
@@ -12,7 +12,7 @@
 from benchmarks.ablation import variants
 from persimmonhinge import ids
 from persimmonhinge import records
-from persimmonhinge.forwarding import load_line as load_lines
+from persimmonhinge.forwarding import upstream_load as load_lines
 from persimmonhinge.forwarding.decisions import told_loads
 from tests.test_forwarding import scene as scenes
 
@@ -83,7 +83,9 @@
             for host in self._hosts:
                 omit(host)
         self._sent = [[0, 0] for _ in self._hosts]
-        self._told: list[list[load_lines.LoadLine]] = [[] for _ in self._hosts]
+        self._told: list[list[load_lines.UpstreamLoad]] = [
+            [] for _ in self._hosts
+        ]
         self._upstreams: dict[int, emulated_upstream.EmulatedUpstream] = {}
         self._callers: dict[int, emulated_caller.Caller] = {}
         self._worked: set[tuple[int, int]] = set()
@@ -313,7 +315,7 @@
 
 
 def _take_report(
-    host: scenes.Scene, lines: list[load_lines.LoadLine], sign: int
+    host: scenes.Scene, lines: list[load_lines.UpstreamLoad], sign: int
 ) -> None:
     for token, in_flight, average, missed in lines:
         host.loads.add_others(token, sign * in_flight, sign * average)
--- a/benchmarks/detection.py
+++ b/benchmarks/detection.py
@@ -114,7 +114,7 @@
                 dead = self._upstreams[0].id
                 if tried != dead or self._queue.now < _CRASH_S:
                     self._false += 1
-                host.forwarder.open_elsewhere(opening)
+                host.forwarder.retry_opening(opening)
             self._deliver(number)
         self._after(_CHECK_S, self._check)
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -75,7 +75,7 @@
             domain,
             self.core.peers,
             self.core.knowledge,
-            settings.current_s,
+            settings.max_current_age_s,
             0.0,
         )
         self.service = services.PeerService(self.core, self.role)
@@ -105,7 +105,7 @@
             store,  # type: ignore[arg-type]
             self.core.entries,
             self.role,
-            self.core.settings.gather_s,
+            self.core.settings.coalesce_s,
         )
         await follower.run()
 
--- a/benchmarks/forwarding.py
+++ b/benchmarks/forwarding.py
@@ -20,10 +20,10 @@
 from persimmonhinge.forwarding import flow as flows
 from persimmonhinge.forwarding import flow_table as flow_tables
 from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import load_line as load_lines
 from persimmonhinge.forwarding import reading
 from persimmonhinge.forwarding import tracker as trackers
 from persimmonhinge.forwarding import upstream as upstreams
+from persimmonhinge.forwarding import upstream_load as load_lines
 from persimmonhinge.forwarding.peers import book as books
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.metrics import counts as host_counts
@@ -91,7 +91,7 @@
     before = tracemalloc.get_traced_memory()[0]
     for number in range(_FLOWS):
         flow = flows.FlowId(0x64400007, number, scenes.ADDRESS, scenes.PORT)
-        scene.tracker.open(flow, scenes.make_upstream(1).id)
+        scene.tracker.record_opening(flow, scenes.make_upstream(1).id)
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return round((after - before) / _FLOWS, 0)
@@ -100,7 +100,7 @@
 def measure_reports() -> dict[str, float]:
     """Returns the cost of a report, made and taken in, and its size."""
     lines = tuple(
-        load_lines.LoadLine(0xF0000000 + number, 3, 250)
+        load_lines.UpstreamLoad(0xF0000000 + number, 3, 250)
         for number in range(_LINES)
     )
     scene = make_scene(7)
--- a/persimmonhinge/cmd/forward_host.py
+++ b/persimmonhinge/cmd/forward_host.py
@@ -33,7 +33,9 @@
         if CHECK_OPTION in sys.argv:
             print(f"{path}: settings are good")
             return
-        bound = binding.bind(forward_settings.parse_endpoint(settings.packets))
+        bound = binding.bind_packet_socket(
+            forward_settings.parse_endpoint(settings.packets)
+        )
     except (errors.SettingsError, OSError) as error:
         print(f"error: {error}", file=sys.stderr)
         sys.exit(EXIT_BAD_SETTINGS)
@@ -45,7 +47,7 @@
         blocking_transport.BlockingTransport,
         settings.first_call_limit_s,
     )
-    startup.forward_during(lambda: _import_rest(settings), core, store)
+    startup.forward_during_imports(lambda: _import_rest(settings), core, store)
     _run(core, path)
 
 
--- a/persimmonhinge/forwarding/application.py
+++ b/persimmonhinge/forwarding/application.py
@@ -7,13 +7,13 @@
 
 import trio
 
-from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding import follower as followers
+from persimmonhinge.forwarding import core as core_module
+from persimmonhinge.forwarding import follower
 from persimmonhinge.forwarding import gauges
-from persimmonhinge.forwarding import settings as forward_settings
+from persimmonhinge.forwarding import settings
 from persimmonhinge.forwarding import wake_up
-from persimmonhinge.forwarding.peers import following as following_parts
-from persimmonhinge.forwarding.peers import service as peer_services
+from persimmonhinge.forwarding.peers import following
+from persimmonhinge.forwarding.peers import service
 from persimmonhinge.metrics import host_pages
 from persimmonhinge.metrics import page
 from persimmonhinge.store import port
@@ -23,18 +23,18 @@
 # How much earlier than the platform's limit a planned stop ends, seconds.
 _STOP_MARGIN_S = 1.0
 # A planned stop ends once no packet has come for so long, seconds.
-_QUIET_S = 0.7
-_QUIET_CHECK_S = 0.1
-_SWEEP_S = 1.0
+_STOP_IDLE_S = 0.7
+_STOP_IDLE_CHECK_INTERVAL_S = 0.1
+_SWEEP_INTERVAL_S = 1.0
 _READINESS_PATH = "/ready"
-_START_CHECK_S = 0.01
+_READINESS_CHECK_INTERVAL_S = 0.01
 
 
 class ForwardApplication:
     """One host that forwards packets."""
 
     def __init__(
-        self, core: cores.ForwardCore, store: port.PlatformReader
+        self, core: core_module.ForwardCore, store: port.PlatformReader
     ) -> None:
         """Makes the application.
 
@@ -45,30 +45,30 @@
         self._core = core
         self._settings = core.settings
         self._stopping = trio.Event()
-        self._received_at = 0.0
-        self._packets_came = wake_up.WakeUp()
-        self._following = following_parts.Following(
+        self._last_received_at = 0.0
+        self._packets_received = wake_up.WakeUp()
+        self._following = following.Following(
             self._settings.host,
             self._settings.domain,
             core.peers,
             core.knowledge,
-            self._settings.current_s,
+            self._settings.max_current_age_s,
             time.monotonic(),
         )
-        self._peers = peer_services.PeerService(core, self._following)
-        self._follower = followers.Follower(
+        self._peers = service.PeerService(core, self._following)
+        self._follower = follower.Follower(
             store,
             core.entries,
             self._following,
-            self._settings.gather_s,
+            self._settings.coalesce_s,
         )
         self._pages = page.PageServer(
-            *forward_settings.parse_endpoint(self._settings.pages)
+            *settings.parse_endpoint(self._settings.pages)
         )
         self._metrics = page.PageServer(
             self._settings.own_address, self._settings.metrics_port
         )
-        gauges.watch_gauges(core, self._following)
+        gauges.register_gauges(core, self._following)
         for server in (self._pages, self._metrics):
             host_pages.HostPages(
                 server, core.counts, self.is_ready, _READINESS_PATH
@@ -87,16 +87,16 @@
         """Runs until a planned stop has ended."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follower.run)
-            nursery.start_soon(self._receive)
+            nursery.start_soon(self._receive_packets)
             nursery.start_soon(self._handle_openings)
-            nursery.start_soon(self._sweep)
+            nursery.start_soon(self._sweep_periodically)
             await nursery.start(self._pages.run)
             await nursery.start(self._peers.run)
             if self._settings.metrics_port:
                 nursery.start_soon(self._serve_metrics)
             logger.info("Started.", extra={"domain": self._settings.domain})
             await self._stopping.wait()
-            await self._leave()
+            await self._forward_until_idle()
             nursery.cancel_scope.cancel()
         logger.info("Stopped.")
 
@@ -109,21 +109,21 @@
                 "No metrics page.", extra={"error": str(group.exceptions[0])}
             )
 
-    async def _receive(self) -> None:
+    async def _receive_packets(self) -> None:
         # Until this host knows where to, packets stay in their socket.
         while not self._core.knowledge.is_complete():
-            await trio.sleep(_START_CHECK_S)
+            await trio.sleep(_READINESS_CHECK_INTERVAL_S)
         while True:
             await trio.lowlevel.wait_readable(self._core.socket.socket)
             if self._core.receive_batch():
-                self._received_at = trio.current_time()
-                self._packets_came.set()
+                self._last_received_at = trio.current_time()
+                self._packets_received.set()
 
     async def _handle_openings(self) -> None:
         while True:
             due_at = self._core.openings.next_due()
             if due_at is None:
-                await self._packets_came.wait()
+                await self._packets_received.wait()
                 continue
             wait_s = due_at - time.monotonic()
             if wait_s > 0:
@@ -131,22 +131,22 @@
                 continue
             self._core.handle_due_openings()
 
-    async def _leave(self) -> None:
+    async def _forward_until_idle(self) -> None:
         """Forwards until the fabric has stopped sending packets here."""
         self._following.leaving = True
         logger.info("Planned stop begins.")
         limit_s = self._settings.stop_limit_s - _STOP_MARGIN_S
-        self._received_at = trio.current_time()
+        self._last_received_at = trio.current_time()
         with trio.move_on_after(limit_s):
-            while trio.current_time() - self._received_at < _QUIET_S:
-                await trio.sleep(_QUIET_CHECK_S)
+            while trio.current_time() - self._last_received_at < _STOP_IDLE_S:
+                await trio.sleep(_STOP_IDLE_CHECK_INTERVAL_S)
 
-    async def _sweep(self) -> None:
+    async def _sweep_periodically(self) -> None:
         while True:
-            await trio.sleep(_SWEEP_S)
+            await trio.sleep(_SWEEP_INTERVAL_S)
             self._core.knowledge.settle(time.monotonic())
             state = self._core.knowledge.state
             idle_s = self._settings.flow_life_s
             if state is not None:
                 idle_s = state.idle_timeout_s
-            self._core.tracker.sweep(idle_s)
+            self._core.tracker.remove_expired(idle_s)
--- a/persimmonhinge/forwarding/core.py
+++ b/persimmonhinge/forwarding/core.py
@@ -4,22 +4,22 @@
 
 from persimmonhinge import draws
 from persimmonhinge import ids
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import flow_table as flow_tables
-from persimmonhinge.forwarding import forwarder as forwarders
-from persimmonhinge.forwarding import knowledge as knowledge_parts
+from persimmonhinge.forwarding import flow
+from persimmonhinge.forwarding import flow_table
+from persimmonhinge.forwarding import forwarder
+from persimmonhinge.forwarding import knowledge
 from persimmonhinge.forwarding import reading
 from persimmonhinge.forwarding import sockets
-from persimmonhinge.forwarding import tracker as trackers
-from persimmonhinge.forwarding.decisions import chooser as choosers
+from persimmonhinge.forwarding import tracker
+from persimmonhinge.forwarding.decisions import chooser as chooser_module
 from persimmonhinge.forwarding.decisions import cold_shares
 from persimmonhinge.forwarding.decisions import eligibility
-from persimmonhinge.forwarding.decisions import loads as load_books
-from persimmonhinge.forwarding.decisions import openings as opening_lists
-from persimmonhinge.forwarding.decisions import suspicions as suspicion_lists
-from persimmonhinge.forwarding.peers import book as peer_books
+from persimmonhinge.forwarding.decisions import loads
+from persimmonhinge.forwarding.decisions import openings
+from persimmonhinge.forwarding.decisions import suspicions
+from persimmonhinge.forwarding.peers import book
 from persimmonhinge.light_typing import TYPE_CHECKING
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.metrics import counts
 from persimmonhinge.policies import choice
 from persimmonhinge.policies import choice_near_first  # noqa: F401
 
@@ -29,9 +29,9 @@
 
     from persimmonhinge.forwarding import entry_reader
     from persimmonhinge.forwarding import packet_codec
-    from persimmonhinge.forwarding import settings as forward_settings
+    from persimmonhinge.forwarding import settings as settings_module
 
-_MOST_FLOWS = 50_000
+_MAX_FLOWS = 50_000
 
 
 class ForwardCore:
@@ -53,8 +53,8 @@
 
     def __init__(
         self,
-        settings: forward_settings.ForwardSettings,
-        bound: _socket.socket,
+        settings: settings_module.ForwardSettings,
+        packet_socket: _socket.socket,
         codec: packet_codec.PacketCodec,
         reader: entry_reader.EntryReader,
     ) -> None:
@@ -67,26 +67,26 @@
             reader: Format of the store's entries.
         """
         self.settings = settings
-        self.counts = host_counts.Counts()
-        self.knowledge = knowledge_parts.Knowledge(
-            settings.flow_life_s, settings.current_s
+        self.counts = counts.Counts()
+        self.knowledge = knowledge.Knowledge(
+            settings.flow_life_s, settings.max_current_age_s
         )
         self.entries = reading.Entries(reader, self.knowledge, self.counts)
-        self.openings = opening_lists.Openings()
-        self.socket = sockets.PacketSocket(bound, self.counts)
-        self.loads = load_books.LoadBook()
-        self.suspicions = suspicion_lists.Suspicions()
-        self.tracker = trackers.FlowTracker(
-            flow_tables.FlowTable(_MOST_FLOWS), self.loads, self.counts
+        self.openings = openings.Openings()
+        self.socket = sockets.PacketSocket(packet_socket, self.counts)
+        self.loads = loads.LoadBook()
+        self.suspicions = suspicions.Suspicions()
+        self.tracker = tracker.FlowTracker(
+            flow_table.FlowTable(_MAX_FLOWS), self.loads, self.counts
         )
-        self.peers = peer_books.PeerBook(
-            flows.Endpoint(settings.own_address, settings.report_port),
+        self.peers = book.PeerBook(
+            flow.Endpoint(settings.own_address, settings.report_port),
             self.loads,
             self.suspicions,
         )
         # It is asked for `random()` alone, which the plain source has.
         randomness: random.Random = draws.source  # type: ignore[assignment]
-        chooser = choosers.UpstreamChooser(
+        chooser = chooser_module.UpstreamChooser(
             ids.DomainId(settings.domain),
             self.knowledge,
             self.loads,
@@ -99,7 +99,7 @@
             choice.choices.get(settings.choice)(randomness),
             randomness,
         )
-        self.forwarder = forwarders.Forwarder(
+        self.forwarder = forwarder.Forwarder(
             codec,
             self.socket,
             self.knowledge,
@@ -112,7 +112,7 @@
 
     def receive_batch(self) -> int:
         """Forwards the packets that have come; returns their number."""
-        return self.socket.receive_batch(self.forwarder.receive)
+        return self.socket.receive_batch(self.forwarder.handle_datagram)
 
     def handle_due_openings(self) -> None:
         """Sends opening packets that were not answered elsewhere.
@@ -121,7 +121,7 @@
         stood still: the answers may lie unread in the socket by then. So all
         packets that have come are read first.
         """
-        while self.receive_batch() == sockets.MOST_IN_A_ROW:
+        while self.receive_batch() == sockets.MAX_BATCH_DATAGRAMS:
             pass
         for opening in self.openings.take_due():
-            self.forwarder.open_elsewhere(opening)
+            self.forwarder.retry_opening(opening)
--- a/persimmonhinge/forwarding/decisions/told_loads.py
+++ b/persimmonhinge/forwarding/decisions/told_loads.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import load_line as load_lines
+from persimmonhinge.forwarding import upstream_load as load_lines
 from persimmonhinge.forwarding.decisions import loads as load_books
 from persimmonhinge.forwarding.decisions import suspicions as suspicion_lists
 
@@ -13,7 +13,7 @@
     loads: load_books.LoadBook,
     suspicions: suspicion_lists.Suspicions,
     now: float,
-) -> list[load_lines.LoadLine]:
+) -> list[load_lines.UpstreamLoad]:
     """Returns a line for each upstream with work of this host, or in doubt.
 
     What is kept of upstreams that are no more is dropped.
@@ -31,12 +31,12 @@
             loads.forget(upstream)
             suspicions.forget(upstream)
             continue
-        line = load_lines.LoadLine(
+        line = load_lines.UpstreamLoad(
             known.token,
             loads.in_flight(upstream),
             round(loads.average(upstream) * 100),
             suspicions.doubt(upstream, now),
         )
-        if line.in_flight or line.average or line.missed:
+        if line.in_flight or line.average or line.missed_openings:
             lines.append(line)
     return lines
--- a/persimmonhinge/forwarding/flow.py
+++ b/persimmonhinge/forwarding/flow.py
@@ -41,9 +41,9 @@
         return f"{caller}>{service}"
 
 
-def format_address(number: int) -> str:
+def format_address(address: int) -> str:
     """Returns an IPv4 address as text."""
     return (
-        f"{number >> 24 & 255}.{number >> 16 & 255}."
-        f"{number >> 8 & 255}.{number & 255}"
+        f"{address >> 24 & 255}.{address >> 16 & 255}."
+        f"{address >> 8 & 255}.{address & 255}"
     )
--- a/persimmonhinge/forwarding/forwarder.py
+++ b/persimmonhinge/forwarding/forwarder.py
@@ -9,27 +9,27 @@
 from persimmonhinge import errors
 from persimmonhinge import ids
 from persimmonhinge.forwarding import flow_table
-from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import packet as packets
-from persimmonhinge.forwarding import route as routes
-from persimmonhinge.forwarding import tracker as trackers
-from persimmonhinge.forwarding import upstream as upstreams
-from persimmonhinge.forwarding.decisions import chooser as choosers
-from persimmonhinge.forwarding.decisions import openings as opening_lists
+from persimmonhinge.forwarding import knowledge as knowledge_module
+from persimmonhinge.forwarding import packet as packet_module
+from persimmonhinge.forwarding import route as route_module
+from persimmonhinge.forwarding import tracker as tracker_module
+from persimmonhinge.forwarding import upstream as upstream_module
+from persimmonhinge.forwarding.decisions import chooser as chooser_module
+from persimmonhinge.forwarding.decisions import openings as openings_module
 from persimmonhinge.forwarding.decisions import retry_budget
-from persimmonhinge.forwarding.decisions import suspicions as suspicion_lists
+from persimmonhinge.forwarding.decisions import suspicions as suspicions_module
 from persimmonhinge.light_typing import TYPE_CHECKING
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.metrics import counts as counts_module
 
 if TYPE_CHECKING:
-    from persimmonhinge.forwarding import output as outputs
+    from persimmonhinge.forwarding import output as output_module
     from persimmonhinge.forwarding import packet_codec
 
 logger = early_logs.get_logger(__name__)
 
 # Upstreams that one opening packet is sent to before its caller sends the next
 # copy: a caller that has left goes on with none of them.
-_MOST_TRIES = 3
+_MAX_UPSTREAMS_TRIED = 3
 
 
 class Forwarder:
@@ -42,13 +42,13 @@
     def __init__(
         self,
         codec: packet_codec.PacketCodec,
-        output: outputs.Output,
-        knowledge: knowledge_parts.Knowledge,
-        chooser: choosers.UpstreamChooser,
-        tracker: trackers.FlowTracker,
-        openings: opening_lists.Openings,
-        suspicions: suspicion_lists.Suspicions,
-        counts: host_counts.Counts,
+        output: output_module.Output,
+        knowledge: knowledge_module.Knowledge,
+        chooser: chooser_module.UpstreamChooser,
+        tracker: tracker_module.FlowTracker,
+        openings: openings_module.Openings,
+        suspicions: suspicions_module.Suspicions,
+        counts: counts_module.Counts,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._codec = codec
@@ -62,7 +62,7 @@
         self._clock = clock
         self._budget = retry_budget.RetryBudget()
 
-    def receive(self, octets: bytes) -> None:
+    def handle_datagram(self, octets: bytes) -> None:
         """Takes one datagram of the fabric."""
         try:
             packet = self._codec.decode(octets)
@@ -71,11 +71,11 @@
             logger.warning("Dropped a datagram: %s.", error)
             return
         if packet.opens:
-            self._open(packet)
+            self._handle_opening(packet)
         else:
-            self._continue(packet)
+            self._handle_later_packet(packet)
 
-    def open_elsewhere(self, opening: opening_lists.Opening) -> None:
+    def retry_opening(self, opening: openings_module.Opening) -> None:
         """Sends an opening packet that was not answered to another upstream.
 
         Guards against the wait of a caller whose new flow met a dead
@@ -84,25 +84,25 @@
         """
         now = self._clock()
         self._suspicions.record_miss(opening.tried[-1], now)
-        if len(opening.tried) >= _MOST_TRIES:
+        if len(opening.tried) >= _MAX_UPSTREAMS_TRIED:
             return
         if not self._budget.take_try():
             self._counts.add("openings_not_retried_total")
             return
         self._send_opening(opening.packet, opening.tried, now)
 
-    def _open(self, packet: packets.Packet) -> None:
+    def _handle_opening(self, packet: packet_module.Packet) -> None:
         now = self._clock()
         self._budget.add_opening()
         record = self._tracker.get(packet.flow)
         if record is not None:
-            self._repeat_opening(packet, record, now)
+            self._handle_opening_copy(packet, record, now)
             return
         self._send_opening(packet, [], now)
 
-    def _repeat_opening(
+    def _handle_opening_copy(
         self,
-        packet: packets.Packet,
+        packet: packet_module.Packet,
         record: flow_table.FlowRecord,
         now: float,
     ) -> None:
@@ -117,14 +117,14 @@
         if record.established or self._openings.find_waiting(packet.flow):
             upstream = self._knowledge.directory.get(record.upstream)
             if upstream is not None:
-                self._forward(packet, upstream)
+                self._forward_packet(packet, upstream)
             return
         self._openings.remove(packet.flow)
         self._send_opening(packet, [], now)
 
     def _send_opening(
         self,
-        packet: packets.Packet,
+        packet: packet_module.Packet,
         tried: list[ids.UpstreamId],
         now: float,
     ) -> None:
@@ -136,13 +136,15 @@
             self._refuse_unservable(packet, now)
             return
         upstream = chosen.upstream
-        self._tracker.open(packet.flow, upstream.id)
+        self._tracker.record_opening(packet.flow, upstream.id)
         self._openings.add(packet, [*tried, upstream.id])
         self._counts.add("flows_opened_total", upstream=upstream.id)
         self._log_opening(packet, route, chosen, tried)
-        self._forward(packet, upstream)
+        self._forward_packet(packet, upstream)
 
-    def _refuse_unservable(self, packet: packets.Packet, now: float) -> None:
+    def _refuse_unservable(
+        self, packet: packet_module.Packet, now: float
+    ) -> None:
         """Turns an opening packet away for which there is no upstream.
 
         Guards against a caller that waits for 1.4 s to learn what this host
@@ -151,67 +153,69 @@
         """
         knowledge = self._knowledge
         if knowledge.is_current(now) and knowledge.trust.holds(now):
-            self._reset(packet, "no-upstream")
+            self._reset_flow(packet, "no-upstream")
         else:
-            self._drop(packet, "no-upstream-in-old-state")
+            self._drop_packet(packet, "no-upstream-in-old-state")
 
-    def _find_route(self, packet: packets.Packet) -> routes.Route | None:
+    def _find_route(
+        self, packet: packet_module.Packet
+    ) -> route_module.Route | None:
         route = self._knowledge.find_route(packet.flow)
         if route is not None:
             return route
         if self._knowledge.is_current(self._clock()):
-            self._reset(packet, "no-route")
+            self._reset_flow(packet, "no-route")
         else:
-            self._drop(packet, "no-route-in-old-state")
+            self._drop_packet(packet, "no-route-in-old-state")
         return None
 
-    def _continue(self, packet: packets.Packet) -> None:
+    def _handle_later_packet(self, packet: packet_module.Packet) -> None:
         if self._knowledge.is_dropped(packet.flow):
-            self._reset(packet, "route-dropped")
-            self._tracker.forget(packet.flow)
+            self._reset_flow(packet, "route-dropped")
+            self._tracker.remove_flow(packet.flow)
             return
         upstream = self._knowledge.directory.find(packet.token)
         if upstream is None:
-            self._drop(packet, "unknown-token")
+            self._drop_packet(packet, "unknown-token")
             return
-        if upstream.state is upstreams.UpstreamState.GONE:
-            self._reset(packet, "upstream-gone")
-            self._tracker.forget(packet.flow)
+        if upstream.state is upstream_module.UpstreamState.GONE:
+            self._reset_flow(packet, "upstream-gone")
+            self._tracker.remove_flow(packet.flow)
             return
-        self._observe(packet, upstream)
-        self._forward(packet, upstream)
+        self._track_packet(packet, upstream)
+        self._forward_packet(packet, upstream)
 
-    def _observe(
-        self, packet: packets.Packet, upstream: upstreams.Upstream
+    def _track_packet(
+        self, packet: packet_module.Packet, upstream: upstream_module.Upstream
     ) -> None:
         """Learns from a packet of an open flow."""
-        if self._tracker.observe(packet, upstream.id):
+        if self._tracker.record_packet(packet, upstream.id):
             self._openings.record_answer(packet.flow, upstream.id)
             self._suspicions.record_answer(upstream.id, self._clock())
 
-    def _forward(
-        self, packet: packets.Packet, upstream: upstreams.Upstream
+    def _forward_packet(
+        self, packet: packet_module.Packet, upstream: upstream_module.Upstream
     ) -> None:
         octets = self._codec.encode_for_upstream(
             packet, upstream.number, upstream.token
         )
         self._output.send_to_upstream(octets, upstream.address)
 
-    def _reset(self, packet: packets.Packet, reason: str) -> None:
+    def _reset_flow(self, packet: packet_module.Packet, reason: str) -> None:
         if packet.aborts:
-            self._drop(packet, reason)
+            self._drop_packet(packet, reason)
             return
         self._counts.add("flows_reset_total", reason=reason)
-        self._log_refusal("Reset a flow.", packet, reason)
+        self._log_rejection("Reset a flow.", packet, reason)
         octets = self._codec.encode_reset(packet)
         self._output.send_to_caller(octets, packet.flow.caller)
 
-    def _drop(self, packet: packets.Packet, reason: str) -> None:
+    def _drop_packet(self, packet: packet_module.Packet, reason: str) -> None:
         self._counts.add("packets_dropped_total", reason=reason)
-        self._log_refusal("Dropped a packet.", packet, reason)
+        self._log_rejection("Dropped a packet.", packet, reason)
 
-    def _log_refusal(
-        self, event: str, packet: packets.Packet, reason: str
+    def _log_rejection(
+        self, event: str, packet: packet_module.Packet, reason: str
     ) -> None:
         logger.info(
             event,
@@ -225,9 +229,9 @@
 
     def _log_opening(
         self,
-        packet: packets.Packet,
-        route: routes.Route,
-        chosen: choosers.Chosen,
+        packet: packet_module.Packet,
+        route: route_module.Route,
+        chosen: chooser_module.Chosen,
         tried: list[ids.UpstreamId],
     ) -> None:
         logger.info(
--- a/persimmonhinge/forwarding/gauges.py
+++ b/persimmonhinge/forwarding/gauges.py
@@ -5,12 +5,12 @@
 import math
 import time
 
-from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding.peers import following as following_parts
+from persimmonhinge.forwarding import core as core_module
+from persimmonhinge.forwarding.peers import following as following_module
 
 
-def watch_gauges(
-    core: cores.ForwardCore, following: following_parts.Following
+def register_gauges(
+    core: core_module.ForwardCore, following: following_module.Following
 ) -> None:
     """Has the metrics page read the gauges of a host.
 
@@ -20,7 +20,7 @@
     """
     domain = core.settings.domain
 
-    def count_near() -> float:
+    def count_domain_hosts() -> float:
         return sum(peer.domain == domain for peer in core.peers.heard())
 
     def compute_report_age() -> float:
@@ -40,7 +40,7 @@
 
     counts = core.counts
     counts.watch("hosts_heard", lambda: len(core.peers.heard()))
-    counts.watch("hosts_heard_in_domain", count_near)
+    counts.watch("hosts_heard_in_domain", count_domain_hosts)
     counts.watch("oldest_report_age_seconds", compute_report_age)
     counts.watch("knowledge_age_seconds", compute_knowledge_age)
     counts.watch("store_revision", lambda: core.entries.revision)
--- a/persimmonhinge/forwarding/output.py
+++ b/persimmonhinge/forwarding/output.py
@@ -4,13 +4,13 @@
 
 from typing import Protocol
 
-from persimmonhinge.forwarding import flow as flows
+from persimmonhinge.forwarding import flow
 
 
 class Output(Protocol):
     """Where datagrams are sent."""
 
-    def send_to_upstream(self, octets: bytes, address: flows.Endpoint) -> None:
+    def send_to_upstream(self, octets: bytes, address: flow.Endpoint) -> None:
         """Sends a datagram to an upstream."""
 
     def send_to_caller(self, octets: bytes, caller: int) -> None:
--- a/persimmonhinge/forwarding/packet.py
+++ b/persimmonhinge/forwarding/packet.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from persimmonhinge import records
-from persimmonhinge.forwarding import flow as flows
+from persimmonhinge.forwarding import flow as flow_module
 
 
 class Packet(records.Record):
@@ -22,7 +22,7 @@
         octets: The whole packet as it came.
     """
 
-    flow: flows.FlowId
+    flow: flow_module.FlowId
     opens: bool
     ends: bool
     aborts: bool
--- a/persimmonhinge/forwarding/peers/book.py
+++ b/persimmonhinge/forwarding/peers/book.py
@@ -137,7 +137,7 @@
         peer.heard_at = now
         for line in report.loads:
             self._loads.add_others(line.token, line.in_flight, line.average)
-            self._suspicions.add_others(line.token, line.missed)
+            self._suspicions.add_others(line.token, line.missed_openings)
         if former is None or _list_facts(former) != _list_facts(report):
             self._tell_listeners()
         return True
@@ -240,7 +240,7 @@
             return
         for line in peer.report.loads:
             self._loads.add_others(line.token, -line.in_flight, -line.average)
-            self._suspicions.add_others(line.token, -line.missed)
+            self._suspicions.add_others(line.token, -line.missed_openings)
 
 
 def _choose_newest(ahead: Iterable[tuple[int, Peer]]) -> Peer | None:
--- a/persimmonhinge/forwarding/peers/messages.py
+++ b/persimmonhinge/forwarding/peers/messages.py
@@ -6,7 +6,7 @@
 
 from persimmonhinge.forwarding import entry_line as entry_lines
 from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import load_line as load_lines
+from persimmonhinge.forwarding import upstream_load as load_lines
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, tag="report"):
@@ -39,7 +39,7 @@
     age_ms: int
     leaving: bool
     reaches_store: bool
-    loads: tuple[load_lines.LoadLine, ...]
+    loads: tuple[load_lines.UpstreamLoad, ...]
     peers: tuple[flows.Endpoint, ...]
     upstreams_revision: int = 0
 
--- a/persimmonhinge/forwarding/peers/reporter.py
+++ b/persimmonhinge/forwarding/peers/reporter.py
@@ -11,7 +11,7 @@
 
 from persimmonhinge import ids
 from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding import load_line as load_lines
+from persimmonhinge.forwarding import upstream_load as load_lines
 from persimmonhinge.forwarding import wake_up
 from persimmonhinge.forwarding.decisions import report_pace
 from persimmonhinge.forwarding.decisions import told_loads
@@ -123,7 +123,7 @@
         self,
         channel: channels.PeerChannel,
         due: Sequence[books.Peer],
-        lines: Sequence[load_lines.LoadLine],
+        lines: Sequence[load_lines.UpstreamLoad],
         round_s: float,
     ) -> None:
         """Tells each host in turn, with names of hosts of its own domain."""
@@ -134,16 +134,18 @@
             octets = _encode(report, interval_s)
             await channel.send_all(octets, [peer.address])
 
-    def _list_lines(self) -> list[load_lines.LoadLine]:
+    def _list_lines(self) -> list[load_lines.UpstreamLoad]:
         core = self._core
         lines = told_loads.list_lines(
             core.knowledge, core.loads, core.suspicions, time.monotonic()
         )
-        lines.sort(key=lambda line: (line.missed, line.average), reverse=True)
+        lines.sort(
+            key=lambda line: (line.missed_openings, line.average), reverse=True
+        )
         return lines[:_MOST_LINES]
 
     def _make_report(
-        self, lines: Sequence[load_lines.LoadLine], domain: str | None
+        self, lines: Sequence[load_lines.UpstreamLoad], domain: str | None
     ) -> messages.Report:
         """Returns a report for hosts of a failure domain, None if unknown."""
         core = self._core
--- a/persimmonhinge/forwarding/program.py
+++ b/persimmonhinge/forwarding/program.py
@@ -11,20 +11,20 @@
 
 from persimmonhinge import collector
 from persimmonhinge.forwarding import application
-from persimmonhinge.forwarding import core as cores
+from persimmonhinge.forwarding import core as core_module
 from persimmonhinge.forwarding import reloading
 from persimmonhinge.store import port
-from persimmonhinge.store import transport as transports
+from persimmonhinge.store import transport
 from persimmonhinge.store import trio_transport
 
 logger = logging.getLogger(__name__)
 
-_SETTINGS_CHECK_S = 2.0
+_SETTINGS_CHECK_INTERVAL_S = 2.0
 
-MakeReader = Callable[
+ReaderFactory = Callable[
     [
         Iterable[str],
-        Callable[[str, int], transports.Transport],
+        Callable[[str, int], transport.Transport],
         float,
         float,
     ],
@@ -32,7 +32,11 @@
 ]
 
 
-def run(core: cores.ForwardCore, make_reader: MakeReader, path: str) -> None:
+def run(
+    core: core_module.ForwardCore,
+    make_reader: ReaderFactory,
+    settings_path: str,
+) -> None:
     """Runs a host until a planned stop has ended.
 
     Args:
@@ -48,35 +52,35 @@
         settings.call_limit_s,
         settings.watch_wait_s,
     )
-    reloader = reloading.Reloader(path, settings, core.peers)
-    trio.run(_run, application.ForwardApplication(core, store), reloader)
+    reloader = reloading.SettingsReloader(settings_path, settings, core.peers)
+    trio.run(_run_host, application.ForwardApplication(core, store), reloader)
 
 
-async def _run(
-    host: application.ForwardApplication, reloader: reloading.Reloader
+async def _run_host(
+    host: application.ForwardApplication, reloader: reloading.SettingsReloader
 ) -> None:
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_follow_signals, host, reloader)
-        nursery.start_soon(_follow_settings, reloader)
+        nursery.start_soon(_handle_signals, host, reloader)
+        nursery.start_soon(_watch_settings_file, reloader)
         await host.run()
         nursery.cancel_scope.cancel()
 
 
-async def _follow_signals(
-    host: application.ForwardApplication, reloader: reloading.Reloader
+async def _handle_signals(
+    host: application.ForwardApplication, reloader: reloading.SettingsReloader
 ) -> None:
-    watched = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-    with trio.open_signal_receiver(*watched) as received:
-        async for number in received:
-            if number == signal.SIGHUP:
+    handled = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+    with trio.open_signal_receiver(*handled) as received:
+        async for signal_number in received:
+            if signal_number == signal.SIGHUP:
                 reloader.reload()
             else:
                 host.stop()
 
 
-async def _follow_settings(reloader: reloading.Reloader) -> None:
+async def _watch_settings_file(reloader: reloading.SettingsReloader) -> None:
     """Reads the settings file again when it changed without a signal."""
     while True:
-        await trio.sleep(_SETTINGS_CHECK_S)
-        if reloader.is_changed():
+        await trio.sleep(_SETTINGS_CHECK_INTERVAL_S)
+        if reloader.is_file_changed():
             reloader.reload()
--- a/persimmonhinge/forwarding/reloading.py
+++ b/persimmonhinge/forwarding/reloading.py
@@ -8,24 +8,24 @@
 
 from persimmonhinge import errors
 from persimmonhinge import structured_logs
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import settings as forward_settings
-from persimmonhinge.forwarding.peers import book as books
+from persimmonhinge.forwarding import flow
+from persimmonhinge.forwarding import settings as settings_module
+from persimmonhinge.forwarding.peers import book as book_module
 
 logger = logging.getLogger(__name__)
 
 # What takes effect at once; all else needs a restart.
-_LIVE_FIELDS = frozenset({"log_level", "seeds"})
+_RELOADABLE_FIELDS = frozenset({"log_level", "seeds"})
 
 
-class Reloader:
+class SettingsReloader:
     """Reads the settings file again and takes over what it can."""
 
     def __init__(
         self,
         path: str,
-        settings: forward_settings.ForwardSettings,
-        book: books.PeerBook,
+        settings: settings_module.ForwardSettings,
+        book: book_module.PeerBook,
     ) -> None:
         """Makes the part.
 
@@ -37,42 +37,42 @@
         self._path = path
         self._settings = settings
         self._book = book
-        self._changed_at = self._read_time()
+        self._modified_at = self._read_modified_at()
 
-    def is_changed(self) -> bool:
+    def is_file_changed(self) -> bool:
         """Tells whether the file was written since it was last read."""
-        return self._read_time() != self._changed_at
+        return self._read_modified_at() != self._modified_at
 
     def reload(self) -> None:
         """Reads the file; settings that are bad leave the former in force."""
-        self._changed_at = self._read_time()
+        self._modified_at = self._read_modified_at()
         try:
-            fresh = forward_settings.load(self._path)
+            new_settings = settings_module.load(self._path)
         except errors.SettingsError as error:
             logger.error("Keeps the former settings: %s.", error)
             return
-        changed = self._list_changed(fresh)
-        self._settings = fresh
-        structured_logs.configure(fresh.host, fresh.log_level)
+        changed_fields = self._list_changed_fields(new_settings)
+        self._settings = new_settings
+        structured_logs.configure(new_settings.host, new_settings.log_level)
         now = time.monotonic()
-        for seed in fresh.seed_addresses():
-            self._book.add(flows.Endpoint(seed, fresh.report_port), now)
+        for seed in new_settings.seed_addresses():
+            self._book.add(flow.Endpoint(seed, new_settings.report_port), now)
         logger.info(
             "Read the settings again.",
             extra={
-                "changed": sorted(changed & _LIVE_FIELDS),
-                "needs_restart": sorted(changed - _LIVE_FIELDS),
+                "changed": sorted(changed_fields & _RELOADABLE_FIELDS),
+                "needs_restart": sorted(changed_fields - _RELOADABLE_FIELDS),
             },
         )
 
-    def _list_changed(
-        self, fresh: forward_settings.ForwardSettings
+    def _list_changed_fields(
+        self, new_settings: settings_module.ForwardSettings
     ) -> set[str]:
         former = vars(self._settings)
-        new = vars(fresh)
+        new = vars(new_settings)
         return {name for name in new if new[name] != former[name]}
 
-    def _read_time(self) -> float | None:
+    def _read_modified_at(self) -> float | None:
         try:
             return os.stat(self._path).st_mtime
         except OSError as error:
--- a/persimmonhinge/forwarding/route.py
+++ b/persimmonhinge/forwarding/route.py
@@ -53,7 +53,7 @@
     """
 
     name: str
-    at: RouteAddress
+    virtual_address: RouteAddress
     shares: tuple[Share, ...]
     priority: int
     repetition: Repetition
--- a/persimmonhinge/forwarding/settings.py
+++ b/persimmonhinge/forwarding/settings.py
@@ -8,25 +8,25 @@
 from persimmonhinge import ids
 from persimmonhinge import json_reader
 from persimmonhinge import records
-from persimmonhinge.forwarding import flow as flows
+from persimmonhinge.forwarding import flow
 from persimmonhinge.light_typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
     from typing import Any
 
-_STEP = "read settings"
+_ERROR_STEP = "read settings"
 # Share of the shortest limit that a watch may wait.
-_WATCH_SHARE = 0.5
+_WATCH_WAIT_FRACTION = 0.5
 # The same from a change to the next call of a watch.
-_GATHER_SHARE = 1 / 12
+_COALESCE_FRACTION = 1 / 12
 # A slow store answers within 0.4 s; news take two reports, 0.2 s, to all hosts.
-_ANSWER_S = 0.7
-_LAST_PORT = 65_535
+_MAX_UPDATE_DELAY_S = 0.7
+_MAX_PORT = 65_535
 # The first and the last.
-_PORTS_OF_RANGE = 2
-_LONGEST_NAME = 200
+_PORT_RANGE_FIELDS = 2
+_MAX_NAME_CHARACTERS = 200
 # Policies that a forwarding host imports at its start.
-_CHOICES = ("near-first",)
+_CHOICE_POLICIES = ("near-first",)
 _LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 
 
@@ -97,23 +97,23 @@
         A watch that has gone silent is noticed a little later; with the time
         for a new reading that must stay within both limits.
         """
-        return self._shortest_limit_s() * _WATCH_SHARE
+        return self._shortest_limit_s() * _WATCH_WAIT_FRACTION
 
     @property
-    def gather_s(self) -> float:
+    def coalesce_s(self) -> float:
         """Time from a change to the next call of a watch, seconds.
 
         Changes that come meanwhile come with that call.
         """
-        return self._shortest_limit_s() * _GATHER_SHARE
+        return self._shortest_limit_s() * _COALESCE_FRACTION
 
     @property
-    def current_s(self) -> float:
+    def max_current_age_s(self) -> float:
         """Age up to which knowledge that the store confirmed is current.
 
         The store answers a watch within its waiting time and a little more.
         """
-        return self.watch_wait_s + _ANSWER_S
+        return self.watch_wait_s + _MAX_UPDATE_DELAY_S
 
     @property
     def own_address(self) -> str:
@@ -151,7 +151,7 @@
         return [parse_endpoint(seed).host for seed in self.seeds]
 
 
-def parse_endpoint(text: str) -> flows.Endpoint:
+def parse_endpoint(text: str) -> flow.Endpoint:
     """Reads an address and a port, as in `10.0.0.1:80`.
 
     Raises:
@@ -160,7 +160,7 @@
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= 65_535:
         raise ValueError(f"{text!r} is not an address and a port")
-    return flows.Endpoint(host, int(port))
+    return flow.Endpoint(host, int(port))
 
 
 def load(path: str) -> ForwardSettings:
@@ -173,7 +173,9 @@
         with open(path, "rb") as file:
             return parse(file.read())
     except (OSError, ValueError) as error:
-        raise errors.SettingsError(str(error), step=_STEP, peer=path) from error
+        raise errors.SettingsError(
+            str(error), step=_ERROR_STEP, peer=path
+        ) from error
 
 
 def parse(text: bytes) -> ForwardSettings:
@@ -186,7 +188,7 @@
     unknown = sorted(map(str, document.keys() - _READERS.keys()))
     if unknown:
         raise ValueError(f"unknown settings: {', '.join(unknown)}")
-    missing = [name for name in _NEEDED if name not in document]
+    missing = [name for name in _REQUIRED if name not in document]
     if missing:
         raise ValueError(f"missing settings: {', '.join(missing)}")
     return ForwardSettings(
@@ -215,8 +217,10 @@
 
 def _read_text(name: str, value: object) -> str:
     text = json_reader.expect(value, str, name)
-    if not 1 <= len(text) <= _LONGEST_NAME:
-        raise ValueError(f"{name} is not 1 to {_LONGEST_NAME} characters long")
+    if not 1 <= len(text) <= _MAX_NAME_CHARACTERS:
+        raise ValueError(
+            f"{name} is not 1 to {_MAX_NAME_CHARACTERS} characters long"
+        )
     return text
 
 
@@ -251,10 +255,10 @@
     )
 
 
-def _read_port(name: str, value: object, least: int = 1) -> int:
+def _read_port(name: str, value: object, min_port: int = 1) -> int:
     number = json_reader.expect(value, int, name)
-    if not least <= number <= _LAST_PORT:
-        raise ValueError(f"{name} is not from {least} to {_LAST_PORT}")
+    if not min_port <= number <= _MAX_PORT:
+        raise ValueError(f"{name} is not from {min_port} to {_MAX_PORT}")
     return number
 
 
@@ -264,7 +268,7 @@
 
 def _read_ports(name: str, value: object) -> tuple[int, int]:
     ports = json_reader.expect(value, list, name)
-    if len(ports) != _PORTS_OF_RANGE:
+    if len(ports) != _PORT_RANGE_FIELDS:
         raise ValueError(f"{name} is not a first and a last port")
     return _read_port(name, ports[0]), _read_port(name, ports[1])
 
@@ -277,17 +281,17 @@
 
 
 def _read_choice(name: str, value: object) -> str:
-    return _read_one_of(name, value, _CHOICES)
+    return _read_one_of(name, value, _CHOICE_POLICIES)
 
 
 def _read_log_level(name: str, value: object) -> str:
     return _read_one_of(name, value, _LOG_LEVELS)
 
 
-def _read_one_of(name: str, value: object, known: tuple[str, ...]) -> str:
+def _read_one_of(name: str, value: object, allowed: tuple[str, ...]) -> str:
     text = json_reader.expect(value, str, name)
-    if text not in known:
-        raise ValueError(f"{name} is {text!r}; known: {', '.join(known)}")
+    if text not in allowed:
+        raise ValueError(f"{name} is {text!r}; known: {', '.join(allowed)}")
     return text
 
 
@@ -312,4 +316,6 @@
     "log_level": _read_log_level,
 }
 # Those without a default.
-_NEEDED = tuple(name for name in _READERS if not hasattr(ForwardSettings, name))
+_REQUIRED = tuple(
+    name for name in _READERS if not hasattr(ForwardSettings, name)
+)
--- a/persimmonhinge/forwarding/sockets.py
+++ b/persimmonhinge/forwarding/sockets.py
@@ -5,18 +5,18 @@
 from collections.abc import Callable
 
 from persimmonhinge import early_logs
-from persimmonhinge.forwarding import flow as flows
+from persimmonhinge.forwarding import flow
 from persimmonhinge.light_typing import TYPE_CHECKING
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.metrics import counts as counts_module
 
 if TYPE_CHECKING:
     import _socket
 
 logger = early_logs.get_logger(__name__)
 
-_MOST_OCTETS = 2048
+_MAX_DATAGRAM_OCTETS = 2048
 # Datagrams that are read in a row before other tasks get a turn.
-MOST_IN_A_ROW = 64
+MAX_BATCH_DATAGRAMS = 64
 
 
 class PacketSocket:
@@ -27,28 +27,28 @@
     """
 
     def __init__(
-        self, bound: _socket.socket, counts: host_counts.Counts
+        self, packet_socket: _socket.socket, counts: counts_module.Counts
     ) -> None:
         """Takes over a bound socket that does not block."""
-        self.socket = bound
-        self._port = bound.getsockname()[1]
+        self.socket = packet_socket
+        self._port = packet_socket.getsockname()[1]
         self._counts = counts
 
-    def receive_batch(self, receive: Callable[[bytes], None]) -> int:
+    def receive_batch(self, handle_datagram: Callable[[bytes], None]) -> int:
         """Hands on the datagrams that have come; returns their number."""
-        for number in range(MOST_IN_A_ROW):
+        for count in range(MAX_BATCH_DATAGRAMS):
             try:
-                octets = self.socket.recv(_MOST_OCTETS)
+                octets = self.socket.recv(_MAX_DATAGRAM_OCTETS)
             except BlockingIOError:
-                return number
+                return count
             except OSError as error:
                 self._counts.add("receive_errors_total")
                 logger.warning("Can't read a datagram: %s.", error)
-                return number
-            receive(octets)
-        return MOST_IN_A_ROW
+                return count
+            handle_datagram(octets)
+        return MAX_BATCH_DATAGRAMS
 
-    def send_to_upstream(self, octets: bytes, address: flows.Endpoint) -> None:
+    def send_to_upstream(self, octets: bytes, address: flow.Endpoint) -> None:
         """Sends a datagram to an upstream."""
         self._send(octets, address)
 
@@ -57,7 +57,7 @@
 
         The fabric takes packets for all callers at the port of packets.
         """
-        self._send(octets, (flows.format_address(caller), self._port))
+        self._send(octets, (flow.format_address(caller), self._port))
 
     def _send(self, octets: bytes, address: tuple[str, int]) -> None:
         try:
--- a/persimmonhinge/forwarding/startup.py
+++ b/persimmonhinge/forwarding/startup.py
@@ -10,7 +10,7 @@
 
 from persimmonhinge import early_logs
 from persimmonhinge import errors
-from persimmonhinge.forwarding import core as cores
+from persimmonhinge.forwarding import core as core_module
 from persimmonhinge.forwarding.decisions import import_pace
 from persimmonhinge.light_typing import TYPE_CHECKING
 from persimmonhinge.store import blocking_transport
@@ -26,18 +26,18 @@
 _MS_PER_S = 1000
 
 
-class _TurnFinder:
+class _ForwardingFinder:
     """Finds no module, but gives packets a turn before each import.
 
     It is a meta path finder by its method alone, as the module of the abstract
     class is slow to import.
     """
 
-    def __init__(self, core: cores.ForwardCore) -> None:
+    def __init__(self, core: core_module.ForwardCore) -> None:
         self._core = core
         self._pace = import_pace.ImportPace()
-        self._readable = select.poll()
-        self._readable.register(core.socket.socket.fileno(), select.POLLIN)
+        self._poll = select.poll()
+        self._poll.register(core.socket.socket.fileno(), select.POLLIN)
 
     def find_spec(
         self,
@@ -52,18 +52,18 @@
         self._pace.begin_import()
         return None
 
-    def _forward_for(self, time_s: float) -> None:
+    def _forward_for(self, duration_s: float) -> None:
         """Forwards packets as they come, for some time."""
-        ends_at = time.monotonic() + time_s
-        while (rest_s := ends_at - time.monotonic()) > 0:
-            self._readable.poll(rest_s * _MS_PER_S)
+        ends_at = time.monotonic() + duration_s
+        while (remaining_s := ends_at - time.monotonic()) > 0:
+            self._poll.poll(remaining_s * _MS_PER_S)
             self._core.receive_batch()
             self._core.handle_due_openings()
 
 
-def forward_during(
-    work: Callable[[], None],
-    core: cores.ForwardCore,
+def forward_during_imports(
+    import_modules: Callable[[], None],
+    core: core_module.ForwardCore,
     store: port.PlatformReader,
 ) -> None:
     """Runs imports, and forwards packets between one and the next.
@@ -82,18 +82,18 @@
         blocking_transport.run(core.entries.read_all(store))
     except errors.PlatformError as error:
         core.entries.record_failure(error)
-        _ask_peers(core)
-    finder = _TurnFinder(core)
+        _pull_from_seeds(core)
+    finder = _ForwardingFinder(core)
     if core.knowledge.is_complete():
         sys.meta_path.insert(0, finder)
     try:
-        work()
+        import_modules()
     finally:
         if finder in sys.meta_path:
             sys.meta_path.remove(finder)
 
 
-def _ask_peers(core: cores.ForwardCore) -> None:
+def _pull_from_seeds(core: core_module.ForwardCore) -> None:
     # Needs a library that a start with a store does without.
     from persimmonhinge.forwarding.peers import early_pull
 
--- a/persimmonhinge/forwarding/tokens.py
+++ b/persimmonhinge/forwarding/tokens.py
@@ -10,11 +10,11 @@
 NO_TOKEN = 0
 
 
-def compute_token(upstream: ids.UpstreamId) -> int:
+def compute_token(upstream_id: ids.UpstreamId) -> int:
     """Returns the token of an upstream, 32 bits and never `NO_TOKEN`.
 
     It follows from the id alone, so that every host finds the upstream of a
     flow that another host opened, also after a restart, and no table of flows
     is passed on.
     """
-    return xxhash.xxh32_intdigest(upstream.encode()) or 1
+    return xxhash.xxh32_intdigest(upstream_id.encode()) or 1
--- a/persimmonhinge/forwarding/load_line.py
+++ b/persimmonhinge/forwarding/upstream_load.py
@@ -5,7 +5,7 @@
 from persimmonhinge.light_typing import NamedTuple
 
 
-class LoadLine(NamedTuple):
+class UpstreamLoad(NamedTuple):
     """What a host sees of one upstream; an array in messages.
 
     Attributes:
@@ -18,4 +18,4 @@
     token: int
     in_flight: int
     average: int
-    missed: int = 0
+    missed_openings: int = 0
--- a/persimmonhinge/platform/entries.py
+++ b/persimmonhinge/platform/entries.py
@@ -85,7 +85,7 @@
     idle_ms = read(limits, "IdleTimeoutMs", int, _IDLE_TIMEOUT_MS)
     return desired_states.DesiredState(
         version=read(entry, "Version", int),
-        routes={route.at: route for route in found},
+        routes={route.virtual_address: route for route in found},
         idle_timeout_s=idle_ms / 1000,
         cold_limits=_read_cold_limits(entry),
     )
@@ -116,7 +116,7 @@
     address = int.from_bytes(_socket.inet_aton(read(entry, "Host", str)))
     return routes.Route(
         name=read(entry, "Name", str),
-        at=routes.RouteAddress(
+        virtual_address=routes.RouteAddress(
             address, int(read(entry, "Prefix", str).strip("/"))
         ),
         shares=tuple(_convert_shares(entry)),
--- a/tests/test_forwarding/scene.py
+++ b/tests/test_forwarding/scene.py
@@ -139,7 +139,7 @@
             for port in ports or services
         ]
         state = desired_states.DesiredState(
-            version, {route.at: route for route in found}, 15.0
+            version, {route.virtual_address: route for route in found}, 15.0
         )
         self.knowledge.take_state(state, "test")
         self.confirm()
@@ -151,7 +151,9 @@
         route = records.replace(
             make_route(PORT, SERVICE), repetition=repetition
         )
-        state = desired_states.DesiredState(version, {route.at: route}, 15.0)
+        state = desired_states.DesiredState(
+            version, {route.virtual_address: route}, 15.0
+        )
         self.knowledge.take_state(state, "test")
 
     def confirm(self) -> None:
@@ -170,7 +172,7 @@
 
     def receive(self, octets: bytes) -> None:
         """Has a packet come from the fabric."""
-        self.forwarder.receive(octets)
+        self.forwarder.handle_datagram(octets)
 
     def open(self, port: int = 1000, **fields: int) -> upstreams.Upstream:
         """Opens a flow; returns where its first packet went."""
@@ -186,7 +188,7 @@
     def handle_due(self) -> None:
         """Handles the opening packets that were not answered."""
         for opening in self.openings.take_due():
-            self.forwarder.open_elsewhere(opening)
+            self.forwarder.retry_opening(opening)
 
     def last_upstream(self) -> upstreams.Upstream:
         """Returns where the newest packet went."""
@@ -207,7 +209,7 @@
     """Returns a route at a port."""
     return routes.Route(
         name=f"route-{port}",
-        at=routes.RouteAddress(ADDRESS, port),
+        virtual_address=routes.RouteAddress(ADDRESS, port),
         shares=(routes.Share(service, 1.0),),
         priority=1,
         repetition=routes.Repetition.IDEMPOTENT,
--- a/tests/test_forwarding/test_forwarding_after_ack.py
+++ b/tests/test_forwarding/test_forwarding_after_ack.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from benchmarks import fleet as fleets
-from persimmonhinge.forwarding import upstream as upstreams
+from benchmarks import fleet as fleet_module
+from persimmonhinge.forwarding import upstream as upstream_module
 from tests.test_forwarding import lost_hosts
 
 
-def knows_all(fleet: fleets.Fleet, host: fleets.Host) -> bool:
+def knows_all(fleet: fleet_module.Fleet, host: fleet_module.Host) -> bool:
     """Tells whether a host knows the newest state and the drain."""
     state = host.core.knowledge.state
     leaving = [
         upstream
         for upstream in host.core.knowledge.directory.all()
-        if upstream.state is upstreams.UpstreamState.DRAINING
+        if upstream.state is upstream_module.UpstreamState.DRAINING
     ]
     return (
         state is not None
@@ -22,7 +22,7 @@
     )
 
 
-def change(fleet: fleets.Fleet) -> None:
+def change(fleet: fleet_module.Fleet) -> None:
     """Has a change of the desired state and a drain be acknowledged."""
     fleet.store.change_state()
     fleet.store.drain_upstream()
--- a/tests/test_forwarding/test_forwarding_clock.py
+++ b/tests/test_forwarding/test_forwarding_clock.py
@@ -26,7 +26,7 @@
         scene.clock.sleep(answer_limit.ANSWER_S + 0.001)
         scene.handle_due()
         scene.go_on(chosen, data=5)
-        scene.tracker.sweep(15.0)
+        scene.tracker.remove_expired(15.0)
         reader = readers.Reader()
         reader.entries.take(readers.make_key("1"), readers.make_entry(), 5)
         reader.entries.record_answer()
--- a/tests/test_forwarding/test_forwarding_eligibility.py
+++ b/tests/test_forwarding/test_forwarding_eligibility.py
@@ -38,7 +38,9 @@
         regions=frozenset(regions),
     )
     limits = {scenes.SERVICE: cold_per_s} if cold_per_s else {}
-    state = desired_states.DesiredState(2, {route.at: route}, 15.0, limits)
+    state = desired_states.DesiredState(
+        2, {route.virtual_address: route}, 15.0, limits
+    )
     scene.knowledge.take_state(state, "test")
 
 
--- a/tests/test_forwarding/test_forwarding_peers_book.py
+++ b/tests/test_forwarding/test_forwarding_peers_book.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies
 
 from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import load_line as load_lines
+from persimmonhinge.forwarding import upstream_load as load_lines
 from persimmonhinge.forwarding.decisions import loads as load_books
 from persimmonhinge.forwarding.decisions import suspicions as suspicion_lists
 from persimmonhinge.forwarding.peers import book as books
@@ -39,7 +39,9 @@
         interval_ms: int = 100,
     ) -> bool:
         """Has a report come from a peer."""
-        line = load_lines.LoadLine(TOKEN, in_flight, in_flight * 100, missed)
+        line = load_lines.UpstreamLoad(
+            TOKEN, in_flight, in_flight * 100, missed
+        )
         report = messages.Report(
             "b",
             incarnation,
--- a/tests/test_forwarding/test_forwarding_peers_early_pull.py
+++ b/tests/test_forwarding/test_forwarding_peers_early_pull.py
@@ -98,7 +98,7 @@
     def work() -> None:
         complete.append(core.knowledge.is_complete())
 
-    startup.forward_during(work, core, LostStore())  # type: ignore[arg-type]
+    startup.forward_during_imports(work, core, LostStore())  # type: ignore[arg-type]
     core.socket.socket.close()
     return complete[0]
 
--- a/tests/test_forwarding/test_forwarding_peers_reporter.py
+++ b/tests/test_forwarding/test_forwarding_peers_reporter.py
@@ -114,7 +114,7 @@
         settings.domain,
         core.peers,
         core.knowledge,
-        settings.current_s,
+        settings.max_current_age_s,
         started_at,
     )
 
--- a/tests/test_forwarding/test_forwarding_peers_service.py
+++ b/tests/test_forwarding/test_forwarding_peers_service.py
@@ -39,7 +39,7 @@
             "north",
             self.core.peers,
             self.core.knowledge,
-            settings.current_s,
+            settings.max_current_age_s,
             time.monotonic(),
         )
         self.service = services.PeerService(self.core, role)
--- a/tests/test_forwarding/test_forwarding_settings.py
+++ b/tests/test_forwarding/test_forwarding_settings.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from persimmonhinge import errors
-from persimmonhinge.forwarding import settings as forward_settings
+from persimmonhinge.forwarding import settings as settings_module
 
 _ROOT = pathlib.Path(__file__).parents[2]
 _GOOD: dict[str, Any] = {
@@ -66,10 +66,10 @@
 
 def test_limits_decide_how_long_a_watch_waits() -> None:
     text = json.dumps({**_GOOD, "drain_limit_ms": 2000}).encode()
-    settings = forward_settings.parse(text)
+    settings = settings_module.parse(text)
     assert settings.watch_wait_s == 1.0
-    assert settings.gather_s < settings.watch_wait_s / 5
-    assert settings.current_s < 2.0
+    assert settings.coalesce_s < settings.watch_wait_s / 5
+    assert settings.max_current_age_s < 2.0
 
 
 def test_yaml_is_read_as_json_is() -> None:
@@ -82,14 +82,14 @@
 store: {address: '127.0.0.1:9'}
 """
     as_json = json.dumps(_GOOD).encode()
-    assert forward_settings.parse(text) == forward_settings.parse(as_json)
+    assert settings_module.parse(text) == settings_module.parse(as_json)
 
 
 def test_bad_settings_are_refused_with_the_field() -> None:
     for change in _BAD:
         text = json.dumps({**_GOOD, **change}).encode()
         try:
-            forward_settings.parse(text)
+            settings_module.parse(text)
         except (msgspec.MsgspecError, ValueError):
             continue
         raise AssertionError(f"{change} was taken")
@@ -112,7 +112,7 @@
 
 def test_file_that_is_not_there_is_an_error_with_its_name() -> None:
     try:
-        forward_settings.load("/nowhere/host.yaml")
+        settings_module.load("/nowhere/host.yaml")
     except errors.SettingsError as error:
         assert error.peer == "/nowhere/host.yaml"
         return
@@ -123,7 +123,7 @@
 def test_no_settings_end_the_reader(document: dict[str, Any]) -> None:
     text = json.dumps({**_GOOD, **document}).encode()
     try:
-        forward_settings.parse(text)
+        settings_module.parse(text)
     except (msgspec.MsgspecError, ValueError):
         return
 
@@ -134,6 +134,6 @@
         path = pathlib.Path(folder) / "host.yaml"
         path.write_bytes(text)
         try:
-            forward_settings.load(str(path))
+            settings_module.load(str(path))
         except errors.SettingsError:
             return
--- a/tests/test_forwarding/test_forwarding_told_loads.py
+++ b/tests/test_forwarding/test_forwarding_told_loads.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from persimmonhinge.forwarding import load_line as load_lines
+from persimmonhinge.forwarding import upstream_load as load_lines
 from persimmonhinge.forwarding.decisions import answer_limit
 from persimmonhinge.forwarding.decisions import told_loads
 from tests.test_forwarding import scene as scenes
@@ -10,7 +10,7 @@
 _LIFE_S = 60.0
 
 
-def list_lines(scene: scenes.Scene) -> list[load_lines.LoadLine]:
+def list_lines(scene: scenes.Scene) -> list[load_lines.UpstreamLoad]:
     return told_loads.list_lines(
         scene.knowledge, scene.loads, scene.suspicions, scene.clock.now
     )
@@ -30,10 +30,10 @@
     scene.clock.sleep(answer_limit.ANSWER_S + 0.001)
     scene.handle_due()
     told = {line.token: line for line in list_lines(scene)}
-    assert told[upstream.token].missed == 1
+    assert told[upstream.token].missed_openings == 1
     scene.clock.sleep(1.0)
     told = {line.token: line for line in list_lines(scene)}
-    assert told[upstream.token].missed == 0
+    assert told[upstream.token].missed_openings == 0
 
 
 def test_upstream_that_is_no_more_is_neither_told_nor_kept() -> None:
--- a/tests/test_light_typing.py
+++ b/tests/test_light_typing.py
@@ -6,14 +6,14 @@
 
 from persimmonhinge.forwarding import entry_line as entry_lines
 from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import load_line as load_lines
+from persimmonhinge.forwarding import upstream_load as load_lines
 
 
 def test_named_tuples_have_fields_defaults_and_methods() -> None:
     endpoint = flows.Endpoint("10.0.0.1", port=80)
     assert endpoint == ("10.0.0.1", 80)
     assert (endpoint.host, str(endpoint)) == ("10.0.0.1", "10.0.0.1:80")
-    assert load_lines.LoadLine(1, 2, 3).missed == 0
+    assert load_lines.UpstreamLoad(1, 2, 3).missed_openings == 0
 
 
 def test_named_tuples_are_arrays_in_messages() -> None:
