--- a/persimmonhinge/forwarding/gauges.py
+++ b/persimmonhinge/forwarding/gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of a host that show whom it hears and what it believes."""
+"""Gauges that show a host's peers and the age of its state."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 def register_gauges(
     core: core_module.ForwardCore, following: following_module.Following
 ) -> None:
-    """Has the metrics page read the gauges of a host.
+    """Registers the gauges of a host with its metrics page.
 
     Args:
         core: The parts of the host that need no event loop.
-        following: Whether it follows the store.
+        following: Decides whether the host follows the store.
     """
     domain = core.settings.domain
 
     def count_domain_hosts() -> float:
         return sum(peer.domain == domain for peer in core.peers.heard())
 
-    def compute_report_age() -> float:
+    def compute_oldest_report_age() -> float:
         now = time.monotonic()
         ages = [
             now - peer.heard_at
@@ -41,7 +41,7 @@
     counts = core.counts
     counts.watch("hosts_heard", lambda: len(core.peers.heard()))
     counts.watch("hosts_heard_in_domain", count_domain_hosts)
-    counts.watch("oldest_report_age_seconds", compute_report_age)
+    counts.watch("oldest_report_age_seconds", compute_oldest_report_age)
     counts.watch("knowledge_age_seconds", compute_knowledge_age)
     counts.watch("store_revision", lambda: core.entries.revision)
     counts.watch(
--- a/persimmonhinge/forwarding/reloading.py
+++ b/persimmonhinge/forwarding/reloading.py
@@ -1,4 +1,4 @@
-"""Takes over changed settings while the host runs."""
+"""Applies changed settings while the host runs."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 
 logger = logging.getLogger(__name__)
 
-# What takes effect at once; all else needs a restart.
+# Settings that take effect on a reload; all others need a restart.
 _RELOADABLE_FIELDS = frozenset({"log_level", "seeds"})
 
 
 class SettingsReloader:
-    """Reads the settings file again and takes over what it can."""
+    """Reloads the settings file and applies the settings that it can."""
 
     def __init__(
         self,
         path: str,
         settings: settings_module.ForwardSettings,
-        book: book_module.PeerBook,
+        peers: book_module.PeerBook,
     ) -> None:
-        """Makes the part.
+        """Creates the reloader.
 
         Args:
-            path: The settings file.
+            path: Path of the settings file.
             settings: The settings in force.
-            book: Where new seeds are entered.
+            peers: The other hosts, to which new seeds are added.
         """
         self._path = path
         self._settings = settings
-        self._book = book
+        self._peers = peers
         self._modified_at = self._read_modified_at()
 
     def is_file_changed(self) -> bool:
-        """Tells whether the file was written since it was last read."""
+        """Returns whether the file was modified since it was last read."""
         return self._read_modified_at() != self._modified_at
 
     def reload(self) -> None:
-        """Reads the file; settings that are bad leave the former in force."""
+        """Reloads the file; on an error, the former settings stay in force."""
         self._modified_at = self._read_modified_at()
         try:
             new_settings = settings_module.load(self._path)
@@ -56,7 +56,7 @@
         structured_logs.configure(new_settings.host, new_settings.log_level)
         now = time.monotonic()
         for seed in new_settings.seed_addresses():
-            self._book.add(flow.Endpoint(seed, new_settings.report_port), now)
+            self._peers.add(flow.Endpoint(seed, new_settings.report_port), now)
         logger.info(
             "Read the settings again.",
             extra={
@@ -68,13 +68,20 @@
     def _list_changed_fields(
         self, new_settings: settings_module.ForwardSettings
     ) -> set[str]:
-        former = vars(self._settings)
-        new = vars(new_settings)
-        return {name for name in new if new[name] != former[name]}
+        former_values = vars(self._settings)
+        new_values = vars(new_settings)
+        return {
+            name
+            for name in new_values
+            if new_values[name] != former_values[name]
+        }
 
     def _read_modified_at(self) -> float | None:
         try:
             return os.stat(self._path).st_mtime
         except OSError as error:
-            logger.warning("Can't look at the settings file: %s.", error)
+            logger.warning(
+                "Can't read the modification time of the settings file: %s.",
+                error,
+            )
             return None
--- a/persimmonhinge/forwarding/startup.py
+++ b/persimmonhinge/forwarding/startup.py
@@ -1,4 +1,4 @@
-"""Forwards packets while the rest of the program is still imported."""
+"""Forwards packets while the rest of the program is being imported."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class _ForwardingFinder:
-    """Finds no module, but gives packets a turn before each import.
+    """Meta path finder that forwards packets before each import.
 
-    It is a meta path finder by its method alone, as the module of the abstract
-    class is slow to import.
+    It never finds a module. It does not derive from the abstract base class of
+    finders, as the module of that class is slow to import.
     """
 
     def __init__(self, core: core_module.ForwardCore) -> None:
@@ -45,15 +45,15 @@
         path: Sequence[str] | None,
         target: types.ModuleType | None = None,
     ) -> importlib.machinery.ModuleSpec | None:
-        """Forwards the packets that have come; leaves the import to others."""
-        packets = self._core.receive_batch()
+        """Forwards received packets; returns None for the next finder."""
+        packet_count = self._core.receive_batch()
         self._core.handle_due_openings()
-        self._forward_for(self._pace.end_import(packets))
+        self._forward_for(self._pace.end_import(packet_count))
         self._pace.begin_import()
         return None
 
     def _forward_for(self, duration_s: float) -> None:
-        """Forwards packets as they come, for some time."""
+        """Forwards packets as they arrive, for a duration in seconds."""
         ends_at = time.monotonic() + duration_s
         while (remaining_s := ends_at - time.monotonic()) > 0:
             self._poll.poll(remaining_s * _MS_PER_S)
@@ -66,16 +66,16 @@
     core: core_module.ForwardCore,
     store: port.PlatformReader,
 ) -> None:
-    """Runs imports, and forwards packets between one and the next.
+    """Imports modules, and forwards packets between two imports.
 
-    Guards against the dark time after a restart of all hosts: callers' opening
-    packets would be lost while a small host imports the event loop and all that
-    needs it. A single import is short. A thread for the imports is no way: it
-    keeps the interpreter for whole turns of the scheduler.
+    Without this, the opening packets of callers would be lost after a restart
+    of all hosts, while a small host imports the event loop and the modules that
+    use it. A single import is short. The imports don't run in a thread, as that
+    thread would hold the interpreter lock for whole scheduling intervals.
 
     Args:
-        work: Imports modules.
-        core: The parts of the host.
+        import_modules: Imports the modules.
+        core: The parts of the host that need no event loop.
         store: Client of the store on blocking transports.
     """
     try:
@@ -94,7 +94,8 @@
 
 
 def _pull_from_seeds(core: core_module.ForwardCore) -> None:
-    # Needs a library that a start with a store does without.
+    # Imported here, as it needs a library that a start doesn't need while the
+    # store answers.
     from persimmonhinge.forwarding.peers import early_pull
 
     early_pull.pull_from_seeds(core)
--- a/tests/test_forwarding/test_forwarding_forwarder.py
+++ b/tests/test_forwarding/test_forwarding_forwarder.py
@@ -37,7 +37,7 @@
     assert second.last_upstream() == chosen
 
 
-def test_packet_with_a_token_of_nobody_is_dropped() -> None:
+def test_packet_with_an_unknown_token_is_dropped() -> None:
     scene = scene_module.Scene()
     scene.add(scene_module.make_upstream(1))
     scene.go_on(scene_module.make_upstream(7), data=10)
@@ -133,7 +133,9 @@
     assert octets == expected
 
 
-def test_opening_without_a_route_is_dropped_by_a_host_with_old_news() -> None:
+def test_opening_without_a_route_is_dropped_by_a_host_with_stale_state() -> (
+    None
+):
     """A caller of a new route is refused though the route is in force.
 
     The route was added while the store did not answer this host; the caller's
@@ -158,7 +160,7 @@
     assert scene.count_sent() == (1, 1)
 
 
-def test_open_flow_of_a_route_not_heard_of_goes_on() -> None:
+def test_open_flow_of_an_unknown_route_goes_on() -> None:
     """A flow breaks a moment after its route was added.
 
     A host that knows the route opens the flow; the next packet comes to a
--- a/tests/test_forwarding/test_forwarding_gauges.py
+++ b/tests/test_forwarding/test_forwarding_gauges.py
@@ -9,7 +9,7 @@
 from tests.test_forwarding import test_forwarding_peers_reporter as reporters
 
 
-def test_gauges_show_whom_a_host_hears_and_that_nobody_confirms_it() -> None:
+def test_gauges_show_reporting_hosts_and_unconfirmed_knowledge() -> None:
     core = reporters.make_core(near_hosts=5)
     reporters.add_far_hosts(core, 7)
     silent_s = core.settings.max_current_age_s + 1.0
--- a/tests/test_forwarding/test_forwarding_settings.py
+++ b/tests/test_forwarding/test_forwarding_settings.py
@@ -17,7 +17,7 @@
 from persimmonhinge.forwarding import settings as settings_module
 
 _ROOT = pathlib.Path(__file__).parents[2]
-_GOOD: dict[str, Any] = {
+_VALID: dict[str, Any] = {
     "host": "h-1",
     "domain": "north",
     "packets": "127.0.0.1:1",
@@ -25,7 +25,7 @@
     "peer_ports": [3, 18],
     "store": {"address": "127.0.0.1:9"},
 }
-_BAD: tuple[dict[str, Any], ...] = (
+_INVALID_CHANGES: tuple[dict[str, Any], ...] = (
     {"packets": "somewhere"},
     {"pages": "127.0.0.1:99999"},
     {"peer_ports": [0, 18]},
@@ -49,7 +49,7 @@
 )
 
 
-def run_program(text: str) -> subprocess.CompletedProcess[str]:
+def run_with_settings(text: str) -> subprocess.CompletedProcess[str]:
     """Runs the program with a settings file that is bad."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "host.yaml"
@@ -65,7 +65,7 @@
 
 
 def test_limits_decide_how_long_a_watch_waits() -> None:
-    text = json.dumps({**_GOOD, "drain_limit_ms": 2000}).encode()
+    text = json.dumps({**_VALID, "drain_limit_ms": 2000}).encode()
     settings = settings_module.parse(text)
     assert settings.watch_wait_s == 1.0
     assert settings.coalesce_s < settings.watch_wait_s / 5
@@ -81,13 +81,13 @@
 peer_ports: [3, 18]
 store: {address: '127.0.0.1:9'}
 """
-    as_json = json.dumps(_GOOD).encode()
+    as_json = json.dumps(_VALID).encode()
     assert settings_module.parse(text) == settings_module.parse(as_json)
 
 
 def test_bad_settings_are_refused_with_the_field() -> None:
-    for change in _BAD:
-        text = json.dumps({**_GOOD, **change}).encode()
+    for change in _INVALID_CHANGES:
+        text = json.dumps({**_VALID, **change}).encode()
         try:
             settings_module.parse(text)
         except (msgspec.MsgspecError, ValueError):
@@ -97,14 +97,14 @@
 
 def test_program_ends_with_2_and_names_the_field() -> None:
     for text, named in (
-        (json.dumps({**_GOOD, "peer_ports": [0, 18]}), "peer_ports"),
-        (json.dumps({**_GOOD, "packets": "somewhere"}), "'somewhere'"),
-        (json.dumps({**_GOOD, "log_level": "LOUD"}), "log_level"),
-        (json.dumps({**_GOOD, "choice": "no-such-policy"}), "choice"),
+        (json.dumps({**_VALID, "peer_ports": [0, 18]}), "peer_ports"),
+        (json.dumps({**_VALID, "packets": "somewhere"}), "'somewhere'"),
+        (json.dumps({**_VALID, "log_level": "LOUD"}), "log_level"),
+        (json.dumps({**_VALID, "choice": "no-such-policy"}), "choice"),
         ("host: [", "host.yaml"),
         ("{}", "host"),
     ):
-        ended = run_program(text)
+        ended = run_with_settings(text)
         assert ended.returncode == 2
         assert named in ended.stderr
         assert "Traceback" not in ended.stderr
@@ -121,7 +121,7 @@
 
 @hypothesis.given(strategies.dictionaries(strategies.text(), json_values))
 def test_no_settings_end_the_reader(document: dict[str, Any]) -> None:
-    text = json.dumps({**_GOOD, **document}).encode()
+    text = json.dumps({**_VALID, **document}).encode()
     try:
         settings_module.parse(text)
     except (msgspec.MsgspecError, ValueError):
--- a/tests/test_forwarding/test_forwarding_tracker.py
+++ b/tests/test_forwarding/test_forwarding_tracker.py
@@ -99,13 +99,13 @@
     the rest of them. Cause: the own failure domain before everything.
     """
     scene = scene_module.Scene()
-    near = scene.add(scene_module.make_upstream(1))
-    far = scene.add(
+    local = scene.add(scene_module.make_upstream(1))
+    remote = scene.add(
         scene_module.make_upstream(2, domain=scene_module.ELSEWHERE)
     )
     chosen = [scene.open(port=port) for port in range(1000, 1006)]
-    assert chosen[0] == near
-    assert far in chosen
+    assert chosen[0] == local
+    assert remote in chosen
 
 
 def test_work_of_other_hosts_counts() -> None:
