--- a/persimmonhinge/forwarding/application.py
+++ b/persimmonhinge/forwarding/application.py
@@ -1,4 +1,4 @@
-"""The forwarding program: runs its parts from start to stop."""
+"""Lifecycle of the forwarding program, from its start to a planned stop."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 logger = logging.getLogger(__name__)
 
-# How much earlier than the platform's limit a planned stop ends, seconds.
+# A planned stop ends this long before the platform sends SIGKILL, seconds.
 _STOP_MARGIN_S = 1.0
-# A planned stop ends once no packet has come for so long, seconds.
+# A planned stop ends once no packet has arrived for this long, seconds.
 _STOP_IDLE_S = 0.7
 _STOP_IDLE_CHECK_INTERVAL_S = 0.1
 _SWEEP_INTERVAL_S = 1.0
@@ -31,15 +31,15 @@
 
 
 class ForwardApplication:
-    """One host that forwards packets."""
+    """The tasks and servers of one host that forwards packets."""
 
     def __init__(
         self, core: core_module.ForwardCore, store: port.PlatformReader
     ) -> None:
-        """Makes the application.
+        """Creates the application.
 
         Args:
-            core: The parts that need no event loop.
+            core: The parts of the host that need no event loop.
             store: Client of the store.
         """
         self._core = core
@@ -75,16 +75,16 @@
             )
 
     def stop(self) -> None:
-        """Begins a planned stop; a second call changes nothing."""
+        """Starts a planned stop; further calls have no effect."""
         self._stopping.set()
 
     def is_ready(self) -> bool:
-        """Tells whether the fabric should send packets here."""
+        """Returns whether the fabric should send packets to this host."""
         complete = self._core.knowledge.is_complete()
         return complete and not self._stopping.is_set()
 
     async def run(self) -> None:
-        """Runs until a planned stop has ended."""
+        """Runs all tasks of the host until a planned stop is complete."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follower.run)
             nursery.start_soon(self._receive_packets)
@@ -106,11 +106,13 @@
                 await nursery.start(self._metrics.run)
         except* OSError as group:
             logger.error(
-                "No metrics page.", extra={"error": str(group.exceptions[0])}
+                "Can't serve the metrics page.",
+                extra={"error": str(group.exceptions[0])},
             )
 
     async def _receive_packets(self) -> None:
-        # Until this host knows where to, packets stay in their socket.
+        # Packets stay in the socket buffer until the host has the desired state
+        # and the upstreams that it needs to forward them.
         while not self._core.knowledge.is_complete():
             await trio.sleep(_READINESS_CHECK_INTERVAL_S)
         while True:
@@ -132,9 +134,9 @@
             self._core.handle_due_openings()
 
     async def _forward_until_idle(self) -> None:
-        """Forwards until the fabric has stopped sending packets here."""
+        """Keeps running until the fabric stops sending packets to this host."""
         self._following.leaving = True
-        logger.info("Planned stop begins.")
+        logger.info("Planned stop started.")
         limit_s = self._settings.stop_limit_s - _STOP_MARGIN_S
         self._last_received_at = trio.current_time()
         with trio.move_on_after(limit_s):
--- a/persimmonhinge/forwarding/binding.py
+++ b/persimmonhinge/forwarding/binding.py
@@ -1,8 +1,8 @@
-"""Binds the socket of packets, before all else is imported."""
+"""Binds the packet socket before the rest of the program is imported."""
 
 from __future__ import annotations
 
-# Without the module around it, which is slow to import.
+# The C module is imported directly, as its wrapper `socket` is slow to import.
 import _socket
 
 from persimmonhinge.forwarding import flow
@@ -11,10 +11,12 @@
 
 
 def bind_packet_socket(address: flow.Endpoint) -> _socket.socket:
-    """Binds the socket of packets; they wait in it until they are read.
+    """Returns a non-blocking UDP socket for packets, bound to an address.
+
+    The kernel buffers the packets that arrive before the program reads them.
 
     Raises:
-        OSError: The address can't be had.
+        OSError: The socket can't be bound to the address.
     """
     packet_socket = _socket.socket(_socket.AF_INET, _socket.SOCK_DGRAM)
     packet_socket.setblocking(False)
--- a/persimmonhinge/forwarding/core.py
+++ b/persimmonhinge/forwarding/core.py
@@ -1,4 +1,4 @@
-"""The parts of a host that need no event loop."""
+"""The parts of a forwarding host that need no event loop."""
 
 from __future__ import annotations
 
@@ -35,20 +35,21 @@
 
 
 class ForwardCore:
-    """Knowledge and decisions of one host.
+    """State of one host and the parts that decide where its packets go.
 
     Attributes:
         settings: Settings of the host.
-        counts: Its counters.
-        knowledge: What it believes of the platform.
-        entries: Reads the store's entries into the knowledge.
-        loads: Work of upstreams, here and as others tell it.
-        suspicions: Opening packets that upstreams left unanswered.
+        counts: Counters of the host.
+        knowledge: The host's view of the desired state and the upstreams.
+        entries: Reads entries of the store into `knowledge`.
+        loads: Requests in flight at each upstream, as counted by this host and
+            as reported by other hosts.
+        suspicions: Opening packets that each upstream left unanswered.
         tracker: Flows and their requests.
-        openings: Opening packets that wait.
-        socket: The socket of packets.
-        forwarder: Decides where packets go.
-        peers: The other hosts and what they told.
+        openings: Opening packets that wait for an answer.
+        socket: The packet socket.
+        forwarder: Decides where each packet goes.
+        peers: The other hosts and their newest reports.
     """
 
     def __init__(
@@ -58,13 +59,13 @@
         codec: packet_codec.PacketCodec,
         reader: entry_reader.EntryReader,
     ) -> None:
-        """Makes the parts.
+        """Creates the parts.
 
         Args:
             settings: Settings of the host.
-            bound: Socket of packets.
-            codec: Format of packets.
-            reader: Format of the store's entries.
+            packet_socket: Bound, non-blocking UDP socket for packets.
+            codec: Decodes and encodes packets.
+            reader: Decodes entries of the store.
         """
         self.settings = settings
         self.counts = counts.Counts()
@@ -84,7 +85,7 @@
             self.loads,
             self.suspicions,
         )
-        # It is asked for `random()` alone, which the plain source has.
+        # Only `random()` is called, which `draws.source` has, too.
         randomness: random.Random = draws.source  # type: ignore[assignment]
         chooser = chooser_module.UpstreamChooser(
             ids.DomainId(settings.domain),
@@ -111,15 +112,15 @@
         )
 
     def receive_batch(self) -> int:
-        """Forwards the packets that have come; returns their number."""
+        """Forwards one batch of received packets; returns their number."""
         return self.socket.receive_batch(self.forwarder.handle_datagram)
 
     def handle_due_openings(self) -> None:
-        """Sends opening packets that were not answered elsewhere.
+        """Retries overdue opening packets at other upstreams.
 
-        Guards against taking upstreams for dead after this process itself
-        stood still: the answers may lie unread in the socket by then. So all
-        packets that have come are read first.
+        All received packets are read first. Otherwise the host would suspect
+        live upstreams after its own process was suspended: their answers may
+        still be unread in the socket.
         """
         while self.receive_batch() == sockets.MAX_BATCH_DATAGRAMS:
             pass
--- a/persimmonhinge/forwarding/program.py
+++ b/persimmonhinge/forwarding/program.py
@@ -1,4 +1,4 @@
-"""Runs the application under trio, with its signals."""
+"""Runs the forwarding application under trio and handles signals."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
     make_reader: ReaderFactory,
     settings_path: str,
 ) -> None:
-    """Runs a host until a planned stop has ended.
+    """Runs a host until a planned stop is complete.
 
     Args:
-        core: The parts that need no event loop.
-        make_reader: Makes a client of the store.
-        path: The settings file.
+        core: The parts of the host that need no event loop.
+        make_reader: Creates a client of the store.
+        settings_path: Path of the settings file.
     """
     collector.relax()
     settings = core.settings
@@ -79,7 +79,7 @@
 
 
 async def _watch_settings_file(reloader: reloading.SettingsReloader) -> None:
-    """Reads the settings file again when it changed without a signal."""
+    """Reloads the settings file when it changes without a SIGHUP."""
     while True:
         await trio.sleep(_SETTINGS_CHECK_INTERVAL_S)
         if reloader.is_file_changed():
