--- a/persimmonhinge/forwarding/flow.py
+++ b/persimmonhinge/forwarding/flow.py
@@ -1,4 +1,4 @@
-"""What names a flow."""
+"""Identifiers of flows and their endpoints."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 
 
 class Endpoint(NamedTuple):
-    """An IPv4 address and a port; hashed for each packet, hence a tuple.
+    """An IPv4 address and a port.
+
+    It is a tuple because it is hashed for each packet.
 
     Attributes:
-        host: The address as text.
-        port: The port.
+        host: IPv4 address in dotted-decimal notation.
+        port: Port number.
     """
 
     host: str
@@ -21,13 +23,13 @@
 
 
 class FlowId(NamedTuple):
-    """The four numbers that name a flow.
+    """The addresses and ports that identify a flow.
 
     Attributes:
         caller: IPv4 address of the caller, 32 bits.
-        caller_port: Its port.
-        service: IPv4 address that it called, 32 bits.
-        service_port: Port that it called.
+        caller_port: Port of the caller.
+        service: IPv4 destination address of the caller's packets, 32 bits.
+        service_port: Destination port of the caller's packets.
     """
 
     caller: int
@@ -42,7 +44,7 @@
 
 
 def format_address(address: int) -> str:
-    """Returns an IPv4 address as text."""
+    """Returns a 32-bit IPv4 address in dotted-decimal notation."""
     return (
         f"{address >> 24 & 255}.{address >> 16 & 255}."
         f"{address >> 8 & 255}.{address & 255}"
--- a/persimmonhinge/forwarding/flow_table.py
+++ b/persimmonhinge/forwarding/flow_table.py
@@ -1,4 +1,4 @@
-"""What a host remembers of the flows whose packets it carries."""
+"""Table of the flows whose packets a host forwards."""
 
 from __future__ import annotations
 
@@ -9,22 +9,25 @@
 from persimmonhinge.forwarding import flow as flow_module
 from persimmonhinge.forwarding import packet as packet_module
 
-# Positions are numbers of 32 bits that start anywhere and wrap around.
+# Sequence numbers have 32 bits, start at any value and wrap around.
 _SEQUENCE_MODULUS = 1 << 32
 _HALF_MODULUS = _SEQUENCE_MODULUS // 2
 
 
 class FlowRecord(records.Record):
-    """What this host saw of a flow.
+    """State of one flow, as observed by this host.
 
     Attributes:
-        upstream: Where its packets go.
-        seen_at: When a packet of it last came.
-        established: True once the caller went on after its opening packet.
-        waiting_since: When the request began that the caller has no answer
-            to; None if there is none.
-        sent_to: Position up to which the caller sent data.
-        answered_to: Position up to which it has the answer.
+        upstream: Upstream that receives the packets of the flow.
+        last_packet_at: When the last packet of the flow arrived, seconds.
+        established: True once the caller sent a packet after its opening
+            packet.
+        request_started_at: Start of the request that is in flight, seconds;
+            None if no request is in flight.
+        sent_up_to: Sequence number after the last octet that the caller sent;
+            None if not known yet.
+        acknowledged_up_to: Highest sequence number that the caller
+            acknowledged; None if not known yet.
     """
 
     upstream: ids.UpstreamId
@@ -35,10 +38,11 @@
     acknowledged_up_to: int | None = None
 
     def advance_acknowledged(self, packet: packet_module.Packet) -> bool:
-        """Takes in how much of the answer the caller has.
+        """Updates the highest acknowledged sequence number from a packet.
 
         Returns:
-            True if it is more than before.
+            True if the packet acknowledges more than an earlier packet did;
+            False for the first packet of the flow that this host sees.
         """
         former = self.acknowledged_up_to
         if former is None or is_sequence_after(packet.acknowledged, former):
@@ -47,10 +51,10 @@
         return False
 
     def advance_sent(self, packet: packet_module.Packet) -> bool:
-        """Takes in how much data the caller sent.
+        """Updates the highest sent sequence number from a packet.
 
         Returns:
-            True if the packet holds data that did not come before.
+            True if the packet holds data that no earlier packet held.
         """
         end = (packet.sequence + packet.length) % _SEQUENCE_MODULUS
         former = self.sent_up_to
@@ -61,21 +65,22 @@
 
 
 def is_sequence_after(sequence: int, other: int) -> bool:
-    """Tells whether a position comes after another one."""
+    """Returns whether a sequence number is after another, modulo 2**32."""
     return 0 < (sequence - other) % _SEQUENCE_MODULUS < _HALF_MODULUS
 
 
 class FlowTable:
-    """Remembers flows, the least recently seen first to be forgotten.
+    """Records of flows, with eviction of the least recently used one.
 
-    All of it may be lost: where a packet goes follows from its token.
+    Losing the table breaks no flow, as the upstream of a packet follows from
+    its routing token.
     """
 
     def __init__(self, max_flows: int) -> None:
-        """Makes an empty table.
+        """Creates an empty table.
 
         Args:
-            most: Flows that are remembered.
+            max_flows: Maximum number of flows in the table.
         """
         self._max_flows = max_flows
         self._records: collections.OrderedDict[
@@ -86,13 +91,13 @@
         return len(self._records)
 
     def get(self, flow: flow_module.FlowId) -> FlowRecord | None:
-        """Returns the record of a flow, None if there is none."""
+        """Returns the record of a flow, or None if the table has none."""
         return self._records.get(flow)
 
     def put(
         self, flow: flow_module.FlowId, record: FlowRecord
     ) -> FlowRecord | None:
-        """Remembers a flow; returns a record that had to make room."""
+        """Stores the record of a flow; returns the evicted record, if any."""
         self._records[flow] = record
         self._records.move_to_end(flow)
         if len(self._records) > self._max_flows:
@@ -102,16 +107,16 @@
     def touch(
         self, flow: flow_module.FlowId, record: FlowRecord, now: float
     ) -> None:
-        """Records that a packet of a known flow came."""
+        """Records the arrival of a packet of a stored flow."""
         record.last_packet_at = now
         self._records.move_to_end(flow)
 
     def remove(self, flow: flow_module.FlowId) -> FlowRecord | None:
-        """Forgets a flow; returns its record."""
+        """Removes a flow; returns its record, or None if the table has none."""
         return self._records.pop(flow, None)
 
     def remove_idle(self, last_packet_before: float) -> list[FlowRecord]:
-        """Forgets flows without a packet since a time; returns them."""
+        """Removes the flows idle since before a time; returns their records."""
         removed = []
         while self._records:
             flow, record = next(iter(self._records.items()))
@@ -122,7 +127,7 @@
         return removed
 
     def list_waiting(self, started_before: float) -> list[FlowRecord]:
-        """Returns the flows whose request began before a time."""
+        """Returns the flows whose request in flight started before a time."""
         return [
             record
             for record in self._records.values()
--- a/persimmonhinge/forwarding/packet.py
+++ b/persimmonhinge/forwarding/packet.py
@@ -1,4 +1,4 @@
-"""A packet of a flow, as far as a host has to understand it."""
+"""The parts of a packet that a forwarding host reads."""
 
 from __future__ import annotations
 
@@ -10,16 +10,18 @@
     """A packet on its way from a caller to an upstream.
 
     Attributes:
-        flow: The flow.
-        opens: True for the first packet of a flow and its copies.
-        ends: True if the caller has nothing more to say.
-        aborts: True if the caller broke the flow off.
-        copy: Number of the copy of an opening packet, 0 for the first.
-        token: Routing token that the caller repeats; 0 if it has none.
-        sequence: Position of the packet's data in the caller's stream.
-        acknowledged: Position up to which the caller has the answer.
+        flow: Flow of the packet.
+        opens: True for the opening packet of a flow and its copies.
+        ends: True if the caller has no more data to send.
+        aborts: True if the caller reset the flow.
+        copy: Number of the copy of an opening packet; 0 for the original.
+        token: Routing token that the caller received and sends back; 0 if it
+            has none.
+        sequence: Sequence number of the packet's first octet of data.
+        acknowledged: Sequence number up to which the caller received the
+            upstream's data.
         length: Length of the data, octets.
-        octets: The whole packet as it came.
+        octets: The whole packet as received.
     """
 
     flow: flow_module.FlowId
--- a/persimmonhinge/forwarding/packet_codec.py
+++ b/persimmonhinge/forwarding/packet_codec.py
@@ -1,4 +1,4 @@
-"""The format of packets, as the forwarder asks for it."""
+"""Interface through which the forwarder decodes and encodes packets."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class PacketCodec(Protocol):
-    """The format of packets; the adapter implements it."""
+    """Decodes and encodes packets; implemented by the platform adapter."""
 
     def decode(self, octets: bytes) -> packet_module.Packet:
-        """Reads a packet."""
+        """Decodes a packet of a caller."""
 
     def encode_for_upstream(
         self, packet: packet_module.Packet, number: int, token: int
     ) -> bytes:
-        """Returns the datagram that takes a packet to an upstream."""
+        """Returns the datagram that carries a packet to an upstream."""
 
     def encode_reset(self, packet: packet_module.Packet) -> bytes:
-        """Returns the packet that resets a flow."""
+        """Returns the packet that resets the flow of a packet."""
