--- a/persimmonhinge/forwarding/forwarder.py
+++ b/persimmonhinge/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Decides where each packet goes."""
+"""Forwards each packet to the upstream of its flow."""
 
 from __future__ import annotations
 
@@ -27,16 +27,18 @@
 
 logger = early_logs.get_logger(__name__)
 
-# Upstreams that one opening packet is sent to before its caller sends the next
-# copy: a caller that has left goes on with none of them.
+# Maximum number of upstreams that one opening packet is sent to before its
+# caller sends the next copy. A limit is needed because a caller that gave up
+# continues the flow on none of them.
 _MAX_UPSTREAMS_TRIED = 3
 
 
 class Forwarder:
     """Sends each packet to the upstream of its flow.
 
-    The first packet of a flow goes to an upstream that is chosen; later ones
-    go where their token says, whichever host they come to.
+    The opening packet of a flow goes to an upstream that this host chooses.
+    Later packets go to the upstream of their routing token, whichever host
+    receives them.
     """
 
     def __init__(
@@ -63,12 +65,12 @@
         self._budget = retry_budget.RetryBudget()
 
     def handle_datagram(self, octets: bytes) -> None:
-        """Takes one datagram of the fabric."""
+        """Handles one datagram received from the fabric."""
         try:
             packet = self._codec.decode(octets)
         except errors.MalformedPacketError as error:
             self._counts.add("packets_dropped_total", reason="malformed")
-            logger.warning("Dropped a datagram: %s.", error)
+            logger.warning("Dropped a malformed datagram: %s.", error)
             return
         if packet.opens:
             self._handle_opening(packet)
@@ -76,11 +78,11 @@
             self._handle_later_packet(packet)
 
     def retry_opening(self, opening: openings_module.Opening) -> None:
-        """Sends an opening packet that was not answered to another upstream.
+        """Sends an unanswered opening packet to another upstream.
 
-        Guards against the wait of a caller whose new flow met a dead
-        upstream: it sends a copy only after 200 ms, longer than the whole
-        latency target of most requests.
+        The host does not wait for the caller to retry: a caller whose
+        upstream is dead sends a copy only after 200 ms, which is longer than
+        the whole latency target of most requests.
         """
         now = self._clock()
         self._suspicions.record_miss(opening.tried[-1], now)
@@ -106,13 +108,14 @@
         record: flow_table.FlowRecord,
         now: float,
     ) -> None:
-        """Forwards a copy of an opening packet that this host knows.
+        """Forwards a copy of an opening packet of a flow in the flow table.
 
-        Guards against a second upstream for a flow that is open: it would
-        answer the copy, and the caller would take its token for the flow's.
-        A copy that is read before the first one can have been answered goes
-        the same way, too: packets that waited in the socket while the host
-        started are read together, and the network doubles some.
+        A copy for an established flow goes to the flow's upstream. A second
+        upstream would answer the copy, and the caller would then use the token
+        of that upstream for the flow.
+        A copy that is read while the opening packet may still be answered goes
+        to the same upstream, too: packets that waited in the socket while the
+        host started are read together, and the network duplicates some packets.
         """
         if record.established or self._openings.find_waiting(packet.flow):
             upstream = self._knowledge.directory.get(record.upstream)
@@ -145,11 +148,12 @@
     def _refuse_unservable(
         self, packet: packet_module.Packet, now: float
     ) -> None:
-        """Turns an opening packet away for which there is no upstream.
+        """Rejects an opening packet for which no upstream is available.
 
-        Guards against a caller that waits for 1.4 s to learn what this host
-        knew at once. Only by knowledge that can be relied on: an upstream
-        whose entry this host has not read yet may serve the next copy.
+        A reset spares the caller the 1.4 s after which it gives up. The flow
+        is reset only if the host's view of the store is current and reliable.
+        Otherwise the packet is dropped, as an upstream whose entry this host
+        has not read yet may serve the next copy.
         """
         knowledge = self._knowledge
         if knowledge.is_current(now) and knowledge.trust.holds(now):
@@ -188,7 +192,7 @@
     def _track_packet(
         self, packet: packet_module.Packet, upstream: upstream_module.Upstream
     ) -> None:
-        """Learns from a packet of an open flow."""
+        """Updates the state of a flow and its upstream from a later packet."""
         if self._tracker.record_packet(packet, upstream.id):
             self._openings.record_answer(packet.flow, upstream.id)
             self._suspicions.record_answer(upstream.id, self._clock())
@@ -206,7 +210,7 @@
             self._drop_packet(packet, reason)
             return
         self._counts.add("flows_reset_total", reason=reason)
-        self._log_rejection("Reset a flow.", packet, reason)
+        self._log_rejection("Reset the flow of a packet.", packet, reason)
         octets = self._codec.encode_reset(packet)
         self._output.send_to_caller(octets, packet.flow.caller)
 
--- a/persimmonhinge/forwarding/sockets.py
+++ b/persimmonhinge/forwarding/sockets.py
@@ -1,4 +1,4 @@
-"""The socket that packets come in and go out by."""
+"""The UDP socket that receives and sends packets."""
 
 from __future__ import annotations
 
@@ -15,27 +15,29 @@
 logger = early_logs.get_logger(__name__)
 
 _MAX_DATAGRAM_OCTETS = 2048
-# Datagrams that are read in a row before other tasks get a turn.
+# Maximum number of datagrams read in one batch, so that other tasks can run in
+# between.
 MAX_BATCH_DATAGRAMS = 64
 
 
 class PacketSocket:
-    """Reads packets in batches and sends without waiting.
+    """Reads packets in batches and sends datagrams without waiting.
 
-    Datagrams may be lost anyway: one that the kernel does not take at once
-    is counted and dropped, so that no packet holds up the next.
+    A datagram that the kernel does not accept at once is counted and dropped,
+    so that it does not delay the next one. Senders have to expect lost
+    datagrams in any case.
     """
 
     def __init__(
         self, packet_socket: _socket.socket, counts: counts_module.Counts
     ) -> None:
-        """Takes over a bound socket that does not block."""
+        """Creates the packet socket on a bound, non-blocking socket."""
         self.socket = packet_socket
         self._port = packet_socket.getsockname()[1]
         self._counts = counts
 
     def receive_batch(self, handle_datagram: Callable[[bytes], None]) -> int:
-        """Hands on the datagrams that have come; returns their number."""
+        """Passes one batch of datagrams to a function; returns their number."""
         for count in range(MAX_BATCH_DATAGRAMS):
             try:
                 octets = self.socket.recv(_MAX_DATAGRAM_OCTETS)
@@ -43,7 +45,10 @@
                 return count
             except OSError as error:
                 self._counts.add("receive_errors_total")
-                logger.warning("Can't read a datagram: %s.", error)
+                logger.warning(
+                    "Can't receive a datagram from the packet socket: %s.",
+                    error,
+                )
                 return count
             handle_datagram(octets)
         return MAX_BATCH_DATAGRAMS
@@ -53,9 +58,9 @@
         self._send(octets, address)
 
     def send_to_caller(self, octets: bytes, caller: int) -> None:
-        """Sends a datagram to a caller's address.
+        """Sends a datagram to a caller's 32-bit IPv4 address.
 
-        The fabric takes packets for all callers at the port of packets.
+        The fabric receives the packets for all callers at the packet port.
         """
         self._send(octets, (flow.format_address(caller), self._port))
 
@@ -65,5 +70,7 @@
         except OSError as error:
             self._counts.add("send_errors_total")
             logger.warning(
-                "Can't send a datagram: %s.", error, extra={"peer": address}
+                "Can't send a datagram from the packet socket: %s.",
+                error,
+                extra={"peer": address},
             )
--- a/persimmonhinge/forwarding/tracker.py
+++ b/persimmonhinge/forwarding/tracker.py
@@ -1,4 +1,4 @@
-"""Follows flows by their packets: which requests are in flight, and where."""
+"""Tracks flows and counts the requests in flight at each upstream."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from persimmonhinge.forwarding.decisions import loads as loads_module
 from persimmonhinge.metrics import counts as counts_module
 
-# A request without an answer for so long is no longer counted as work of its
-# upstream, seconds: callers of the shortest requests give up after 1 s, and
-# their packets may have gone on through another host since.
+# A request without an answer for this long no longer counts as in flight at its
+# upstream, seconds. Callers of the shortest requests give up after 1 s, and
+# later packets of the flow may have passed through another host.
 _REQUEST_TIMEOUT_S = 3.0
 
 
 class FlowTracker:
-    """Keeps the flow table and the load book in step."""
+    """Updates the flow table and the counts of requests in flight together."""
 
     def __init__(
         self,
@@ -36,16 +36,16 @@
     def get(
         self, flow: flow_module.FlowId
     ) -> flow_table_module.FlowRecord | None:
-        """Returns what is known of a flow."""
+        """Returns the record of a flow, or None if there is none."""
         return self._flows.get(flow)
 
     def record_opening(
         self, flow: flow_module.FlowId, upstream: ids.UpstreamId
     ) -> None:
-        """Records where an opening packet was sent.
+        """Records that an opening packet is sent to an upstream.
 
-        The request that follows counts at once, so that openings that come
-        in a row do not all go to the upstream that was idle before them.
+        The request that follows counts as in flight at once. Otherwise a
+        series of new flows would all go to the same idle upstream.
         """
         self.remove_flow(flow)
         now = self._clock()
@@ -56,34 +56,36 @@
     def record_packet(
         self, packet: packet_module.Packet, upstream: ids.UpstreamId
     ) -> bool:
-        """Learns from a packet of an open flow.
+        """Updates the record of a flow from a packet after its opening packet.
 
         Returns:
-            True if it is the first since the opening packet that came here.
+            True if this host received the opening packet and this is the first
+            packet of the flow after it.
         """
         now = self._clock()
         record = self._flows.get(packet.flow)
-        first = record is not None and not record.established
+        is_first = record is not None and not record.established
         if record is None:
             record = self._add_flow_of_other_host(packet.flow, upstream, now)
         if record.upstream != upstream:
             self._finish_request(record)
             record.upstream = upstream
-        if first and record.request_started_at is not None:
+        if is_first and record.request_started_at is not None:
             self._counts.observe(
                 "opening_seconds", now - record.request_started_at
             )
         record.established = True
         self._update_request(packet, record, now)
-        return first
+        return is_first
 
     def _add_flow_of_other_host(
         self, flow: flow_module.FlowId, upstream: ids.UpstreamId, now: float
     ) -> flow_table_module.FlowRecord:
-        """Remembers a flow that another host opened.
+        """Adds the record of a flow that another host opened.
 
-        Its first packet here proves nothing: its caller may wait for an
-        upstream that has gone dark since.
+        The first packet of such a flow at this host is no evidence that the
+        upstream answers: the upstream may have failed since the flow was
+        opened, and the caller may be waiting for it.
         """
         record = flow_table_module.FlowRecord(upstream, now)
         self._store_record(flow, record)
@@ -95,7 +97,7 @@
         record: flow_table_module.FlowRecord,
         now: float,
     ) -> None:
-        """Learns which requests begin and end."""
+        """Detects the start and the end of requests of a flow."""
         self._flows.touch(packet.flow, record, now)
         if record.advance_acknowledged(packet):
             self._record_answer_time(record, now)
@@ -106,13 +108,16 @@
             self._start_request(record, now)
 
     def remove_flow(self, flow: flow_module.FlowId) -> None:
-        """Forgets a flow."""
+        """Removes a flow and ends its request."""
         record = self._flows.remove(flow)
         if record is not None:
             self._finish_request(record)
 
     def remove_expired(self, idle_s: float) -> None:
-        """Forgets idle flows, and requests whose end was not seen.
+        """Removes idle flows, and ends requests that timed out.
+
+        The end of a request is not seen here if the flow continued through
+        another host.
 
         Args:
             idle_s: Time without a packet after which a flow is idle, seconds.
@@ -126,9 +131,9 @@
     def _store_record(
         self, flow: flow_module.FlowId, record: flow_table_module.FlowRecord
     ) -> None:
-        dropped = self._flows.put(flow, record)
-        if dropped is not None:
-            self._finish_request(dropped)
+        evicted = self._flows.put(flow, record)
+        if evicted is not None:
+            self._finish_request(evicted)
 
     def _record_answer_time(
         self, record: flow_table_module.FlowRecord, now: float
