--- a/persimmonhinge/forwarding/__init__.py
+++ b/persimmonhinge/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Forwards packets of flows that only their two ends can read."""
+"""Layer-4 forwarding of packets whose payload only the endpoints can read."""
--- a/persimmonhinge/forwarding/route.py
+++ b/persimmonhinge/forwarding/route.py
@@ -1,4 +1,4 @@
-"""Where the desired state leads new flows."""
+"""Routes of the desired state, by which new flows reach a service."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class Repetition(enum.Enum):
-    """What may be done twice."""
+    """Whether a request may run more than once."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at-most-once"
 
 
 class RouteAddress(NamedTuple):
-    """Address and port that callers of a route use.
+    """Destination address and port by which callers reach a route.
 
     Attributes:
         address: IPv4 address, 32 bits.
-        port: The port.
+        port: Port number.
     """
 
     address: int
@@ -29,11 +29,11 @@
 
 
 class Share(records.Record, frozen=True):
-    """A service of a route, and its share of the new flows.
+    """A service of a route and the weight by which it receives new flows.
 
     Attributes:
-        service: The service.
-        weight: Its weight among the shares of the route; not negative.
+        service: Name of the service.
+        weight: Weight relative to the other shares of the route; not negative.
     """
 
     service: ids.ServiceName
@@ -44,12 +44,12 @@
     """A route of the desired state.
 
     Attributes:
-        name: Its name.
-        at: What callers address.
-        shares: Services that new flows go to, by weight.
-        priority: Rank of its requests; 0 is the most important.
-        repetition: Whether its requests may run twice.
-        regions: Regions where its requests may run; empty for all.
+        name: Name of the route.
+        virtual_address: Destination address and port of the callers' packets.
+        shares: Services that receive new flows, with their weights.
+        priority: Priority of the route's requests; 0 is the highest.
+        repetition: Whether the route's requests may run more than once.
+        regions: Regions in which the route's requests may run; empty for all.
     """
 
     name: str
--- a/persimmonhinge/forwarding/settings.py
+++ b/persimmonhinge/forwarding/settings.py
@@ -1,4 +1,4 @@
-"""Settings of `persimmonhinge-forward`."""
+"""Settings of the program `persimmonhinge-forward`."""
 
 from __future__ import annotations
 
@@ -15,59 +15,62 @@
     from typing import Any
 
 _ERROR_STEP = "read settings"
-# Share of the shortest limit that a watch may wait.
+# Longest wait of a watch for a change, as a fraction of the shortest limit.
 _WATCH_WAIT_FRACTION = 0.5
-# The same from a change to the next call of a watch.
+# Time from a change to the next call of a watch, as a fraction of the shortest
+# limit.
 _COALESCE_FRACTION = 1 / 12
-# A slow store answers within 0.4 s; news take two reports, 0.2 s, to all hosts.
+# Time for an update to reach all hosts, seconds. A slow store answers within
+# 0.4 s, and updates reach all hosts after two reports, which take 0.2 s.
 _MAX_UPDATE_DELAY_S = 0.7
 _MAX_PORT = 65_535
-# The first and the last.
-_PORT_RANGE_FIELDS = 2
+# Number of entries of `peer_ports`: the first and the last port.
+_PORT_RANGE_ENTRIES = 2
 _MAX_NAME_CHARACTERS = 200
-# Policies that a forwarding host imports at its start.
+# Choice policies that a forwarding host imports at its start.
 _CHOICE_POLICIES = ("near-first",)
 _LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 
 
 class StoreAddress(records.Record, frozen=True):
-    """The platform's store.
+    """Where the platform's store is reached.
 
     Attributes:
-        address: IP address and port.
+        address: IP address and port of the store.
     """
 
     address: str
 
 
 class ForwardSettings(records.Record, frozen=True):
-    """All settings of one host that forwards packets.
+    """Settings of one forwarding host.
 
     Attributes:
-        host: Name of this host.
-        domain: Its failure domain.
-        packets: IP address and UDP port of packets.
+        host: Name of the host.
+        domain: Failure domain of the host.
+        packets: IP address and UDP port for packets of flows.
         pages: IP address and TCP port of the readiness page.
         metrics_port: TCP port of the metrics page; 0 for none.
-        peer_ports: First and last port that hosts may use among themselves;
-            the first is for reports, the next for snapshots.
-        seeds: Addresses and ports of hosts to tell first; the ports are not
-            used.
-        store: The platform's store.
-        drain_limit_ms: Time in which an upstream that leaves must get no new
-            flow any more, milliseconds.
-        change_limit_ms: Time in which a change must be in force,
+        peer_ports: First and last port for traffic between hosts; the first is
+            for reports, the next one for snapshots.
+        seeds: Addresses and ports of the hosts that receive the first reports;
+            the ports are not used.
+        store: Where the platform's store is reached.
+        drain_limit_ms: Time within which a draining upstream must stop
+            receiving new flows, milliseconds.
+        change_limit_ms: Time within which a change must be in force,
             milliseconds.
-        evacuation_limit_ms: Time in which an evacuated failure domain must get
-            no new flow any more, milliseconds; None for that of a drain.
-        regions: Names of failure domains, each with that of its region.
+        evacuation_limit_ms: Time within which an evacuated failure domain must
+            stop receiving new flows, milliseconds; None for `drain_limit_ms`.
+        regions: Pairs of a failure domain and its region, by name.
         stop_limit_s: Time between SIGTERM and SIGKILL, seconds.
-        flow_life_s: Age after which a flow may be forgotten, seconds.
-        call_limit_s: Limit of a call to the store, seconds. A slow store
-            answers in 0.4 s.
-        first_call_limit_s: The same while packets wait for the first answer,
+        flow_life_s: Age after which the record of a flow may be removed,
             seconds.
-        choice: Policy that chooses the upstream of a new flow.
+        call_limit_s: Time limit of a call to the store, seconds. A slow store
+            answers in 0.4 s.
+        first_call_limit_s: Time limit of a call to the store while packets wait
+            for the first answer of the store, seconds.
+        choice: Name of the policy that chooses the upstream of a new flow.
         log_level: Name of the lowest level that is logged.
     """
 
@@ -92,32 +95,33 @@
 
     @property
     def watch_wait_s(self) -> float:
-        """How long a watch waits for a change, seconds.
+        """Longest wait of a watch for a change, seconds.
 
-        A watch that has gone silent is noticed a little later; with the time
-        for a new reading that must stay within both limits.
+        A watch that no longer answers is detected shortly after this time. The
+        detection and a new read of the store together must stay within the
+        limits for changes.
         """
         return self._shortest_limit_s() * _WATCH_WAIT_FRACTION
 
     @property
     def coalesce_s(self) -> float:
-        """Time from a change to the next call of a watch, seconds.
+        """Delay from a change to the next call of a watch, seconds.
 
-        Changes that come meanwhile come with that call.
+        That call returns all changes made during the delay.
         """
         return self._shortest_limit_s() * _COALESCE_FRACTION
 
     @property
     def max_current_age_s(self) -> float:
-        """Age up to which knowledge that the store confirmed is current.
+        """Age up to which a view that the store confirmed is current, seconds.
 
-        The store answers a watch within its waiting time and a little more.
+        The store answers a watch at the end of its wait, or a little later.
         """
         return self.watch_wait_s + _MAX_UPDATE_DELAY_S
 
     @property
     def own_address(self) -> str:
-        """IP address of this host."""
+        """IP address of the host."""
         return parse_endpoint(self.packets).host
 
     @property
@@ -131,7 +135,7 @@
         return self.peer_ports[0] + 1
 
     def _shortest_limit_s(self) -> float:
-        """Returns the time in which any change must be in force, seconds."""
+        """Returns the shortest limit for a change to be in force, seconds."""
         shortest_ms = min(
             self.drain_limit_ms,
             self.change_limit_ms,
@@ -147,15 +151,15 @@
         }
 
     def seed_addresses(self) -> list[str]:
-        """Returns IP addresses of hosts to tell first."""
+        """Returns the IP addresses of the hosts that receive first reports."""
         return [parse_endpoint(seed).host for seed in self.seeds]
 
 
 def parse_endpoint(text: str) -> flow.Endpoint:
-    """Reads an address and a port, as in `10.0.0.1:80`.
+    """Parses an address and a port, as in `10.0.0.1:80`.
 
     Raises:
-        ValueError: It is something else.
+        ValueError: The text is not an address and a port.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= 65_535:
@@ -167,7 +171,7 @@
     """Reads the settings file.
 
     Raises:
-        SettingsError: It can't be read or holds a value that is not allowed.
+        SettingsError: The file can't be read or holds an invalid value.
     """
     try:
         with open(path, "rb") as file:
@@ -179,10 +183,10 @@
 
 
 def parse(text: bytes) -> ForwardSettings:
-    """Reads settings in YAML.
+    """Parses settings in YAML.
 
     Raises:
-        ValueError: It is not YAML, or a value is not allowed.
+        ValueError: The text is not YAML, or a value is invalid.
     """
     document = json_reader.expect(_read_document(text), dict, "document")
     unknown = sorted(map(str, document.keys() - _READERS.keys()))
@@ -197,15 +201,15 @@
 
 
 def _read_document(text: bytes) -> object:
-    """Returns what YAML holds.
+    """Returns the content of a YAML document.
 
-    All JSON is YAML. Reading it as JSON spares a host the import of a YAML
-    parser at each start.
+    JSON is a subset of YAML. Settings in JSON spare the host the import of a
+    YAML parser at each start.
     """
     try:
         return json_reader.decode(text)
     except ValueError:
-        # Not JSON, so it is read as YAML below.
+        # The text is not JSON and is parsed as YAML below.
         pass
     import yaml
 
@@ -242,7 +246,7 @@
 def _read_store(name: str, value: object) -> StoreAddress:
     document = json_reader.expect(value, dict, name)
     if document.keys() != {"address"}:
-        raise ValueError(f"{name} has other fields than address")
+        raise ValueError(f"{name} must have the field address and no other")
     address = _read_address(f"{name}.address", document["address"])
     return StoreAddress(address)
 
@@ -258,7 +262,7 @@
 def _read_port(name: str, value: object, min_port: int = 1) -> int:
     number = json_reader.expect(value, int, name)
     if not min_port <= number <= _MAX_PORT:
-        raise ValueError(f"{name} is not from {min_port} to {_MAX_PORT}")
+        raise ValueError(f"{name} is not a port from {min_port} to {_MAX_PORT}")
     return number
 
 
@@ -268,15 +272,15 @@
 
 def _read_ports(name: str, value: object) -> tuple[int, int]:
     ports = json_reader.expect(value, list, name)
-    if len(ports) != _PORT_RANGE_FIELDS:
-        raise ValueError(f"{name} is not a first and a last port")
+    if len(ports) != _PORT_RANGE_ENTRIES:
+        raise ValueError(f"{name} is not a list of a first and a last port")
     return _read_port(name, ports[0]), _read_port(name, ports[1])
 
 
 def _read_positive(name: str, value: object) -> float:
     number = json_reader.expect_number(value, name)
     if not 0 < number < float("inf"):
-        raise ValueError(f"{name} is not above 0")
+        raise ValueError(f"{name} is not a finite number above 0")
     return number
 
 
@@ -291,7 +295,7 @@
 def _read_one_of(name: str, value: object, allowed: tuple[str, ...]) -> str:
     text = json_reader.expect(value, str, name)
     if text not in allowed:
-        raise ValueError(f"{name} is {text!r}; known: {', '.join(allowed)}")
+        raise ValueError(f"{name} is {text!r}; allowed: {', '.join(allowed)}")
     return text
 
 
@@ -315,7 +319,7 @@
     "choice": _read_choice,
     "log_level": _read_log_level,
 }
-# Those without a default.
+# Names of the settings without a default value.
 _REQUIRED = tuple(
     name for name in _READERS if not hasattr(ForwardSettings, name)
 )
--- a/persimmonhinge/forwarding/upstream_load.py
+++ b/persimmonhinge/forwarding/upstream_load.py
@@ -1,4 +1,4 @@
-"""What a host sees of an upstream, as hosts tell it each other."""
+"""Load of an upstream at one host, as hosts report it to each other."""
 
 from __future__ import annotations
 
@@ -6,13 +6,15 @@
 
 
 class UpstreamLoad(NamedTuple):
-    """What a host sees of one upstream; an array in messages.
+    """Load of one upstream at the reporting host; an array in messages.
 
     Attributes:
         token: Routing token of the upstream.
-        in_flight: Requests that it has from this host now.
-        average: Average of that over some seconds, in hundredths.
-        missed: Opening packets in a row that it left unanswered.
+        in_flight: Number of requests from the host in flight at the upstream.
+        average: Average of `in_flight` over some seconds, in hundredths of a
+            request.
+        missed_openings: Number of consecutive opening packets from the host
+            that the upstream left unanswered.
     """
 
     token: int
