--- a/tests/test_forwarding/__init__.py
+++ b/tests/test_forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the forwarding of packets."""
+"""Tests of packet forwarding."""
--- a/tests/test_forwarding/test_forwarding_after_ack.py
+++ b/tests/test_forwarding/test_forwarding_after_ack.py
@@ -1,4 +1,4 @@
-"""Tests of hosts that lose power right after a change was acknowledged."""
+"""Tests of hosts that lose power around an acknowledged change."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def has_change_and_drain(
     fleet: fleet_module.Fleet, host: fleet_module.Host
 ) -> bool:
-    """Tells whether a host knows the newest state and the drain."""
+    """Returns whether a host has the newest desired state and the drain."""
     state = host.core.knowledge.state
     draining = [
         upstream
@@ -25,13 +25,17 @@
 
 
 def acknowledge_change_and_drain(fleet: fleet_module.Fleet) -> None:
-    """Has a change of the desired state and a drain be acknowledged."""
+    """Makes the store acknowledge a new desired state and a drain."""
     fleet.store.change_state()
     fleet.store.drain_upstream()
 
 
 def test_change_is_known_though_the_host_that_follows_loses_power() -> None:
-    """Guards against a drain that only the dead host had heard of."""
+    """Guards against an acknowledged change that never reaches other hosts.
+
+    The host that follows the store fails right after the acknowledgement, and
+    no other host of its domain has received the change.
+    """
     assert (
         lost_hosts.play(
             lost_hosts.lose_follower,
@@ -43,7 +47,10 @@
 
 
 def test_change_is_known_though_the_host_lost_power_just_before() -> None:
-    """Guards against a domain that waits for a host that is gone."""
+    """Guards against a domain that waits for updates from a failed host.
+
+    The host that follows the store fails just before the acknowledgement.
+    """
     assert (
         lost_hosts.play(
             lost_hosts.lose_follower_before,
@@ -55,7 +62,11 @@
 
 
 def test_change_that_some_hosts_have_heard_of_reaches_the_others() -> None:
-    """Guards against news that stop half way."""
+    """Guards against an update that reaches only a part of the hosts.
+
+    The host that follows the store fails shortly after the acknowledgement,
+    when it may have reported the change to some hosts.
+    """
     assert (
         lost_hosts.play(
             lost_hosts.lose_follower_a_moment_later,
@@ -67,7 +78,10 @@
 
 
 def test_change_is_known_though_two_domains_lose_their_follower() -> None:
-    """Guards against a fleet that is told by two dead hosts."""
+    """Guards against a fleet that depends on two failed hosts for updates.
+
+    The hosts that follow the store in two failure domains fail together.
+    """
     assert (
         lost_hosts.play(
             lost_hosts.lose_two,
@@ -79,7 +93,7 @@
 
 
 def test_host_that_lost_power_comes_back_with_the_change() -> None:
-    """Guards against a restart that brings the version before."""
+    """Guards against a restarted host that reverts to the former version."""
     assert (
         lost_hosts.play(
             lost_hosts.lose_and_restart,
@@ -91,7 +105,7 @@
 
 
 def test_change_right_after_an_outage_is_known() -> None:
-    """Guards against a change that hides behind a store that returns."""
+    """Guards against a change that is missed as it follows a store outage."""
     assert (
         lost_hosts.play(
             lost_hosts.lose_while_the_store_returns,
@@ -103,7 +117,7 @@
 
 
 def test_domain_that_was_cut_off_knows_the_change_when_it_is_back() -> None:
-    """Guards against a cut domain that goes on with its version."""
+    """Guards against a domain that keeps its old version after a partition."""
     assert (
         lost_hosts.play(
             lost_hosts.lose_while_a_domain_is_cut,
--- a/tests/test_forwarding/test_forwarding_forwarder.py
+++ b/tests/test_forwarding/test_forwarding_forwarder.py
@@ -1,4 +1,4 @@
-"""Tests of where packets go."""
+"""Tests of the upstreams to which packets are forwarded."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 def test_later_packets_follow_their_token_at_every_host() -> None:
-    """A price feed breaks when the fabric hands its packets to another host.
+    """Guards against broken flows after the fabric moves them to another host.
 
-    One host opens the flow; a host joins the rotation and gets the rest of
-    its packets; it has never seen the flow. Cause: a table that only the
-    first host has.
+    One host opens the flow. Another host joins the rotation and receives the
+    later packets without having seen the flow. The flow breaks if forwarding
+    depends on a flow table that only the first host has.
     """
     first, second = scene_module.Scene(), scene_module.Scene()
     for number in range(1, 6):
@@ -48,11 +48,11 @@
 
 
 def test_packet_is_never_sent_by_a_token_that_two_upstreams_share() -> None:
-    """A feed is reset though its upstream lives and nothing was disturbed.
+    """Guards against resets of flows whose upstreams share a routing token.
 
-    Two live upstreams have ids with one hash; a packet of the one's flow is
-    sent to the other, which resets a flow that it does not hold. Cause: a
-    guess.
+    The ids of two live upstreams have the same hash. A host that picks one of
+    them at random sends packets to the wrong upstream, which resets a flow that
+    it does not have.
     """
     scene = scene_module.Scene()
     first = scene.add(scene_module.make_upstream(1, token=9))
@@ -78,11 +78,10 @@
 
 
 def test_flow_of_an_upstream_that_has_gone_is_reset_at_once() -> None:
-    """A feed stalls for a second after its upstream has crashed.
+    """Guards against a feed that stalls for a second after a crash.
 
-    The entry of the upstream has ended; the caller's next request goes
-    nowhere, and it gives up at its time limit. Cause: silence where the host
-    knows that there will be no answer.
+    The entry of the crashed upstream has ended. If the host drops the caller's
+    next request without a reset, the caller waits until its time limit.
     """
     scene = scene_module.Scene()
     upstream = scene.add(scene_module.make_upstream(1))
@@ -96,11 +95,11 @@
 
 
 def test_flow_is_not_reset_while_the_store_can_not_be_relied_on() -> None:
-    """All feeds break when the store comes back from an outage.
+    """Guards against resets of all feeds after an outage of the store.
 
-    Entries of upstreams expired while the store was away; the upstreams live
-    and write them again within two seconds. Cause: an entry that is not there
-    was taken for an upstream that is not there.
+    The entries of live upstreams expired during the outage, and the upstreams
+    write them again within two seconds. The feeds break if a missing entry
+    alone counts as a removed upstream.
     """
     scene = scene_module.Scene()
     upstream = scene.add(scene_module.make_upstream(1))
@@ -136,11 +135,11 @@
 def test_opening_without_a_route_is_dropped_by_a_host_with_stale_state() -> (
     None
 ):
-    """A caller of a new route is refused though the route is in force.
+    """Guards against resets of flows of a new route by a host with stale state.
 
-    The route was added while the store did not answer this host; the caller's
-    next copy would come to a host that knows it. Cause: a host that can't know
-    says that there is no route.
+    The route was added while the store did not answer this host. The caller's
+    next copy may reach a host that has the route, so this host must not reset
+    the flow.
     """
     scene = scene_module.Scene()
     scene.add(scene_module.make_upstream(1))
@@ -161,11 +160,11 @@
 
 
 def test_open_flow_of_an_unknown_route_goes_on() -> None:
-    """A flow breaks a moment after its route was added.
+    """Guards against a reset of a flow shortly after its route was added.
 
-    A host that knows the route opens the flow; the next packet comes to a
-    host that does not know it yet, which resets the flow. Cause: a route that
-    is not known taken for one that was dropped.
+    A host that has the route opens the flow. The next packet reaches a host
+    that has not received the route yet. That host must not treat a route that
+    it never had as a removed one.
     """
     scene = scene_module.Scene()
     upstream = scene.add(scene_module.make_upstream(1))
@@ -266,10 +265,10 @@
 
 
 def test_opening_without_any_upstream_is_reset_at_once() -> None:
-    """A caller waits 1.4 s to learn that its service is down.
+    """Guards against callers that wait 1.4 s for a service that is down.
 
-    All upstreams of a service have ended, by an answer of the store a moment
-    ago. Cause: its opening packets are dropped in silence.
+    The store has just reported that all upstreams of the service have ended.
+    The caller waits if its opening packets are dropped without a reset.
     """
     scene = scene_module.Scene()
     scene.lose(scene.add(scene_module.make_upstream(1)))
@@ -282,11 +281,11 @@
 
 
 def test_opening_waits_where_an_upstream_may_be_unknown() -> None:
-    """A service is refused though its upstreams live.
+    """Guards against resets of flows to a service whose upstreams are alive.
 
-    The store was away, and the entries expired; or this host has not heard
-    of the store for some time. An upstream that it does not know of may serve
-    the next copy of the packet.
+    The entries expired during an outage of the store, or the store has not
+    answered this host for some time. An upstream whose entry the host lacks may
+    serve the next copy of the packet.
     """
     scene = scene_module.Scene()
     with scene_module.failing_store(scene):
--- a/tests/test_forwarding/test_forwarding_gauges.py
+++ b/tests/test_forwarding/test_forwarding_gauges.py
@@ -1,4 +1,4 @@
-"""Tests of the gauges of a host."""
+"""Tests of the gauges of a forwarding host."""
 
 from __future__ import annotations
 
--- a/tests/test_forwarding/test_forwarding_settings.py
+++ b/tests/test_forwarding/test_forwarding_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the settings of hosts that forward packets."""
+"""Tests of the settings of forwarding hosts."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def run_with_settings(text: str) -> subprocess.CompletedProcess[str]:
-    """Runs the program with a settings file that is bad."""
+    """Runs the program with an invalid settings file."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "host.yaml"
         path.write_text(text)
@@ -92,7 +92,7 @@
             settings_module.parse(text)
         except (msgspec.MsgspecError, ValueError):
             continue
-        raise AssertionError(f"{change} was taken")
+        raise AssertionError(f"{change} was accepted")
 
 
 def test_program_ends_with_2_and_names_the_field() -> None:
@@ -116,7 +116,7 @@
     except errors.SettingsError as error:
         assert error.peer == "/nowhere/host.yaml"
         return
-    raise AssertionError("a file that is not there was read")
+    raise AssertionError("no SettingsError for a missing file")
 
 
 @hypothesis.given(strategies.dictionaries(strategies.text(), json_values))
--- a/tests/test_forwarding/test_forwarding_tracker.py
+++ b/tests/test_forwarding/test_forwarding_tracker.py
@@ -1,4 +1,4 @@
-"""Tests of how requests in flight are counted."""
+"""Tests of the counts of requests in flight."""
 
 from __future__ import annotations
 
@@ -58,10 +58,10 @@
 
 
 def test_request_whose_end_was_not_seen_is_counted_for_some_seconds() -> None:
-    """An upstream is passed over for ever though it is idle.
+    """Guards against an idle upstream that never again receives new flows.
 
-    Its flows went on through another host, so the end of their requests was
-    never seen here. Cause: a request in flight that nothing ends.
+    Its flows continued through another host, so this host did not see the end
+    of their requests. Without a timeout they count as in flight for ever.
     """
     scene = scene_module.Scene()
     upstream = scene.add(scene_module.make_upstream(1))
@@ -93,10 +93,10 @@
 
 
 def test_other_domain_is_used_once_the_own_is_clearly_fuller() -> None:
-    """Upstreams of one site refuse requests while others are idle.
+    """Guards against overloaded upstreams in a domain while others are idle.
 
-    A site has lost most of its upstreams; its hosts send all new flows to
-    the rest of them. Cause: the own failure domain before everything.
+    Most upstreams of a failure domain have failed. The others refuse requests
+    if the hosts of the domain prefer them regardless of their load.
     """
     scene = scene_module.Scene()
     local = scene.add(scene_module.make_upstream(1))
