--- a/benchmarks/ablation/variants.py
+++ b/benchmarks/ablation/variants.py
@@ -101,9 +101,9 @@
 @variants.register("resets without an upstream")
 def drop_unservable(host: scenes.Scene) -> None:
     """Drops openings that no upstream can serve."""
-    drop = mechanism.read(host.forwarder, "_drop")
+    drop = mechanism.read(host.forwarder, "_drop_packet")
 
     def refuse(packet: object, now: float) -> None:
         drop(packet, "no-upstream")
 
-    mechanism.replace(host.forwarder, "_refuse_unservable", refuse)
+    mechanism.replace(host.forwarder, "_reject_opening", refuse)
--- a/persimmonhinge/forwarding/application.py
+++ b/persimmonhinge/forwarding/application.py
@@ -20,7 +20,8 @@
 
 logger = logging.getLogger(__name__)
 
-# A planned stop ends this long before the platform sends SIGKILL, seconds.
+# A planned stop ends at least this long before the platform sends SIGKILL,
+# seconds.
 _STOP_MARGIN_S = 1.0
 # A planned stop ends once no packet has arrived for this long, seconds.
 _STOP_IDLE_S = 0.7
--- a/persimmonhinge/forwarding/core.py
+++ b/persimmonhinge/forwarding/core.py
@@ -85,7 +85,7 @@
             self.loads,
             self.suspicions,
         )
-        # Only `random()` is called, which `draws.source` has, too.
+        # Only the method `random` is called, which `draws.source` has, too.
         randomness: random.Random = draws.source  # type: ignore[assignment]
         chooser = chooser_module.UpstreamChooser(
             ids.DomainId(settings.domain),
--- a/persimmonhinge/forwarding/flow_table.py
+++ b/persimmonhinge/forwarding/flow_table.py
@@ -42,7 +42,7 @@
 
         Returns:
             True if the packet acknowledges more than an earlier packet did;
-            False for the first packet of the flow that this host sees.
+            False if this host has no earlier acknowledgement of the flow.
         """
         former = self.acknowledged_up_to
         if former is None or is_sequence_after(packet.acknowledged, former):
@@ -127,7 +127,7 @@
         return removed
 
     def list_waiting(self, started_before: float) -> list[FlowRecord]:
-        """Returns the flows whose request in flight started before a time."""
+        """Returns the records whose request started before a time."""
         return [
             record
             for record in self._records.values()
--- a/persimmonhinge/forwarding/forwarder.py
+++ b/persimmonhinge/forwarding/forwarder.py
@@ -136,7 +136,7 @@
             return
         chosen = self._chooser.choose(route, packet.flow, now, tried)
         if chosen is None:
-            self._refuse_unservable(packet, now)
+            self._reject_opening(packet, now)
             return
         upstream = chosen.upstream
         self._tracker.record_opening(packet.flow, upstream.id)
@@ -145,13 +145,11 @@
         self._log_opening(packet, route, chosen, tried)
         self._forward_packet(packet, upstream)
 
-    def _refuse_unservable(
-        self, packet: packet_module.Packet, now: float
-    ) -> None:
+    def _reject_opening(self, packet: packet_module.Packet, now: float) -> None:
         """Rejects an opening packet for which no upstream is available.
 
-        A reset spares the caller the 1.4 s after which it gives up. The flow
-        is reset only if the host's view of the store is current and reliable.
+        A reset spares the caller a wait of 1.4 s, after which it would give
+        up. The flow is reset only if the host's view is current and reliable.
         Otherwise the packet is dropped, as an upstream whose entry this host
         has not read yet may serve the next copy.
         """
--- a/persimmonhinge/forwarding/reloading.py
+++ b/persimmonhinge/forwarding/reloading.py
@@ -19,7 +19,7 @@
 
 
 class SettingsReloader:
-    """Reloads the settings file and applies the settings that it can."""
+    """Reloads the settings file and applies what needs no restart."""
 
     def __init__(
         self,
--- a/persimmonhinge/forwarding/startup.py
+++ b/persimmonhinge/forwarding/startup.py
@@ -94,8 +94,8 @@
 
 
 def _pull_from_seeds(core: core_module.ForwardCore) -> None:
-    # Imported here, as it needs a library that a start doesn't need while the
-    # store answers.
+    # Imported here, as it needs a library that is not needed at the start if
+    # the store answers.
     from persimmonhinge.forwarding.peers import early_pull
 
     early_pull.pull_from_seeds(core)
--- a/tests/test_forwarding/test_forwarding_after_ack.py
+++ b/tests/test_forwarding/test_forwarding_after_ack.py
@@ -61,7 +61,7 @@
     )
 
 
-def test_change_that_some_hosts_have_heard_of_reaches_the_others() -> None:
+def test_change_that_some_hosts_have_received_reaches_the_others() -> None:
     """Guards against an update that reaches only a part of the hosts.
 
     The host that follows the store fails shortly after the acknowledgement,
--- a/tests/test_forwarding/test_forwarding_forwarder.py
+++ b/tests/test_forwarding/test_forwarding_forwarder.py
@@ -217,7 +217,7 @@
     missed: list[int],
 ) -> None:
     scene = scene_module.Scene()
-    for number, state, is_own, is_near in entries:
+    for number, state, is_own, is_local in entries:
         scene.add(
             scene_module.make_upstream(
                 number,
@@ -225,7 +225,9 @@
                 service=scene_module.SERVICE
                 if is_own
                 else scene_module.OTHER_SERVICE,
-                domain=scene_module.HERE if is_near else scene_module.ELSEWHERE,
+                domain=scene_module.HERE
+                if is_local
+                else scene_module.ELSEWHERE,
             )
         )
     for number in missed:
