--- a/persimmonhinge/forwarding/application.py
+++ b/persimmonhinge/forwarding/application.py
@@ -56,21 +56,21 @@
             self._settings.max_current_age_s,
             time.monotonic(),
         )
-        self._peers = service.PeerService(core, self._following)
+        self._peer_service = service.PeerService(core, self._following)
         self._follower = follower.Follower(
             store,
             core.entries,
             self._following,
             self._settings.coalesce_s,
         )
-        self._pages = page.PageServer(
+        self._page_server = page.PageServer(
             *settings.parse_endpoint(self._settings.pages)
         )
-        self._metrics = page.PageServer(
+        self._metrics_server = page.PageServer(
             self._settings.own_address, self._settings.metrics_port
         )
         gauges.register_gauges(core, self._following)
-        for server in (self._pages, self._metrics):
+        for server in (self._page_server, self._metrics_server):
             host_pages.HostPages(
                 server, core.counts, self.is_ready, _READINESS_PATH
             )
@@ -91,8 +91,8 @@
             nursery.start_soon(self._receive_packets)
             nursery.start_soon(self._handle_openings)
             nursery.start_soon(self._sweep_periodically)
-            await nursery.start(self._pages.run)
-            await nursery.start(self._peers.run)
+            await nursery.start(self._page_server.run)
+            await nursery.start(self._peer_service.run)
             if self._settings.metrics_port:
                 nursery.start_soon(self._serve_metrics)
             logger.info("Started.", extra={"domain": self._settings.domain})
@@ -104,7 +104,7 @@
     async def _serve_metrics(self) -> None:
         try:
             async with trio.open_nursery() as nursery:
-                await nursery.start(self._metrics.run)
+                await nursery.start(self._metrics_server.run)
         except* OSError as group:
             logger.error(
                 "Can't serve the metrics page.",
@@ -112,8 +112,8 @@
             )
 
     async def _receive_packets(self) -> None:
-        # Packets stay in the socket buffer until the host has the desired state
-        # and the upstreams that it needs to forward them.
+        # Packets stay in the socket buffer until the host has a desired state
+        # and at least one upstream.
         while not self._core.knowledge.is_complete():
             await trio.sleep(_READINESS_CHECK_INTERVAL_S)
         while True:
@@ -135,7 +135,10 @@
             self._core.handle_due_openings()
 
     async def _forward_until_idle(self) -> None:
-        """Keeps running until the fabric stops sending packets to this host."""
+        """Keeps forwarding until packets stop arriving or the stop limit nears.
+
+        The host is no longer ready, so the fabric stops sending packets to it.
+        """
         self._following.leaving = True
         logger.info("Planned stop started.")
         limit_s = self._settings.stop_limit_s - _STOP_MARGIN_S
--- a/persimmonhinge/forwarding/flow_table.py
+++ b/persimmonhinge/forwarding/flow_table.py
@@ -41,7 +41,7 @@
         """Updates the highest acknowledged sequence number from a packet.
 
         Returns:
-            True if the packet acknowledges more than an earlier packet did;
+            True if the packet acknowledges more than all earlier ones did;
             False if this host has no earlier acknowledgement of the flow.
         """
         former = self.acknowledged_up_to
@@ -70,7 +70,7 @@
 
 
 class FlowTable:
-    """Records of flows, with eviction of the least recently used one.
+    """Records of flows; a full table evicts the least recently used one.
 
     Losing the table breaks no flow, as the upstream of a packet follows from
     its routing token.
@@ -116,7 +116,7 @@
         return self._records.pop(flow, None)
 
     def remove_idle(self, last_packet_before: float) -> list[FlowRecord]:
-        """Removes the flows idle since before a time; returns their records."""
+        """Removes flows without packets since a time; returns their records."""
         removed = []
         while self._records:
             flow, record = next(iter(self._records.items()))
--- a/persimmonhinge/forwarding/forwarder.py
+++ b/persimmonhinge/forwarding/forwarder.py
@@ -29,7 +29,7 @@
 
 # Maximum number of upstreams that one opening packet is sent to before its
 # caller sends the next copy. A limit is needed because a caller that gave up
-# continues the flow on none of them.
+# does not continue the flow, whichever upstream answers.
 _MAX_UPSTREAMS_TRIED = 3
 
 
@@ -108,14 +108,15 @@
         record: flow_table.FlowRecord,
         now: float,
     ) -> None:
-        """Forwards a copy of an opening packet of a flow in the flow table.
+        """Forwards a copy of an opening packet if its flow is already tracked.
 
         A copy for an established flow goes to the flow's upstream. A second
         upstream would answer the copy, and the caller would then use the token
         of that upstream for the flow.
-        A copy that is read while the opening packet may still be answered goes
-        to the same upstream, too: packets that waited in the socket while the
-        host started are read together, and the network duplicates some packets.
+        A copy that is read while the original may still be answered goes to the
+        upstream of the original, too: packets that waited in the socket while
+        the host started are read together, and the network duplicates some
+        packets.
         """
         if record.established or self._openings.find_waiting(packet.flow):
             upstream = self._knowledge.directory.get(record.upstream)
@@ -148,10 +149,10 @@
     def _reject_opening(self, packet: packet_module.Packet, now: float) -> None:
         """Rejects an opening packet for which no upstream is available.
 
-        A reset spares the caller a wait of 1.4 s, after which it would give
-        up. The flow is reset only if the host's view is current and reliable.
-        Otherwise the packet is dropped, as an upstream whose entry this host
-        has not read yet may serve the next copy.
+        Without a reset, the caller would wait 1.4 s to learn that no upstream
+        is available. The flow is reset only if the host's view is current and
+        reliable. Otherwise the packet is dropped, as an upstream whose entry
+        this host has not read yet may serve the next copy.
         """
         knowledge = self._knowledge
         if knowledge.is_current(now) and knowledge.trust.holds(now):
@@ -208,7 +209,7 @@
             self._drop_packet(packet, reason)
             return
         self._counts.add("flows_reset_total", reason=reason)
-        self._log_rejection("Reset the flow of a packet.", packet, reason)
+        self._log_rejection("Reset a flow.", packet, reason)
         octets = self._codec.encode_reset(packet)
         self._output.send_to_caller(octets, packet.flow.caller)
 
--- a/persimmonhinge/forwarding/packet_codec.py
+++ b/persimmonhinge/forwarding/packet_codec.py
@@ -16,7 +16,14 @@
     def encode_for_upstream(
         self, packet: packet_module.Packet, number: int, token: int
     ) -> bytes:
-        """Returns the datagram that carries a packet to an upstream."""
+        """Returns the datagram that carries a packet to an upstream.
+
+        Args:
+            packet: The packet of the caller.
+            number: Number of the upstream, as packets carry it.
+            token: Routing token of the upstream, which the upstream sends back
+                to the caller.
+        """
 
     def encode_reset(self, packet: packet_module.Packet) -> bytes:
         """Returns the packet that resets the flow of a packet."""
--- a/persimmonhinge/forwarding/program.py
+++ b/persimmonhinge/forwarding/program.py
@@ -57,17 +57,17 @@
 
 
 async def _run_host(
-    host: application.ForwardApplication, reloader: reloading.SettingsReloader
+    app: application.ForwardApplication, reloader: reloading.SettingsReloader
 ) -> None:
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_handle_signals, host, reloader)
+        nursery.start_soon(_handle_signals, app, reloader)
         nursery.start_soon(_watch_settings_file, reloader)
-        await host.run()
+        await app.run()
         nursery.cancel_scope.cancel()
 
 
 async def _handle_signals(
-    host: application.ForwardApplication, reloader: reloading.SettingsReloader
+    app: application.ForwardApplication, reloader: reloading.SettingsReloader
 ) -> None:
     handled = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
     with trio.open_signal_receiver(*handled) as received:
@@ -75,7 +75,7 @@
             if signal_number == signal.SIGHUP:
                 reloader.reload()
             else:
-                host.stop()
+                app.stop()
 
 
 async def _watch_settings_file(reloader: reloading.SettingsReloader) -> None:
--- a/persimmonhinge/forwarding/reloading.py
+++ b/persimmonhinge/forwarding/reloading.py
@@ -10,7 +10,7 @@
 from persimmonhinge import structured_logs
 from persimmonhinge.forwarding import flow
 from persimmonhinge.forwarding import settings as settings_module
-from persimmonhinge.forwarding.peers import book as book_module
+from persimmonhinge.forwarding.peers import book
 
 logger = logging.getLogger(__name__)
 
@@ -25,7 +25,7 @@
         self,
         path: str,
         settings: settings_module.ForwardSettings,
-        peers: book_module.PeerBook,
+        peers: book.PeerBook,
     ) -> None:
         """Creates the reloader.
 
--- a/persimmonhinge/forwarding/route.py
+++ b/persimmonhinge/forwarding/route.py
@@ -1,4 +1,4 @@
-"""Routes of the desired state, by which new flows reach a service."""
+"""Routes of the desired state, which assign new flows to services."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RouteAddress(NamedTuple):
-    """Destination address and port by which callers reach a route.
+    """Destination address and port of the packets that a route applies to.
 
     Attributes:
         address: IPv4 address, 32 bits.
--- a/persimmonhinge/forwarding/settings.py
+++ b/persimmonhinge/forwarding/settings.py
@@ -33,7 +33,7 @@
 
 
 class StoreAddress(records.Record, frozen=True):
-    """Where the platform's store is reached.
+    """Address of the platform's store.
 
     Attributes:
         address: IP address and port of the store.
@@ -55,14 +55,15 @@
             for reports, the next one for snapshots.
         seeds: Addresses and ports of the hosts that receive the first reports;
             the ports are not used.
-        store: Where the platform's store is reached.
+        store: Address of the platform's store.
         drain_limit_ms: Time within which a draining upstream must stop
             receiving new flows, milliseconds.
         change_limit_ms: Time within which a change must be in force,
             milliseconds.
         evacuation_limit_ms: Time within which an evacuated failure domain must
-            stop receiving new flows, milliseconds; None for `drain_limit_ms`.
-        regions: Pairs of a failure domain and its region, by name.
+            stop receiving new flows, milliseconds; None to use
+            `drain_limit_ms`.
+        regions: Pairs of the name of a failure domain and that of its region.
         stop_limit_s: Time between SIGTERM and SIGKILL, seconds.
         flow_life_s: Age after which the record of a flow may be removed,
             seconds.
@@ -113,8 +114,9 @@
 
     @property
     def max_current_age_s(self) -> float:
-        """Age up to which a view that the store confirmed is current, seconds.
+        """Age up to which the host's view is current, seconds.
 
+        The age is the time since the store last confirmed the view.
         The store answers a watch at the end of its wait, or a little later.
         """
         return self.watch_wait_s + _MAX_UPDATE_DELAY_S
--- a/persimmonhinge/forwarding/sockets.py
+++ b/persimmonhinge/forwarding/sockets.py
@@ -15,8 +15,8 @@
 logger = early_logs.get_logger(__name__)
 
 _MAX_DATAGRAM_OCTETS = 2048
-# Maximum number of datagrams read in one batch, so that other tasks can run in
-# between.
+# Maximum number of datagrams read in one batch, so that other tasks can run
+# between two batches.
 MAX_BATCH_DATAGRAMS = 64
 
 
@@ -60,7 +60,8 @@
     def send_to_caller(self, octets: bytes, caller: int) -> None:
         """Sends a datagram to a caller's 32-bit IPv4 address.
 
-        The fabric receives the packets for all callers at the packet port.
+        The fabric accepts the packets for all callers at the port number that
+        this socket is bound to.
         """
         self._send(octets, (flow.format_address(caller), self._port))
 
--- a/persimmonhinge/forwarding/startup.py
+++ b/persimmonhinge/forwarding/startup.py
@@ -68,10 +68,11 @@
 ) -> None:
     """Imports modules, and forwards packets between two imports.
 
-    Without this, the opening packets of callers would be lost after a restart
-    of all hosts, while a small host imports the event loop and the modules that
-    use it. A single import is short. The imports don't run in a thread, as that
-    thread would hold the interpreter lock for whole scheduling intervals.
+    If packets waited until all imports are done, callers' opening packets would
+    be lost after a restart of all hosts, while a small host imports the event
+    loop and the modules that use it. A single import is short. The imports
+    don't run in a thread, as that thread would hold the interpreter lock for
+    whole scheduling intervals.
 
     Args:
         import_modules: Imports the modules.
@@ -94,7 +95,7 @@
 
 
 def _pull_from_seeds(core: core_module.ForwardCore) -> None:
-    # Imported here, as it needs a library that is not needed at the start if
+    # Imported only here, as it imports a library that a start does without if
     # the store answers.
     from persimmonhinge.forwarding.peers import early_pull
 
--- a/persimmonhinge/forwarding/tokens.py
+++ b/persimmonhinge/forwarding/tokens.py
@@ -1,4 +1,4 @@
-"""Routing tokens, which lead from a packet to the upstream of its flow."""
+"""Routing tokens, which identify the upstream of a packet's flow."""
 
 from __future__ import annotations
 
--- a/persimmonhinge/forwarding/upstream_load.py
+++ b/persimmonhinge/forwarding/upstream_load.py
@@ -1,4 +1,4 @@
-"""Load of an upstream at one host, as hosts report it to each other."""
+"""Load on an upstream from one host, as hosts report it to each other."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class UpstreamLoad(NamedTuple):
-    """Load of one upstream at the reporting host; an array in messages.
+    """Load on one upstream from the reporting host; an array in messages.
 
     Attributes:
         token: Routing token of the upstream.
-        in_flight: Number of requests from the host in flight at the upstream.
+        in_flight: Number of the host's requests in flight at the upstream.
         average: Average of `in_flight` over some seconds, in hundredths of a
             request.
         missed_openings: Number of consecutive opening packets from the host
