--- a/tests/test_forwarding/test_forwarding_forwarder.py
+++ b/tests/test_forwarding/test_forwarding_forwarder.py
@@ -65,20 +65,20 @@
 
 def test_draining_upstream_keeps_its_flows_and_gets_no_new_one() -> None:
     scene = scene_module.Scene()
-    leaving = scene.add(scene_module.make_upstream(1))
+    draining = scene.add(scene_module.make_upstream(1))
     scene.open()
-    scene.go_on(leaving, data=10)
+    scene.go_on(draining, data=10)
     state = upstream_module.UpstreamState.DRAINING
     scene.add(scene_module.make_upstream(1, state=state))
-    staying = scene.add(scene_module.make_upstream(2))
-    assert scene.open(port=1001) == staying
-    scene.go_on(leaving, data=10, sequence=11)
-    assert scene.last_upstream().id == leaving.id
+    ready = scene.add(scene_module.make_upstream(2))
+    assert scene.open(port=1001) == ready
+    scene.go_on(draining, data=10, sequence=11)
+    assert scene.last_upstream().id == draining.id
     assert scene.count_sent()[1] == 0
 
 
-def test_flow_of_an_upstream_that_has_gone_is_reset_at_once() -> None:
-    """Guards against a feed that stalls for a second after a crash.
+def test_flow_of_an_ended_upstream_is_reset_at_once() -> None:
+    """Guards against a feed that stalls for a second when its upstream crashes.
 
     The entry of the crashed upstream has ended. If the host drops the caller's
     next request without a reset, the caller waits until its time limit.
@@ -98,8 +98,8 @@
     """Guards against resets of all feeds after an outage of the store.
 
     The entries of live upstreams expired during the outage, and the upstreams
-    write them again within two seconds. The feeds break if a missing entry
-    alone counts as a removed upstream.
+    write them again within two seconds. The feeds break if the host takes a
+    missing entry for an upstream that has ended.
     """
     scene = scene_module.Scene()
     upstream = scene.add(scene_module.make_upstream(1))
@@ -192,7 +192,7 @@
 
 
 @hypothesis.given(strategies.binary(max_size=1400))
-def test_no_datagram_ends_the_host(octets: bytes) -> None:
+def test_no_datagram_crashes_the_host(octets: bytes) -> None:
     scene = scene_module.Scene()
     scene.add(scene_module.make_upstream(1))
     scene.receive(octets)
@@ -231,8 +231,8 @@
             )
         )
     for number in missed:
-        name = scene_module.make_upstream(number).id
-        scene.suspicions.record_miss(name, scene.clock.now)
+        upstream_id = scene_module.make_upstream(number).id
+        scene.suspicions.record_miss(upstream_id, scene.clock.now)
     scene.receive(scene_module.make_packet(1000, scene_module.SYN))
     usable = scene.knowledge.directory.select(
         scene_module.SERVICE, upstream_module.UpstreamState.READY
--- a/tests/test_forwarding/test_forwarding_settings.py
+++ b/tests/test_forwarding/test_forwarding_settings.py
@@ -95,7 +95,7 @@
         raise AssertionError(f"{change} was accepted")
 
 
-def test_program_ends_with_2_and_names_the_field() -> None:
+def test_program_exits_with_2_and_names_the_field() -> None:
     for text, named in (
         (json.dumps({**_VALID, "peer_ports": [0, 18]}), "peer_ports"),
         (json.dumps({**_VALID, "packets": "somewhere"}), "'somewhere'"),
@@ -104,13 +104,13 @@
         ("host: [", "host.yaml"),
         ("{}", "host"),
     ):
-        ended = run_with_settings(text)
-        assert ended.returncode == 2
-        assert named in ended.stderr
-        assert "Traceback" not in ended.stderr
+        process = run_with_settings(text)
+        assert process.returncode == 2
+        assert named in process.stderr
+        assert "Traceback" not in process.stderr
 
 
-def test_file_that_is_not_there_is_an_error_with_its_name() -> None:
+def test_missing_file_is_an_error_with_its_name() -> None:
     try:
         settings_module.load("/nowhere/host.yaml")
     except errors.SettingsError as error:
@@ -120,7 +120,7 @@
 
 
 @hypothesis.given(strategies.dictionaries(strategies.text(), json_values))
-def test_no_settings_end_the_reader(document: dict[str, Any]) -> None:
+def test_no_settings_crash_the_parser(document: dict[str, Any]) -> None:
     text = json.dumps({**_VALID, **document}).encode()
     try:
         settings_module.parse(text)
@@ -129,7 +129,7 @@
 
 
 @hypothesis.given(strategies.binary())
-def test_no_octets_end_the_reader(text: bytes) -> None:
+def test_no_octets_crash_the_parser(text: bytes) -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "host.yaml"
         path.write_bytes(text)
--- a/tests/test_forwarding/test_forwarding_tracker.py
+++ b/tests/test_forwarding/test_forwarding_tracker.py
@@ -36,7 +36,7 @@
     assert scene.loads.in_flight(upstream.id) == 1
 
 
-def test_positions_wrap_around() -> None:
+def test_sequence_numbers_wrap_around() -> None:
     scene = scene_module.Scene()
     upstream = scene.add(scene_module.make_upstream(1))
     end = 2**32
@@ -61,7 +61,7 @@
     """Guards against an idle upstream that never again receives new flows.
 
     Its flows continued through another host, so this host did not see the end
-    of their requests. Without a timeout they count as in flight for ever.
+    of their requests. Without a timeout they count as in flight forever.
     """
     scene = scene_module.Scene()
     upstream = scene.add(scene_module.make_upstream(1))
@@ -108,7 +108,7 @@
     assert remote in chosen
 
 
-def test_work_of_other_hosts_counts() -> None:
+def test_requests_of_other_hosts_count() -> None:
     scene = scene_module.Scene()
     busy = scene.add(scene_module.make_upstream(1))
     idle = scene.add(scene_module.make_upstream(2))
