--- a/persimmonhinge/forwarding/application.py
+++ b/persimmonhinge/forwarding/application.py
@@ -1,4 +1,4 @@
-"""The forwarding program: runs its parts from start to stop."""
+"""Lifecycle of the forwarding program, from its start to a planned stop."""
 
 from __future__ import annotations
 
@@ -7,123 +7,126 @@
 
 import trio
 
-from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding import follower as followers
+from persimmonhinge.forwarding import core as core_module
+from persimmonhinge.forwarding import follower
 from persimmonhinge.forwarding import gauges
-from persimmonhinge.forwarding import settings as forward_settings
+from persimmonhinge.forwarding import settings
 from persimmonhinge.forwarding import wake_up
-from persimmonhinge.forwarding.peers import following as following_parts
-from persimmonhinge.forwarding.peers import service as peer_services
+from persimmonhinge.forwarding.peers import following
+from persimmonhinge.forwarding.peers import service
 from persimmonhinge.metrics import host_pages
 from persimmonhinge.metrics import page
 from persimmonhinge.store import port
 
 logger = logging.getLogger(__name__)
 
-# How much earlier than the platform's limit a planned stop ends, seconds.
+# A planned stop ends at least this long before the platform sends SIGKILL,
+# seconds.
 _STOP_MARGIN_S = 1.0
-# A planned stop ends once no packet has come for so long, seconds.
-_QUIET_S = 0.7
-_QUIET_CHECK_S = 0.1
-_SWEEP_S = 1.0
+# A planned stop ends once no packet has arrived for this long, seconds.
+_STOP_IDLE_S = 0.7
+_STOP_IDLE_CHECK_INTERVAL_S = 0.1
+_SWEEP_INTERVAL_S = 1.0
 _READINESS_PATH = "/ready"
-_START_CHECK_S = 0.01
+_READINESS_CHECK_INTERVAL_S = 0.01
 
 
 class ForwardApplication:
-    """One host that forwards packets."""
+    """The tasks and servers of one host that forwards packets."""
 
     def __init__(
-        self, core: cores.ForwardCore, store: port.PlatformReader
+        self, core: core_module.ForwardCore, store: port.PlatformReader
     ) -> None:
-        """Makes the application.
+        """Creates the application.
 
         Args:
-            core: The parts that need no event loop.
+            core: The parts of the host that need no event loop.
             store: Client of the store.
         """
         self._core = core
         self._settings = core.settings
         self._stopping = trio.Event()
-        self._received_at = 0.0
-        self._packets_came = wake_up.WakeUp()
-        self._following = following_parts.Following(
+        self._last_received_at = 0.0
+        self._packets_received = wake_up.WakeUp()
+        self._following = following.Following(
             self._settings.host,
             self._settings.domain,
             core.peers,
             core.knowledge,
-            self._settings.current_s,
+            self._settings.max_current_age_s,
             time.monotonic(),
         )
-        self._peers = peer_services.PeerService(core, self._following)
-        self._follower = followers.Follower(
+        self._peer_service = service.PeerService(core, self._following)
+        self._follower = follower.Follower(
             store,
             core.entries,
             self._following,
-            self._settings.gather_s,
+            self._settings.coalesce_s,
         )
-        self._pages = page.PageServer(
-            *forward_settings.parse_endpoint(self._settings.pages)
+        self._page_server = page.PageServer(
+            *settings.parse_endpoint(self._settings.pages)
         )
-        self._metrics = page.PageServer(
+        self._metrics_server = page.PageServer(
             self._settings.own_address, self._settings.metrics_port
         )
-        gauges.watch_gauges(core, self._following)
-        for server in (self._pages, self._metrics):
+        gauges.register_gauges(core, self._following)
+        for server in (self._page_server, self._metrics_server):
             host_pages.HostPages(
                 server, core.counts, self.is_ready, _READINESS_PATH
             )
 
     def stop(self) -> None:
-        """Begins a planned stop; a second call changes nothing."""
+        """Starts a planned stop; further calls have no effect."""
         self._stopping.set()
 
     def is_ready(self) -> bool:
-        """Tells whether the fabric should send packets here."""
+        """Returns whether the fabric should send packets to this host."""
         complete = self._core.knowledge.is_complete()
         return complete and not self._stopping.is_set()
 
     async def run(self) -> None:
-        """Runs until a planned stop has ended."""
+        """Runs all tasks of the host until a planned stop is complete."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follower.run)
-            nursery.start_soon(self._receive)
+            nursery.start_soon(self._receive_packets)
             nursery.start_soon(self._handle_openings)
-            nursery.start_soon(self._sweep)
-            await nursery.start(self._pages.run)
-            await nursery.start(self._peers.run)
+            nursery.start_soon(self._sweep_periodically)
+            await nursery.start(self._page_server.run)
+            await nursery.start(self._peer_service.run)
             if self._settings.metrics_port:
                 nursery.start_soon(self._serve_metrics)
             logger.info("Started.", extra={"domain": self._settings.domain})
             await self._stopping.wait()
-            await self._leave()
+            await self._forward_until_idle()
             nursery.cancel_scope.cancel()
         logger.info("Stopped.")
 
     async def _serve_metrics(self) -> None:
         try:
             async with trio.open_nursery() as nursery:
-                await nursery.start(self._metrics.run)
+                await nursery.start(self._metrics_server.run)
         except* OSError as group:
             logger.error(
-                "No metrics page.", extra={"error": str(group.exceptions[0])}
+                "Can't serve the metrics page.",
+                extra={"error": str(group.exceptions[0])},
             )
 
-    async def _receive(self) -> None:
-        # Until this host knows where to, packets stay in their socket.
+    async def _receive_packets(self) -> None:
+        # Packets stay in the socket buffer until the host has a desired state
+        # and at least one upstream.
         while not self._core.knowledge.is_complete():
-            await trio.sleep(_START_CHECK_S)
+            await trio.sleep(_READINESS_CHECK_INTERVAL_S)
         while True:
             await trio.lowlevel.wait_readable(self._core.socket.socket)
             if self._core.receive_batch():
-                self._received_at = trio.current_time()
-                self._packets_came.set()
+                self._last_received_at = trio.current_time()
+                self._packets_received.set()
 
     async def _handle_openings(self) -> None:
         while True:
             due_at = self._core.openings.next_due()
             if due_at is None:
-                await self._packets_came.wait()
+                await self._packets_received.wait()
                 continue
             wait_s = due_at - time.monotonic()
             if wait_s > 0:
@@ -131,22 +134,25 @@
                 continue
             self._core.handle_due_openings()
 
-    async def _leave(self) -> None:
-        """Forwards until the fabric has stopped sending packets here."""
+    async def _forward_until_idle(self) -> None:
+        """Keeps forwarding until packets stop arriving or the stop limit nears.
+
+        The host is no longer ready, so the fabric stops sending packets to it.
+        """
         self._following.leaving = True
-        logger.info("Planned stop begins.")
+        logger.info("Planned stop started.")
         limit_s = self._settings.stop_limit_s - _STOP_MARGIN_S
-        self._received_at = trio.current_time()
+        self._last_received_at = trio.current_time()
         with trio.move_on_after(limit_s):
-            while trio.current_time() - self._received_at < _QUIET_S:
-                await trio.sleep(_QUIET_CHECK_S)
+            while trio.current_time() - self._last_received_at < _STOP_IDLE_S:
+                await trio.sleep(_STOP_IDLE_CHECK_INTERVAL_S)
 
-    async def _sweep(self) -> None:
+    async def _sweep_periodically(self) -> None:
         while True:
-            await trio.sleep(_SWEEP_S)
+            await trio.sleep(_SWEEP_INTERVAL_S)
             self._core.knowledge.settle(time.monotonic())
             state = self._core.knowledge.state
             idle_s = self._settings.flow_life_s
             if state is not None:
                 idle_s = state.idle_timeout_s
-            self._core.tracker.sweep(idle_s)
+            self._core.tracker.remove_expired(idle_s)
--- a/persimmonhinge/forwarding/core.py
+++ b/persimmonhinge/forwarding/core.py
@@ -1,25 +1,25 @@
-"""The parts of a host that need no event loop."""
+"""The parts of a forwarding host that need no event loop."""
 
 from __future__ import annotations
 
 from persimmonhinge import draws
 from persimmonhinge import ids
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import flow_table as flow_tables
-from persimmonhinge.forwarding import forwarder as forwarders
-from persimmonhinge.forwarding import knowledge as knowledge_parts
+from persimmonhinge.forwarding import flow
+from persimmonhinge.forwarding import flow_table
+from persimmonhinge.forwarding import forwarder
+from persimmonhinge.forwarding import knowledge
 from persimmonhinge.forwarding import reading
 from persimmonhinge.forwarding import sockets
-from persimmonhinge.forwarding import tracker as trackers
-from persimmonhinge.forwarding.decisions import chooser as choosers
+from persimmonhinge.forwarding import tracker
+from persimmonhinge.forwarding.decisions import chooser as chooser_module
 from persimmonhinge.forwarding.decisions import cold_shares
 from persimmonhinge.forwarding.decisions import eligibility
-from persimmonhinge.forwarding.decisions import loads as load_books
-from persimmonhinge.forwarding.decisions import openings as opening_lists
-from persimmonhinge.forwarding.decisions import suspicions as suspicion_lists
-from persimmonhinge.forwarding.peers import book as peer_books
+from persimmonhinge.forwarding.decisions import loads
+from persimmonhinge.forwarding.decisions import openings
+from persimmonhinge.forwarding.decisions import suspicions
+from persimmonhinge.forwarding.peers import book
 from persimmonhinge.light_typing import TYPE_CHECKING
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.metrics import counts
 from persimmonhinge.policies import choice
 from persimmonhinge.policies import choice_near_first  # noqa: F401
 
@@ -29,64 +29,65 @@
 
     from persimmonhinge.forwarding import entry_reader
     from persimmonhinge.forwarding import packet_codec
-    from persimmonhinge.forwarding import settings as forward_settings
+    from persimmonhinge.forwarding import settings as settings_module
 
-_MOST_FLOWS = 50_000
+_MAX_FLOWS = 50_000
 
 
 class ForwardCore:
-    """Knowledge and decisions of one host.
+    """State of one host and the parts that decide where its packets go.
 
     Attributes:
         settings: Settings of the host.
-        counts: Its counters.
-        knowledge: What it believes of the platform.
-        entries: Reads the store's entries into the knowledge.
-        loads: Work of upstreams, here and as others tell it.
-        suspicions: Opening packets that upstreams left unanswered.
+        counts: Counters of the host.
+        knowledge: The host's view of the desired state and the upstreams.
+        entries: Reads entries of the store into `knowledge`.
+        loads: Requests in flight at each upstream, as counted by this host and
+            as reported by other hosts.
+        suspicions: Opening packets that each upstream left unanswered.
         tracker: Flows and their requests.
-        openings: Opening packets that wait.
-        socket: The socket of packets.
-        forwarder: Decides where packets go.
-        peers: The other hosts and what they told.
+        openings: Opening packets that wait for an answer.
+        socket: The packet socket.
+        forwarder: Decides where each packet goes.
+        peers: The other hosts and their newest reports.
     """
 
     def __init__(
         self,
-        settings: forward_settings.ForwardSettings,
-        bound: _socket.socket,
+        settings: settings_module.ForwardSettings,
+        packet_socket: _socket.socket,
         codec: packet_codec.PacketCodec,
         reader: entry_reader.EntryReader,
     ) -> None:
-        """Makes the parts.
+        """Creates the parts.
 
         Args:
             settings: Settings of the host.
-            bound: Socket of packets.
-            codec: Format of packets.
-            reader: Format of the store's entries.
+            packet_socket: Bound, non-blocking UDP socket for packets.
+            codec: Decodes and encodes packets.
+            reader: Decodes entries of the store.
         """
         self.settings = settings
-        self.counts = host_counts.Counts()
-        self.knowledge = knowledge_parts.Knowledge(
-            settings.flow_life_s, settings.current_s
+        self.counts = counts.Counts()
+        self.knowledge = knowledge.Knowledge(
+            settings.flow_life_s, settings.max_current_age_s
         )
         self.entries = reading.Entries(reader, self.knowledge, self.counts)
-        self.openings = opening_lists.Openings()
-        self.socket = sockets.PacketSocket(bound, self.counts)
-        self.loads = load_books.LoadBook()
-        self.suspicions = suspicion_lists.Suspicions()
-        self.tracker = trackers.FlowTracker(
-            flow_tables.FlowTable(_MOST_FLOWS), self.loads, self.counts
+        self.openings = openings.Openings()
+        self.socket = sockets.PacketSocket(packet_socket, self.counts)
+        self.loads = loads.LoadBook()
+        self.suspicions = suspicions.Suspicions()
+        self.tracker = tracker.FlowTracker(
+            flow_table.FlowTable(_MAX_FLOWS), self.loads, self.counts
         )
-        self.peers = peer_books.PeerBook(
-            flows.Endpoint(settings.own_address, settings.report_port),
+        self.peers = book.PeerBook(
+            flow.Endpoint(settings.own_address, settings.report_port),
             self.loads,
             self.suspicions,
         )
-        # It is asked for `random()` alone, which the plain source has.
+        # Only the method `random` is called, which `draws.source` has, too.
         randomness: random.Random = draws.source  # type: ignore[assignment]
-        chooser = choosers.UpstreamChooser(
+        chooser = chooser_module.UpstreamChooser(
             ids.DomainId(settings.domain),
             self.knowledge,
             self.loads,
@@ -99,7 +100,7 @@
             choice.choices.get(settings.choice)(randomness),
             randomness,
         )
-        self.forwarder = forwarders.Forwarder(
+        self.forwarder = forwarder.Forwarder(
             codec,
             self.socket,
             self.knowledge,
@@ -111,17 +112,17 @@
         )
 
     def receive_batch(self) -> int:
-        """Forwards the packets that have come; returns their number."""
-        return self.socket.receive_batch(self.forwarder.receive)
+        """Forwards one batch of received packets; returns their number."""
+        return self.socket.receive_batch(self.forwarder.handle_datagram)
 
     def handle_due_openings(self) -> None:
-        """Sends opening packets that were not answered elsewhere.
+        """Retries overdue opening packets at other upstreams.
 
-        Guards against taking upstreams for dead after this process itself
-        stood still: the answers may lie unread in the socket by then. So all
-        packets that have come are read first.
+        All received packets are read first. Otherwise the host would suspect
+        live upstreams after its own process was suspended: their answers may
+        still be unread in the socket.
         """
-        while self.receive_batch() == sockets.MOST_IN_A_ROW:
+        while self.receive_batch() == sockets.MAX_BATCH_DATAGRAMS:
             pass
         for opening in self.openings.take_due():
-            self.forwarder.open_elsewhere(opening)
+            self.forwarder.retry_opening(opening)
--- a/persimmonhinge/forwarding/flow_table.py
+++ b/persimmonhinge/forwarding/flow_table.py
@@ -1,4 +1,4 @@
-"""What a host remembers of the flows whose packets it carries."""
+"""Table of the flows whose packets a host forwards."""
 
 from __future__ import annotations
 
@@ -6,122 +6,131 @@
 
 from persimmonhinge import ids
 from persimmonhinge import records
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import packet as packets
+from persimmonhinge.forwarding import flow as flow_module
+from persimmonhinge.forwarding import packet as packet_module
 
-# Positions are numbers of 32 bits that start anywhere and wrap around.
-_POSITIONS = 1 << 32
-_HALF = _POSITIONS // 2
+# Sequence numbers have 32 bits, start at any value and wrap around.
+_SEQUENCE_MODULUS = 1 << 32
+_HALF_MODULUS = _SEQUENCE_MODULUS // 2
 
 
 class FlowRecord(records.Record):
-    """What this host saw of a flow.
+    """State of one flow, as observed by this host.
 
     Attributes:
-        upstream: Where its packets go.
-        seen_at: When a packet of it last came.
-        established: True once the caller went on after its opening packet.
-        waiting_since: When the request began that the caller has no answer
-            to; None if there is none.
-        sent_to: Position up to which the caller sent data.
-        answered_to: Position up to which it has the answer.
+        upstream: Upstream that receives the packets of the flow.
+        last_packet_at: When the last packet of the flow arrived, seconds.
+        established: True once the caller sent a packet after its opening
+            packet.
+        request_started_at: Start of the request that is in flight, seconds;
+            None if no request is in flight.
+        sent_up_to: Sequence number after the last octet that the caller sent;
+            None if not known yet.
+        acknowledged_up_to: Highest sequence number that the caller
+            acknowledged; None if not known yet.
     """
 
     upstream: ids.UpstreamId
-    seen_at: float
+    last_packet_at: float
     established: bool = False
-    waiting_since: float | None = None
-    sent_to: int | None = None
-    answered_to: int | None = None
+    request_started_at: float | None = None
+    sent_up_to: int | None = None
+    acknowledged_up_to: int | None = None
 
-    def advance_answer(self, packet: packets.Packet) -> bool:
-        """Takes in how much of the answer the caller has.
+    def advance_acknowledged(self, packet: packet_module.Packet) -> bool:
+        """Updates the highest acknowledged sequence number from a packet.
 
         Returns:
-            True if it is more than before.
+            True if the packet acknowledges more than all earlier ones did;
+            False if this host has no earlier acknowledgement of the flow.
         """
-        former = self.answered_to
-        if former is None or is_beyond(packet.acknowledged, former):
-            self.answered_to = packet.acknowledged
+        former = self.acknowledged_up_to
+        if former is None or is_sequence_after(packet.acknowledged, former):
+            self.acknowledged_up_to = packet.acknowledged
             return former is not None
         return False
 
-    def advance_request(self, packet: packets.Packet) -> bool:
-        """Takes in how much data the caller sent.
+    def advance_sent(self, packet: packet_module.Packet) -> bool:
+        """Updates the highest sent sequence number from a packet.
 
         Returns:
-            True if the packet holds data that did not come before.
+            True if the packet holds data that no earlier packet held.
         """
-        end = (packet.sequence + packet.length) % _POSITIONS
-        former = self.sent_to
-        if former is None or is_beyond(end, former):
-            self.sent_to = end
+        end = (packet.sequence + packet.length) % _SEQUENCE_MODULUS
+        former = self.sent_up_to
+        if former is None or is_sequence_after(end, former):
+            self.sent_up_to = end
             return packet.length > 0
         return False
 
 
-def is_beyond(position: int, other: int) -> bool:
-    """Tells whether a position comes after another one."""
-    return 0 < (position - other) % _POSITIONS < _HALF
+def is_sequence_after(sequence: int, other: int) -> bool:
+    """Returns whether a sequence number is after another, modulo 2**32."""
+    return 0 < (sequence - other) % _SEQUENCE_MODULUS < _HALF_MODULUS
 
 
 class FlowTable:
-    """Remembers flows, the least recently seen first to be forgotten.
+    """Records of flows; a full table evicts the least recently used one.
 
-    All of it may be lost: where a packet goes follows from its token.
+    Losing the table breaks no flow, as the upstream of a packet follows from
+    its routing token.
     """
 
-    def __init__(self, most: int) -> None:
-        """Makes an empty table.
+    def __init__(self, max_flows: int) -> None:
+        """Creates an empty table.
 
         Args:
-            most: Flows that are remembered.
+            max_flows: Maximum number of flows in the table.
         """
-        self._most = most
-        self._records: collections.OrderedDict[flows.FlowId, FlowRecord] = (
-            collections.OrderedDict()
-        )
+        self._max_flows = max_flows
+        self._records: collections.OrderedDict[
+            flow_module.FlowId, FlowRecord
+        ] = collections.OrderedDict()
 
     def __len__(self) -> int:
         return len(self._records)
 
-    def get(self, flow: flows.FlowId) -> FlowRecord | None:
-        """Returns the record of a flow, None if there is none."""
+    def get(self, flow: flow_module.FlowId) -> FlowRecord | None:
+        """Returns the record of a flow, or None if the table has none."""
         return self._records.get(flow)
 
-    def put(self, flow: flows.FlowId, record: FlowRecord) -> FlowRecord | None:
-        """Remembers a flow; returns a record that had to make room."""
+    def put(
+        self, flow: flow_module.FlowId, record: FlowRecord
+    ) -> FlowRecord | None:
+        """Stores the record of a flow; returns the evicted record, if any."""
         self._records[flow] = record
         self._records.move_to_end(flow)
-        if len(self._records) > self._most:
+        if len(self._records) > self._max_flows:
             return self._records.popitem(last=False)[1]
         return None
 
-    def touch(self, flow: flows.FlowId, record: FlowRecord, now: float) -> None:
-        """Records that a packet of a known flow came."""
-        record.seen_at = now
+    def touch(
+        self, flow: flow_module.FlowId, record: FlowRecord, now: float
+    ) -> None:
+        """Records the arrival of a packet of a stored flow."""
+        record.last_packet_at = now
         self._records.move_to_end(flow)
 
-    def remove(self, flow: flows.FlowId) -> FlowRecord | None:
-        """Forgets a flow; returns its record."""
+    def remove(self, flow: flow_module.FlowId) -> FlowRecord | None:
+        """Removes a flow; returns its record, or None if the table has none."""
         return self._records.pop(flow, None)
 
-    def remove_idle(self, before: float) -> list[FlowRecord]:
-        """Forgets flows without a packet since a time; returns them."""
+    def remove_idle(self, last_packet_before: float) -> list[FlowRecord]:
+        """Removes flows without packets since a time; returns their records."""
         removed = []
         while self._records:
             flow, record = next(iter(self._records.items()))
-            if record.seen_at >= before:
+            if record.last_packet_at >= last_packet_before:
                 break
             del self._records[flow]
             removed.append(record)
         return removed
 
-    def waiting(self, before: float) -> list[FlowRecord]:
-        """Returns the flows whose request began before a time."""
+    def list_waiting(self, started_before: float) -> list[FlowRecord]:
+        """Returns the records whose request started before a time."""
         return [
             record
             for record in self._records.values()
-            if record.waiting_since is not None
-            and record.waiting_since < before
+            if record.request_started_at is not None
+            and record.request_started_at < started_before
         ]
--- a/persimmonhinge/forwarding/program.py
+++ b/persimmonhinge/forwarding/program.py
@@ -1,4 +1,4 @@
-"""Runs the application under trio, with its signals."""
+"""Runs the forwarding application under trio and handles signals."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 from persimmonhinge import collector
 from persimmonhinge.forwarding import application
-from persimmonhinge.forwarding import core as cores
+from persimmonhinge.forwarding import core as core_module
 from persimmonhinge.forwarding import reloading
 from persimmonhinge.store import port
-from persimmonhinge.store import transport as transports
+from persimmonhinge.store import transport
 from persimmonhinge.store import trio_transport
 
 logger = logging.getLogger(__name__)
 
-_SETTINGS_CHECK_S = 2.0
+_SETTINGS_CHECK_INTERVAL_S = 2.0
 
-MakeReader = Callable[
+ReaderFactory = Callable[
     [
         Iterable[str],
-        Callable[[str, int], transports.Transport],
+        Callable[[str, int], transport.Transport],
         float,
         float,
     ],
@@ -32,13 +32,17 @@
 ]
 
 
-def run(core: cores.ForwardCore, make_reader: MakeReader, path: str) -> None:
-    """Runs a host until a planned stop has ended.
+def run(
+    core: core_module.ForwardCore,
+    make_reader: ReaderFactory,
+    settings_path: str,
+) -> None:
+    """Runs a host until a planned stop is complete.
 
     Args:
-        core: The parts that need no event loop.
-        make_reader: Makes a client of the store.
-        path: The settings file.
+        core: The parts of the host that need no event loop.
+        make_reader: Creates a client of the store.
+        settings_path: Path of the settings file.
     """
     collector.relax()
     settings = core.settings
@@ -48,35 +52,35 @@
         settings.call_limit_s,
         settings.watch_wait_s,
     )
-    reloader = reloading.Reloader(path, settings, core.peers)
-    trio.run(_run, application.ForwardApplication(core, store), reloader)
+    reloader = reloading.SettingsReloader(settings_path, settings, core.peers)
+    trio.run(_run_host, application.ForwardApplication(core, store), reloader)
 
 
-async def _run(
-    host: application.ForwardApplication, reloader: reloading.Reloader
+async def _run_host(
+    app: application.ForwardApplication, reloader: reloading.SettingsReloader
 ) -> None:
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_follow_signals, host, reloader)
-        nursery.start_soon(_follow_settings, reloader)
-        await host.run()
+        nursery.start_soon(_handle_signals, app, reloader)
+        nursery.start_soon(_watch_settings_file, reloader)
+        await app.run()
         nursery.cancel_scope.cancel()
 
 
-async def _follow_signals(
-    host: application.ForwardApplication, reloader: reloading.Reloader
+async def _handle_signals(
+    app: application.ForwardApplication, reloader: reloading.SettingsReloader
 ) -> None:
-    watched = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-    with trio.open_signal_receiver(*watched) as received:
-        async for number in received:
-            if number == signal.SIGHUP:
+    handled = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+    with trio.open_signal_receiver(*handled) as received:
+        async for signal_number in received:
+            if signal_number == signal.SIGHUP:
                 reloader.reload()
             else:
-                host.stop()
+                app.stop()
 
 
-async def _follow_settings(reloader: reloading.Reloader) -> None:
-    """Reads the settings file again when it changed without a signal."""
+async def _watch_settings_file(reloader: reloading.SettingsReloader) -> None:
+    """Reloads the settings file when it changes without a SIGHUP."""
     while True:
-        await trio.sleep(_SETTINGS_CHECK_S)
-        if reloader.is_changed():
+        await trio.sleep(_SETTINGS_CHECK_INTERVAL_S)
+        if reloader.is_file_changed():
             reloader.reload()
--- a/persimmonhinge/forwarding/sockets.py
+++ b/persimmonhinge/forwarding/sockets.py
@@ -1,63 +1,69 @@
-"""The socket that packets come in and go out by."""
+"""The UDP socket that receives and sends packets."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from persimmonhinge import early_logs
-from persimmonhinge.forwarding import flow as flows
+from persimmonhinge.forwarding import flow
 from persimmonhinge.light_typing import TYPE_CHECKING
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.metrics import counts as counts_module
 
 if TYPE_CHECKING:
     import _socket
 
 logger = early_logs.get_logger(__name__)
 
-_MOST_OCTETS = 2048
-# Datagrams that are read in a row before other tasks get a turn.
-MOST_IN_A_ROW = 64
+_MAX_DATAGRAM_OCTETS = 2048
+# Maximum number of datagrams read in one batch, so that other tasks can run
+# between two batches.
+MAX_BATCH_DATAGRAMS = 64
 
 
 class PacketSocket:
-    """Reads packets in batches and sends without waiting.
+    """Reads packets in batches and sends datagrams without waiting.
 
-    Datagrams may be lost anyway: one that the kernel does not take at once
-    is counted and dropped, so that no packet holds up the next.
+    A datagram that the kernel does not accept at once is counted and dropped,
+    so that it does not delay the next one. Senders have to expect lost
+    datagrams in any case.
     """
 
     def __init__(
-        self, bound: _socket.socket, counts: host_counts.Counts
+        self, packet_socket: _socket.socket, counts: counts_module.Counts
     ) -> None:
-        """Takes over a bound socket that does not block."""
-        self.socket = bound
-        self._port = bound.getsockname()[1]
+        """Creates the packet socket on a bound, non-blocking socket."""
+        self.socket = packet_socket
+        self._port = packet_socket.getsockname()[1]
         self._counts = counts
 
-    def receive_batch(self, receive: Callable[[bytes], None]) -> int:
-        """Hands on the datagrams that have come; returns their number."""
-        for number in range(MOST_IN_A_ROW):
+    def receive_batch(self, handle_datagram: Callable[[bytes], None]) -> int:
+        """Passes one batch of datagrams to a function; returns their number."""
+        for count in range(MAX_BATCH_DATAGRAMS):
             try:
-                octets = self.socket.recv(_MOST_OCTETS)
+                octets = self.socket.recv(_MAX_DATAGRAM_OCTETS)
             except BlockingIOError:
-                return number
+                return count
             except OSError as error:
                 self._counts.add("receive_errors_total")
-                logger.warning("Can't read a datagram: %s.", error)
-                return number
-            receive(octets)
-        return MOST_IN_A_ROW
+                logger.warning(
+                    "Can't receive a datagram from the packet socket: %s.",
+                    error,
+                )
+                return count
+            handle_datagram(octets)
+        return MAX_BATCH_DATAGRAMS
 
-    def send_to_upstream(self, octets: bytes, address: flows.Endpoint) -> None:
+    def send_to_upstream(self, octets: bytes, address: flow.Endpoint) -> None:
         """Sends a datagram to an upstream."""
         self._send(octets, address)
 
     def send_to_caller(self, octets: bytes, caller: int) -> None:
-        """Sends a datagram to a caller's address.
+        """Sends a datagram to a caller's 32-bit IPv4 address.
 
-        The fabric takes packets for all callers at the port of packets.
+        The fabric accepts the packets for all callers at the port number that
+        this socket is bound to.
         """
-        self._send(octets, (flows.format_address(caller), self._port))
+        self._send(octets, (flow.format_address(caller), self._port))
 
     def _send(self, octets: bytes, address: tuple[str, int]) -> None:
         try:
@@ -65,5 +71,7 @@
         except OSError as error:
             self._counts.add("send_errors_total")
             logger.warning(
-                "Can't send a datagram: %s.", error, extra={"peer": address}
+                "Can't send a datagram from the packet socket: %s.",
+                error,
+                extra={"peer": address},
             )
--- a/persimmonhinge/forwarding/startup.py
+++ b/persimmonhinge/forwarding/startup.py
@@ -1,4 +1,4 @@
-"""Forwards packets while the rest of the program is still imported."""
+"""Forwards packets while the rest of the program is being imported."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from persimmonhinge import early_logs
 from persimmonhinge import errors
-from persimmonhinge.forwarding import core as cores
+from persimmonhinge.forwarding import core as core_module
 from persimmonhinge.forwarding.decisions import import_pace
 from persimmonhinge.light_typing import TYPE_CHECKING
 from persimmonhinge.store import blocking_transport
@@ -26,18 +26,18 @@
 _MS_PER_S = 1000
 
 
-class _TurnFinder:
-    """Finds no module, but gives packets a turn before each import.
+class _ForwardingFinder:
+    """Meta path finder that forwards packets before each import.
 
-    It is a meta path finder by its method alone, as the module of the abstract
-    class is slow to import.
+    It never finds a module. It does not derive from the abstract base class of
+    finders, as the module of that class is slow to import.
     """
 
-    def __init__(self, core: cores.ForwardCore) -> None:
+    def __init__(self, core: core_module.ForwardCore) -> None:
         self._core = core
         self._pace = import_pace.ImportPace()
-        self._readable = select.poll()
-        self._readable.register(core.socket.socket.fileno(), select.POLLIN)
+        self._poll = select.poll()
+        self._poll.register(core.socket.socket.fileno(), select.POLLIN)
 
     def find_spec(
         self,
@@ -45,56 +45,58 @@
         path: Sequence[str] | None,
         target: types.ModuleType | None = None,
     ) -> importlib.machinery.ModuleSpec | None:
-        """Forwards the packets that have come; leaves the import to others."""
-        packets = self._core.receive_batch()
+        """Forwards received packets; returns None for the next finder."""
+        packet_count = self._core.receive_batch()
         self._core.handle_due_openings()
-        self._forward_for(self._pace.end_import(packets))
+        self._forward_for(self._pace.end_import(packet_count))
         self._pace.begin_import()
         return None
 
-    def _forward_for(self, time_s: float) -> None:
-        """Forwards packets as they come, for some time."""
-        ends_at = time.monotonic() + time_s
-        while (rest_s := ends_at - time.monotonic()) > 0:
-            self._readable.poll(rest_s * _MS_PER_S)
+    def _forward_for(self, duration_s: float) -> None:
+        """Forwards packets as they arrive, for a duration in seconds."""
+        ends_at = time.monotonic() + duration_s
+        while (remaining_s := ends_at - time.monotonic()) > 0:
+            self._poll.poll(remaining_s * _MS_PER_S)
             self._core.receive_batch()
             self._core.handle_due_openings()
 
 
-def forward_during(
-    work: Callable[[], None],
-    core: cores.ForwardCore,
+def forward_during_imports(
+    import_modules: Callable[[], None],
+    core: core_module.ForwardCore,
     store: port.PlatformReader,
 ) -> None:
-    """Runs imports, and forwards packets between one and the next.
+    """Imports modules, and forwards packets between two imports.
 
-    Guards against the dark time after a restart of all hosts: callers' opening
-    packets would be lost while a small host imports the event loop and all that
-    needs it. A single import is short. A thread for the imports is no way: it
-    keeps the interpreter for whole turns of the scheduler.
+    If packets waited until all imports are done, callers' opening packets would
+    be lost after a restart of all hosts, while a small host imports the event
+    loop and the modules that use it. A single import is short. The imports
+    don't run in a thread, as that thread would hold the interpreter lock for
+    whole scheduling intervals.
 
     Args:
-        work: Imports modules.
-        core: The parts of the host.
+        import_modules: Imports the modules.
+        core: The parts of the host that need no event loop.
         store: Client of the store on blocking transports.
     """
     try:
         blocking_transport.run(core.entries.read_all(store))
     except errors.PlatformError as error:
         core.entries.record_failure(error)
-        _ask_peers(core)
-    finder = _TurnFinder(core)
+        _pull_from_seeds(core)
+    finder = _ForwardingFinder(core)
     if core.knowledge.is_complete():
         sys.meta_path.insert(0, finder)
     try:
-        work()
+        import_modules()
     finally:
         if finder in sys.meta_path:
             sys.meta_path.remove(finder)
 
 
-def _ask_peers(core: cores.ForwardCore) -> None:
-    # Needs a library that a start with a store does without.
+def _pull_from_seeds(core: core_module.ForwardCore) -> None:
+    # Imported only here, as it imports a library that a start does without if
+    # the store answers.
     from persimmonhinge.forwarding.peers import early_pull
 
     early_pull.pull_from_seeds(core)
--- a/persimmonhinge/forwarding/tracker.py
+++ b/persimmonhinge/forwarding/tracker.py
@@ -1,4 +1,4 @@
-"""Follows flows by their packets: which requests are in flight, and where."""
+"""Tracks flows and counts the requests in flight at each upstream."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 import time
 
 from persimmonhinge import ids
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import flow_table as flow_tables
-from persimmonhinge.forwarding import packet as packets
-from persimmonhinge.forwarding.decisions import loads as load_books
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.forwarding import flow as flow_module
+from persimmonhinge.forwarding import flow_table as flow_table_module
+from persimmonhinge.forwarding import packet as packet_module
+from persimmonhinge.forwarding.decisions import loads as loads_module
+from persimmonhinge.metrics import counts as counts_module
 
-# A request without an answer for so long is no longer counted as work of its
-# upstream, seconds: callers of the shortest requests give up after 1 s, and
-# their packets may have gone on through another host since.
-_STALE_S = 3.0
+# A request without an answer for this long no longer counts as in flight at its
+# upstream, seconds. Callers of the shortest requests give up after 1 s, and
+# later packets of the flow may have passed through another host.
+_REQUEST_TIMEOUT_S = 3.0
 
 
 class FlowTracker:
-    """Keeps the flow table and the load book in step."""
+    """Updates the flow table and the counts of requests in flight together."""
 
     def __init__(
         self,
-        flow_table: flow_tables.FlowTable,
-        loads: load_books.LoadBook,
-        counts: host_counts.Counts,
+        flow_table: flow_table_module.FlowTable,
+        loads: loads_module.LoadBook,
+        counts: counts_module.Counts,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._flows = flow_table
@@ -33,103 +33,123 @@
         self._counts = counts
         self._clock = clock
 
-    def get(self, flow: flows.FlowId) -> flow_tables.FlowRecord | None:
-        """Returns what is known of a flow."""
+    def get(
+        self, flow: flow_module.FlowId
+    ) -> flow_table_module.FlowRecord | None:
+        """Returns the record of a flow, or None if there is none."""
         return self._flows.get(flow)
 
-    def open(self, flow: flows.FlowId, upstream: ids.UpstreamId) -> None:
-        """Records where an opening packet was sent.
+    def record_opening(
+        self, flow: flow_module.FlowId, upstream: ids.UpstreamId
+    ) -> None:
+        """Records that an opening packet is sent to an upstream.
 
-        The request that follows counts at once, so that openings that come
-        in a row do not all go to the upstream that was idle before them.
+        The request that follows counts as in flight at once. Otherwise a
+        series of new flows would all go to the same idle upstream.
         """
-        self.forget(flow)
+        self.remove_flow(flow)
         now = self._clock()
-        record = flow_tables.FlowRecord(upstream, now)
-        self._keep(flow, record)
-        self._begin(record, now)
+        record = flow_table_module.FlowRecord(upstream, now)
+        self._store_record(flow, record)
+        self._start_request(record, now)
 
-    def observe(self, packet: packets.Packet, upstream: ids.UpstreamId) -> bool:
-        """Learns from a packet of an open flow.
+    def record_packet(
+        self, packet: packet_module.Packet, upstream: ids.UpstreamId
+    ) -> bool:
+        """Updates the record of a flow from a packet after its opening packet.
 
         Returns:
-            True if it is the first since the opening packet that came here.
+            True if this host received the opening packet and this is the first
+            packet of the flow after it.
         """
         now = self._clock()
         record = self._flows.get(packet.flow)
-        first = record is not None and not record.established
+        is_first = record is not None and not record.established
         if record is None:
-            record = self._keep_unknown(packet.flow, upstream, now)
+            record = self._add_flow_of_other_host(packet.flow, upstream, now)
         if record.upstream != upstream:
-            self._end(record)
+            self._finish_request(record)
             record.upstream = upstream
-        if first and record.waiting_since is not None:
-            self._counts.observe("opening_seconds", now - record.waiting_since)
+        if is_first and record.request_started_at is not None:
+            self._counts.observe(
+                "opening_seconds", now - record.request_started_at
+            )
         record.established = True
-        self._observe_work(packet, record, now)
-        return first
+        self._update_request(packet, record, now)
+        return is_first
 
-    def _keep_unknown(
-        self, flow: flows.FlowId, upstream: ids.UpstreamId, now: float
-    ) -> flow_tables.FlowRecord:
-        """Remembers a flow that another host opened.
+    def _add_flow_of_other_host(
+        self, flow: flow_module.FlowId, upstream: ids.UpstreamId, now: float
+    ) -> flow_table_module.FlowRecord:
+        """Adds the record of a flow that another host opened.
 
-        Its first packet here proves nothing: its caller may wait for an
-        upstream that has gone dark since.
+        The first packet of such a flow at this host is no evidence that the
+        upstream answers: the upstream may have failed since the flow was
+        opened, and the caller may be waiting for it.
         """
-        record = flow_tables.FlowRecord(upstream, now)
-        self._keep(flow, record)
+        record = flow_table_module.FlowRecord(upstream, now)
+        self._store_record(flow, record)
         return record
 
-    def _observe_work(
-        self, packet: packets.Packet, record: flow_tables.FlowRecord, now: float
+    def _update_request(
+        self,
+        packet: packet_module.Packet,
+        record: flow_table_module.FlowRecord,
+        now: float,
     ) -> None:
-        """Learns which requests begin and end."""
+        """Detects the start and the end of requests of a flow."""
         self._flows.touch(packet.flow, record, now)
-        if record.advance_answer(packet):
-            self._observe_answer(record, now)
-            self._end(record)
+        if record.advance_acknowledged(packet):
+            self._record_answer_time(record, now)
+            self._finish_request(record)
         if packet.ends or packet.aborts:
-            self._end(record)
-        if record.advance_request(packet):
-            self._begin(record, now)
+            self._finish_request(record)
+        if record.advance_sent(packet):
+            self._start_request(record, now)
 
-    def forget(self, flow: flows.FlowId) -> None:
-        """Forgets a flow."""
+    def remove_flow(self, flow: flow_module.FlowId) -> None:
+        """Removes a flow and ends its request."""
         record = self._flows.remove(flow)
         if record is not None:
-            self._end(record)
+            self._finish_request(record)
+
+    def remove_expired(self, idle_s: float) -> None:
+        """Removes idle flows, and ends requests that timed out.
 
-    def sweep(self, idle_s: float) -> None:
-        """Forgets idle flows, and requests whose end was not seen.
+        The end of a request is not seen here if the flow continued through
+        another host.
 
         Args:
             idle_s: Time without a packet after which a flow is idle, seconds.
         """
         now = self._clock()
         for record in self._flows.remove_idle(now - idle_s):
-            self._end(record)
-        for record in self._flows.waiting(now - _STALE_S):
-            self._end(record)
+            self._finish_request(record)
+        for record in self._flows.list_waiting(now - _REQUEST_TIMEOUT_S):
+            self._finish_request(record)
 
-    def _keep(self, flow: flows.FlowId, record: flow_tables.FlowRecord) -> None:
-        dropped = self._flows.put(flow, record)
-        if dropped is not None:
-            self._end(dropped)
+    def _store_record(
+        self, flow: flow_module.FlowId, record: flow_table_module.FlowRecord
+    ) -> None:
+        evicted = self._flows.put(flow, record)
+        if evicted is not None:
+            self._finish_request(evicted)
 
-    def _observe_answer(
-        self, record: flow_tables.FlowRecord, now: float
+    def _record_answer_time(
+        self, record: flow_table_module.FlowRecord, now: float
     ) -> None:
-        if record.waiting_since is not None:
-            waited_s = now - record.waiting_since
+        if record.request_started_at is not None:
+            waited_s = now - record.request_started_at
             self._counts.observe("answer_seconds", waited_s)
 
-    def _begin(self, record: flow_tables.FlowRecord, now: float) -> None:
-        if record.waiting_since is None:
-            record.waiting_since = now
+    def _start_request(
+        self, record: flow_table_module.FlowRecord, now: float
+    ) -> None:
+        if record.request_started_at is None:
+            record.request_started_at = now
             self._loads.begin(record.upstream)
 
-    def _end(self, record: flow_tables.FlowRecord) -> None:
-        if record.waiting_since is not None:
-            record.waiting_since = None
+    def _finish_request(self, record: flow_table_module.FlowRecord) -> None:
+        if record.request_started_at is not None:
+            record.request_started_at = None
             self._loads.end(record.upstream)
--- a/tests/test_forwarding/test_forwarding_settings.py
+++ b/tests/test_forwarding/test_forwarding_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the settings of hosts that forward packets."""
+"""Tests of the settings of forwarding hosts."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 import msgspec
 
 from persimmonhinge import errors
-from persimmonhinge.forwarding import settings as forward_settings
+from persimmonhinge.forwarding import settings as settings_module
 
 _ROOT = pathlib.Path(__file__).parents[2]
-_GOOD: dict[str, Any] = {
+_VALID: dict[str, Any] = {
     "host": "h-1",
     "domain": "north",
     "packets": "127.0.0.1:1",
@@ -25,7 +25,7 @@
     "peer_ports": [3, 18],
     "store": {"address": "127.0.0.1:9"},
 }
-_BAD: tuple[dict[str, Any], ...] = (
+_INVALID_CHANGES: tuple[dict[str, Any], ...] = (
     {"packets": "somewhere"},
     {"pages": "127.0.0.1:99999"},
     {"peer_ports": [0, 18]},
@@ -49,8 +49,8 @@
 )
 
 
-def run_program(text: str) -> subprocess.CompletedProcess[str]:
-    """Runs the program with a settings file that is bad."""
+def run_with_settings(text: str) -> subprocess.CompletedProcess[str]:
+    """Runs the program with an invalid settings file."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "host.yaml"
         path.write_text(text)
@@ -65,11 +65,11 @@
 
 
 def test_limits_decide_how_long_a_watch_waits() -> None:
-    text = json.dumps({**_GOOD, "drain_limit_ms": 2000}).encode()
-    settings = forward_settings.parse(text)
+    text = json.dumps({**_VALID, "drain_limit_ms": 2000}).encode()
+    settings = settings_module.parse(text)
     assert settings.watch_wait_s == 1.0
-    assert settings.gather_s < settings.watch_wait_s / 5
-    assert settings.current_s < 2.0
+    assert settings.coalesce_s < settings.watch_wait_s / 5
+    assert settings.max_current_age_s < 2.0
 
 
 def test_yaml_is_read_as_json_is() -> None:
@@ -81,59 +81,59 @@
 peer_ports: [3, 18]
 store: {address: '127.0.0.1:9'}
 """
-    as_json = json.dumps(_GOOD).encode()
-    assert forward_settings.parse(text) == forward_settings.parse(as_json)
+    as_json = json.dumps(_VALID).encode()
+    assert settings_module.parse(text) == settings_module.parse(as_json)
 
 
 def test_bad_settings_are_refused_with_the_field() -> None:
-    for change in _BAD:
-        text = json.dumps({**_GOOD, **change}).encode()
+    for change in _INVALID_CHANGES:
+        text = json.dumps({**_VALID, **change}).encode()
         try:
-            forward_settings.parse(text)
+            settings_module.parse(text)
         except (msgspec.MsgspecError, ValueError):
             continue
-        raise AssertionError(f"{change} was taken")
+        raise AssertionError(f"{change} was accepted")
 
 
-def test_program_ends_with_2_and_names_the_field() -> None:
+def test_program_exits_with_2_and_names_the_field() -> None:
     for text, named in (
-        (json.dumps({**_GOOD, "peer_ports": [0, 18]}), "peer_ports"),
-        (json.dumps({**_GOOD, "packets": "somewhere"}), "'somewhere'"),
-        (json.dumps({**_GOOD, "log_level": "LOUD"}), "log_level"),
-        (json.dumps({**_GOOD, "choice": "no-such-policy"}), "choice"),
+        (json.dumps({**_VALID, "peer_ports": [0, 18]}), "peer_ports"),
+        (json.dumps({**_VALID, "packets": "somewhere"}), "'somewhere'"),
+        (json.dumps({**_VALID, "log_level": "LOUD"}), "log_level"),
+        (json.dumps({**_VALID, "choice": "no-such-policy"}), "choice"),
         ("host: [", "host.yaml"),
         ("{}", "host"),
     ):
-        ended = run_program(text)
-        assert ended.returncode == 2
-        assert named in ended.stderr
-        assert "Traceback" not in ended.stderr
+        process = run_with_settings(text)
+        assert process.returncode == 2
+        assert named in process.stderr
+        assert "Traceback" not in process.stderr
 
 
-def test_file_that_is_not_there_is_an_error_with_its_name() -> None:
+def test_missing_file_is_an_error_with_its_name() -> None:
     try:
-        forward_settings.load("/nowhere/host.yaml")
+        settings_module.load("/nowhere/host.yaml")
     except errors.SettingsError as error:
         assert error.peer == "/nowhere/host.yaml"
         return
-    raise AssertionError("a file that is not there was read")
+    raise AssertionError("no SettingsError for a missing file")
 
 
 @hypothesis.given(strategies.dictionaries(strategies.text(), json_values))
-def test_no_settings_end_the_reader(document: dict[str, Any]) -> None:
-    text = json.dumps({**_GOOD, **document}).encode()
+def test_no_settings_crash_the_parser(document: dict[str, Any]) -> None:
+    text = json.dumps({**_VALID, **document}).encode()
     try:
-        forward_settings.parse(text)
+        settings_module.parse(text)
     except (msgspec.MsgspecError, ValueError):
         return
 
 
 @hypothesis.given(strategies.binary())
-def test_no_octets_end_the_reader(text: bytes) -> None:
+def test_no_octets_crash_the_parser(text: bytes) -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "host.yaml"
         path.write_bytes(text)
         try:
-            forward_settings.load(str(path))
+            settings_module.load(str(path))
         except errors.SettingsError:
             return
