--- a/benchmarks/ablation/variants.py
+++ b/benchmarks/ablation/variants.py
@@ -38,7 +38,7 @@
 
     def make(upstream: object, now: float) -> choice.Candidate:
         candidate: choice.Candidate = make_all(upstream, now)
-        return records.replace(candidate, recent=candidate.load)
+        return records.replace(candidate, recent_load=candidate.load)
 
     make_all = mechanism.read(host.chooser, "_make_candidate")
     mechanism.replace(host.chooser, "_make_candidate", make)
--- a/benchmarks/balance.py
+++ b/benchmarks/balance.py
@@ -140,7 +140,7 @@
     """Prints a table: a line for each policy, means over the seeds."""
     names = policies.split(",")
     for name in names:
-        choice.choices.get(name)
+        choice.choice_policies.get(name)
     rows: dict[str, list[Row]] = collections.defaultdict(list)
     for seed in seeds.split(","):
         found = trio.run(
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -114,7 +114,7 @@
             load_books.LoadBook(lambda: self._queue.now) for _ in layout.hosts
         ]
         self._policies = [
-            choice.choices.get(policy)(random.Random(seed + host))
+            choice.choice_policies.get(policy)(random.Random(seed + host))
             for host in range(len(self._layout.hosts))
         ]
         self._reported: list[list[tuple[int, int, int]]] = [
@@ -171,9 +171,9 @@
                     upstream=upstream.id,
                     capacity=self._layout.slots,
                     load=in_flight,
-                    own=in_flight,
-                    recent=average,
-                    near=upstream.domain == self._layout.hosts[host],
+                    own_load=in_flight,
+                    recent_load=average,
+                    same_domain=upstream.domain == self._layout.hosts[host],
                 )
             )
         name = self._policies[host].choose(compared).upstream
@@ -280,11 +280,15 @@
     parser.add_argument(
         "--layout", choices=sorted(choice_layouts.LAYOUTS), default="utility"
     )
-    parser.add_argument("--policy", choices=choice.choices.names())
+    parser.add_argument("--policy", choices=choice.choice_policies.names())
     parser.add_argument("--drawn", type=int, default=candidates.COMPARED)
     arguments = parser.parse_args()
     layout = choice_layouts.LAYOUTS[arguments.layout]
-    names = [arguments.policy] if arguments.policy else choice.choices.names()
+    names = (
+        [arguments.policy]
+        if arguments.policy
+        else choice.choice_policies.names()
+    )
     results = {}
     for policy, sight in itertools.product(names, ("own", "all")):
         with mock.patch.object(candidates, "COMPARED", arguments.drawn):
--- a/persimmonhinge/contracts/checks.py
+++ b/persimmonhinge/contracts/checks.py
@@ -84,9 +84,11 @@
 
 def _find_policy_faults(policies: contracts.Policies) -> list[str]:
     return [
-        *_find_unknown("choice", policies.choice, choice.choices),
-        *_find_unknown("order", policies.order, order.orders),
-        *_find_unknown("admission", policies.admission, admission.admissions),
+        *_find_unknown("choice", policies.choice, choice.choice_policies),
+        *_find_unknown("order", policies.order, order.order_policies),
+        *_find_unknown(
+            "admission", policies.admission, admission.admission_policies
+        ),
     ]
 
 
--- a/persimmonhinge/flows/chooser.py
+++ b/persimmonhinge/flows/chooser.py
@@ -84,7 +84,9 @@
         self._used.add(found.keeper)
         if kind is not contracts.CallKind.REQUEST or len(reachable) < 2:
             return found
-        may_be_busy = policy.asks and _may_be_busy(found.upstream, chosen)
+        may_be_busy = policy.requires_free_slot and _may_be_busy(
+            found.upstream, chosen
+        )
         return dataclasses.replace(found, may_be_busy=may_be_busy)
 
     def pick_keepers(
@@ -244,8 +246,8 @@
             upstream_id,
             capacity=self._find_capacity(entry, upstream, kind),
             load=self._book.estimate(service, upstream_id, kind, homes),
-            own=self._book.count_own(service, upstream_id, kind),
-            recent=self._book.count_recent(service, upstream_id, kind),
+            own_load=self._book.count_own(service, upstream_id, kind),
+            recent_load=self._book.count_recent(service, upstream_id, kind),
         )
 
     def _find_capacity(
@@ -270,10 +272,12 @@
     ) -> policies.ChoicePolicy:
         name = entry.contract.policies.choice
         if kind is contracts.CallKind.FEED:
-            name = policies.choices.get(name).for_feeds or name
+            name = policies.choice_policies.get(name).feed_policy or name
         key = (f"{entry.contract.service}/{kind.value}", name)
         if key not in self._policies:
-            self._policies[key] = policies.choices.get(name)(self._random)
+            self._policies[key] = policies.choice_policies.get(name)(
+                self._random
+            )
         return self._policies[key]
 
 
--- a/persimmonhinge/forwarding/core.py
+++ b/persimmonhinge/forwarding/core.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from persimmonhinge import draws
 from persimmonhinge import ids
+from persimmonhinge import random_sampling
 from persimmonhinge.forwarding import flow as flows
 from persimmonhinge.forwarding import flow_table as flow_tables
 from persimmonhinge.forwarding import forwarder as forwarders
@@ -85,7 +85,7 @@
             self.suspicions,
         )
         # It is asked for `random()` alone, which the plain source has.
-        randomness: random.Random = draws.source  # type: ignore[assignment]
+        randomness: random.Random = random_sampling.generator  # type: ignore[assignment]
         chooser = choosers.UpstreamChooser(
             ids.DomainId(settings.domain),
             self.knowledge,
@@ -96,7 +96,7 @@
                 cold_shares.ColdShares(settings.host, self.peers.list_hosts),
                 settings.domain_regions(),
             ),
-            choice.choices.get(settings.choice)(randomness),
+            choice.choice_policies.get(settings.choice)(randomness),
             randomness,
         )
         self.forwarder = forwarders.Forwarder(
--- a/persimmonhinge/forwarding/decisions/chooser.py
+++ b/persimmonhinge/forwarding/decisions/chooser.py
@@ -136,10 +136,10 @@
             upstream=upstream.id,
             capacity=upstream.slots * room,
             load=in_flight + self._loads.others_in_flight(upstream.token),
-            own=in_flight,
-            recent=self._loads.average(upstream.id)
+            own_load=in_flight,
+            recent_load=self._loads.average(upstream.id)
             + self._loads.others_average(upstream.token),
-            near=upstream.domain == self._domain,
+            same_domain=upstream.domain == self._domain,
         )
 
 
--- a/persimmonhinge/forwarding/forwarder.py
+++ b/persimmonhinge/forwarding/forwarder.py
@@ -238,7 +238,7 @@
                 "route": route.name,
                 "upstream": chosen.upstream.id,
                 "in_flight": chosen.candidate.load,
-                "average": round(chosen.candidate.recent, 2),
+                "average": round(chosen.candidate.recent_load, 2),
                 "among": chosen.among,
                 "tried": tried,
                 **self._describe_knowledge(),
--- a/persimmonhinge/forwarding/peers/book.py
+++ b/persimmonhinge/forwarding/peers/book.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterable
 import math
 
-from persimmonhinge import draws
 from persimmonhinge import early_logs
+from persimmonhinge import random_sampling
 from persimmonhinge import records
 from persimmonhinge.forwarding import flow as flows
 from persimmonhinge.forwarding.decisions import loads as load_books
@@ -229,7 +229,7 @@
             for peer in self.heard()
             if domain in (None, peer.domain)
         ]
-        return tuple(draws.sample(heard, most))
+        return tuple(random_sampling.sample(heard, most))
 
     def _tell_listeners(self) -> None:
         for listener in self._listeners:
@@ -249,7 +249,9 @@
     if not found:
         return None
     newest = max(known for known, _ in found)
-    return draws.choose([peer for known, peer in found if known == newest])
+    return random_sampling.choose(
+        [peer for known, peer in found if known == newest]
+    )
 
 
 def _list_facts(report: messages.Report) -> tuple[object, ...]:
--- a/persimmonhinge/forwarding/peers/early_pull.py
+++ b/persimmonhinge/forwarding/peers/early_pull.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from persimmonhinge import draws
+from persimmonhinge import random_sampling
 from persimmonhinge.forwarding import core as cores
 from persimmonhinge.forwarding.peers import codec as codecs
 from persimmonhinge.forwarding.peers import messages
@@ -26,7 +26,7 @@
         core: The parts of the host.
     """
     seeds = core.settings.seed_addresses()
-    for host in draws.sample(seeds, len(seeds)):
+    for host in random_sampling.sample(seeds, len(seeds)):
         if host == core.settings.own_address:
             continue
         attempt = pull_attempt.PullAttempt(core, host)
--- a/persimmonhinge/policies/admission.py
+++ b/persimmonhinge/policies/admission.py
@@ -12,7 +12,7 @@
 
 logger = logging.getLogger(__name__)
 
-_DEFAULT = "deadline"
+_DEFAULT_POLICY = "deadline"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,37 +32,37 @@
 
     slots: int
     free_slots: int
-    left_s: float
+    time_left_s: float
     cost_s: float
     running_s: float
     ahead_s: float
     queued_s: float
 
     @property
-    def finish_s(self) -> float:
+    def expected_finish_s(self) -> float:
         """Time until the answer, if nothing more urgent comes, seconds."""
         wait_s = (self.running_s + self.ahead_s) / self.slots
         return wait_s + self.cost_s
 
     @property
-    def drain_s(self) -> float:
+    def queue_drain_s(self) -> float:
         """Time until all that waits now has been served, seconds."""
         return (self.running_s + self.queued_s) / self.slots
 
 
-class Admission(Protocol):
+class AdmissionPolicy(Protocol):
     """Decides whether a request may wait."""
 
     def admits(self, pressure: Pressure) -> bool:
         """Tells whether a request may wait for a slot."""
 
 
-admissions: registry.Registry[type[Admission]] = registry.Registry(
-    "admission policy"
+admission_policies: registry.Registry[type[AdmissionPolicy]] = (
+    registry.Registry("admission policy")
 )
 
 
-@admissions.register("open")
+@admission_policies.register("open")
 class OpenAdmission:
     """Lets all requests wait; only the limit of the queue refuses."""
 
@@ -71,7 +71,7 @@
         return True
 
 
-@admissions.register("deadline")
+@admission_policies.register("deadline")
 class DeadlineAdmission:
     """Lets a request wait only if its deadline can be met.
 
@@ -85,28 +85,30 @@
         if pressure.free_slots > 0 and pressure.ahead_s <= 0:
             # With a slot at hand, trying costs nobody else anything.
             return True
-        return pressure.finish_s <= pressure.left_s
+        return pressure.expected_finish_s <= pressure.time_left_s
 
 
-def make_admission(name: str) -> Admission:
+def make_admission_policy(name: str) -> AdmissionPolicy:
     """Returns a policy; the default one if there is none of the name."""
-    if name not in admissions.names():
-        logger.warning("No admission policy %r; %s is used.", name, _DEFAULT)
-        name = _DEFAULT
-    return admissions.get(name)()
+    if name not in admission_policies.names():
+        logger.warning(
+            "No admission policy %r; %s is used.", name, _DEFAULT_POLICY
+        )
+        name = _DEFAULT_POLICY
+    return admission_policies.get(name)()
 
 
-def spread_retry_s(pressure: Pressure, randomness: random.Random) -> int:
+def choose_retry_delay_s(pressure: Pressure, randomness: random.Random) -> int:
     """Returns when a refused caller may come back, seconds, at least 1.
 
     Guards against a wave of returns: callers that are refused together and
     told the same time would come back together and be refused again. The
     times are spread over as long as the queue takes to drain.
     """
-    return spread_s(math.ceil(pressure.drain_s), randomness)
+    return add_jitter_s(math.ceil(pressure.queue_drain_s), randomness)
 
 
-def spread_s(base_s: int, randomness: random.Random) -> int:
+def add_jitter_s(base_s: int, randomness: random.Random) -> int:
     """Returns a time from a base to its double, seconds, at least 1."""
     base_s = max(1, base_s)
     return base_s + randomness.randint(0, base_s)
--- a/persimmonhinge/policies/choice.py
+++ b/persimmonhinge/policies/choice.py
@@ -32,9 +32,9 @@
     upstream: ids.UpstreamId
     capacity: float
     load: float
-    own: float
-    recent: float = 0.0
-    near: bool = True
+    own_load: float
+    recent_load: float = 0.0
+    same_domain: bool = True
 
     @property
     def relative_load(self) -> float:
@@ -42,7 +42,7 @@
         return (self.load + 1) / self.capacity
 
     @property
-    def turn(self) -> int:
+    def slot_round(self) -> int:
         """In which turn of its slots the new work would run, from 1."""
         return math.ceil(self.relative_load)
 
@@ -57,8 +57,8 @@
             same. Feeds hold no slots, and last.
     """
 
-    asks: ClassVar[bool] = False
-    for_feeds: ClassVar[str] = ""
+    requires_free_slot: ClassVar[bool] = False
+    feed_policy: ClassVar[str] = ""
 
     def __init__(self, randomness: random.Random) -> None:
         """Makes a policy with its own state.
@@ -73,6 +73,6 @@
         """Returns one of the candidates, of which there is at least one."""
 
 
-choices: registry.Registry[type[ChoicePolicy]] = registry.Registry(
+choice_policies: registry.Registry[type[ChoicePolicy]] = registry.Registry(
     "choice policy"
 )
--- a/persimmonhinge/policies/choice_free_slot.py
+++ b/persimmonhinge/policies/choice_free_slot.py
@@ -7,7 +7,7 @@
 from persimmonhinge.policies import choice
 
 
-@choice.choices.register("free-slot")
+@choice.choice_policies.register("free-slot")
 class FreeSlotChoice(choice.ChoicePolicy):
     """Takes what can run the work first, and asks its keeper for a slot.
 
@@ -31,8 +31,8 @@
         return min(
             candidates,
             key=lambda c: (
-                c.turn,
-                c.recent / c.capacity,
+                c.slot_round,
+                c.recent_load / c.capacity,
                 c.relative_load,
                 self._random.random(),
             ),
--- a/persimmonhinge/policies/choice_least_connections.py
+++ b/persimmonhinge/policies/choice_least_connections.py
@@ -7,7 +7,7 @@
 from persimmonhinge.policies import choice
 
 
-@choice.choices.register("least-connections")
+@choice.choice_policies.register("least-connections")
 class LeastConnectionsChoice(choice.ChoicePolicy):
     """Takes what has least of this host's own work: one host's sight."""
 
@@ -17,5 +17,8 @@
         """Returns one of the candidates."""
         return min(
             candidates,
-            key=lambda c: ((c.own + 1) / c.capacity, self._random.random()),
+            key=lambda c: (
+                (c.own_load + 1) / c.capacity,
+                self._random.random(),
+            ),
         )
--- a/persimmonhinge/policies/choice_least_loaded.py
+++ b/persimmonhinge/policies/choice_least_loaded.py
@@ -7,7 +7,7 @@
 from persimmonhinge.policies import choice
 
 
-@choice.choices.register("least-loaded")
+@choice.choice_policies.register("least-loaded")
 class LeastLoadedChoice(choice.ChoicePolicy):
     """Takes the least load as the keepers report it, corrected for age."""
 
--- a/persimmonhinge/policies/choice_near_first.py
+++ b/persimmonhinge/policies/choice_near_first.py
@@ -8,11 +8,11 @@
 
 # How much fuller, as a share of its slots, a candidate of the own failure
 # domain may be than one elsewhere and still be preferred.
-_FAR_PENALTY = 0.8
-_NOW = 0.5
+_OTHER_DOMAIN_PENALTY = 0.8
+_CURRENT_LOAD_WEIGHT = 0.5
 
 
-@choice.choices.register("near-first")
+@choice.choice_policies.register("near-first")
 class NearFirstChoice(choice.ChoicePolicy):
     """Leaves the failure domain only where it is clearly fuller.
 
@@ -24,10 +24,15 @@
         self, candidates: Sequence[choice.Candidate]
     ) -> choice.Candidate:
         """Returns one of the candidates."""
-        return min(candidates, key=lambda c: (_rate(c), self._random.random()))
+        return min(
+            candidates, key=lambda c: (_compute_score(c), self._random.random())
+        )
 
 
-def _rate(candidate: choice.Candidate) -> float:
-    work = _NOW * candidate.load + (1 - _NOW) * candidate.recent
-    penalty = 0.0 if candidate.near else _FAR_PENALTY
+def _compute_score(candidate: choice.Candidate) -> float:
+    work = (
+        _CURRENT_LOAD_WEIGHT * candidate.load
+        + (1 - _CURRENT_LOAD_WEIGHT) * candidate.recent_load
+    )
+    penalty = 0.0 if candidate.same_domain else _OTHER_DOMAIN_PENALTY
     return work / candidate.capacity + penalty
--- a/persimmonhinge/policies/choice_power_of_two.py
+++ b/persimmonhinge/policies/choice_power_of_two.py
@@ -7,7 +7,7 @@
 from persimmonhinge.policies import choice
 
 
-@choice.choices.register("power-of-two")
+@choice.choice_policies.register("power-of-two")
 class PowerOfTwoChoice(choice.ChoicePolicy):
     """Takes the less loaded of two that are drawn by capacity.
 
--- a/persimmonhinge/policies/choice_random.py
+++ b/persimmonhinge/policies/choice_random.py
@@ -7,7 +7,7 @@
 from persimmonhinge.policies import choice
 
 
-@choice.choices.register("random")
+@choice.choice_policies.register("random")
 class RandomChoice(choice.ChoicePolicy):
     """Takes any candidate, blind to load: the plain baseline."""
 
--- a/persimmonhinge/policies/choice_round_robin.py
+++ b/persimmonhinge/policies/choice_round_robin.py
@@ -8,7 +8,7 @@
 from persimmonhinge.policies import choice
 
 
-@choice.choices.register("round-robin")
+@choice.choice_policies.register("round-robin")
 class RoundRobinChoice(choice.ChoicePolicy):
     """Takes candidates in turn, blind to load."""
 
--- a/persimmonhinge/policies/order.py
+++ b/persimmonhinge/policies/order.py
@@ -16,7 +16,7 @@
 logger = logging.getLogger(__name__)
 
 
-class Waiting(Protocol):
+class QueuedWork(Protocol):
     """Work that waits for a slot, as the policies see it.
 
     Attributes:
@@ -51,12 +51,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
-class _Place:
+class _QueueEntry:
     key: SortKey
-    waiting: Any = dataclasses.field(compare=False)
+    work: Any = dataclasses.field(compare=False)
 
 
-class Order(abc.ABC):
+class OrderedQueue(abc.ABC):
     """A queue in the order of a policy.
 
     Each call class has a sorted list of its own, so that a policy can look
@@ -65,29 +65,29 @@
     """
 
     def __init__(self) -> None:
-        self._by_class: dict[ids.CallClassName, list[_Place]] = {}
+        self._by_class: dict[ids.CallClassName, list[_QueueEntry]] = {}
 
     def __len__(self) -> int:
         return sum(len(places) for places in self._by_class.values())
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedWork]:
         for places in self._by_class.values():
             for place in places:
-                yield place.waiting
+                yield place.work
 
     @abc.abstractmethod
-    def sort_key(self, waiting: Waiting) -> SortKey:
+    def sort_key(self, work: QueuedWork) -> SortKey:
         """Returns what decides between two; the lesser goes first.
 
         It is unique: it ends with the number of arrival.
         """
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, work: QueuedWork) -> None:
         """Adds work."""
-        places = self._by_class.setdefault(waiting.call_class, [])
-        bisect.insort(places, _Place(self.sort_key(waiting), waiting))
+        places = self._by_class.setdefault(work.call_class, [])
+        bisect.insort(places, _QueueEntry(self.sort_key(work), work))
 
-    def pop(self) -> Waiting:
+    def pop(self) -> QueuedWork:
         """Removes and returns the work that goes next.
 
         Raises:
@@ -96,56 +96,58 @@
         heads = [places[0] for places in self._by_class.values()]
         if not heads:
             raise IndexError("nothing waits")
-        chosen = self.choose([head.waiting for head in heads])
+        chosen = self.choose_next([head.work for head in heads])
         self.discard(chosen)
         return chosen
 
-    def choose(self, heads: list[Waiting]) -> Waiting:
+    def choose_next(self, heads: list[QueuedWork]) -> QueuedWork:
         """Returns the one to go next of the first of each class."""
         return min(heads, key=self.sort_key)
 
-    def discard(self, waiting: Waiting) -> None:
+    def discard(self, work: QueuedWork) -> None:
         """Removes work; what does not wait here is passed over."""
-        places = self._by_class.get(waiting.call_class, [])
-        place = _Place(self.sort_key(waiting), waiting)
+        places = self._by_class.get(work.call_class, [])
+        place = _QueueEntry(self.sort_key(work), work)
         index = bisect.bisect_left(places, place)
-        if index == len(places) or places[index].waiting is not waiting:
+        if index == len(places) or places[index].work is not work:
             return
         del places[index]
         if not places:
-            del self._by_class[waiting.call_class]
+            del self._by_class[work.call_class]
 
-    def list_ahead(self, waiting: Waiting) -> list[Waiting]:
+    def list_ahead(self, work: QueuedWork) -> list[QueuedWork]:
         """Returns the work that would go before new work."""
-        place = _Place(self.sort_key(waiting), waiting)
-        ahead: list[Waiting] = []
+        place = _QueueEntry(self.sort_key(work), work)
+        ahead: list[QueuedWork] = []
         for places in self._by_class.values():
             index = bisect.bisect_left(places, place)
-            ahead += [p.waiting for p in places[:index]]
+            ahead += [p.work for p in places[:index]]
         return ahead
 
-    def count(self, call_class: ids.CallClassName) -> int:
+    def count_waiting(self, call_class: ids.CallClassName) -> int:
         """Returns how much work of a class waits."""
         return len(self._by_class.get(call_class, ()))
 
-    def list_last(self) -> list[Waiting]:
+    def list_tails(self) -> list[QueuedWork]:
         """Returns the last of each class, the last of all first."""
         tails = [places[-1] for places in self._by_class.values()]
-        return [place.waiting for place in sorted(tails, reverse=True)]
+        return [place.work for place in sorted(tails, reverse=True)]
 
 
-orders: registry.Registry[type[Order]] = registry.Registry("order policy")
+order_policies: registry.Registry[type[OrderedQueue]] = registry.Registry(
+    "order policy"
+)
 
-_DEFAULT = "priority"
+_DEFAULT_POLICY = "priority"
 
 
-def make_order(name: str) -> Order:
+def make_queue(name: str) -> OrderedQueue:
     """Returns an empty queue of a policy.
 
     A contract may name a policy of a newer version; this host then serves by
     the default rather than not at all.
     """
-    if name not in orders.names():
-        logger.warning("No order policy %r; %s is used.", name, _DEFAULT)
-        name = _DEFAULT
-    return orders.get(name)()
+    if name not in order_policies.names():
+        logger.warning("No order policy %r; %s is used.", name, _DEFAULT_POLICY)
+        name = _DEFAULT_POLICY
+    return order_policies.get(name)()
--- a/persimmonhinge/policies/order_deadline.py
+++ b/persimmonhinge/policies/order_deadline.py
@@ -5,10 +5,10 @@
 from persimmonhinge.policies import order
 
 
-@order.orders.register("deadline")
-class DeadlineOrder(order.Order):
+@order.order_policies.register("deadline")
+class DeadlineQueue(order.OrderedQueue):
     """Serves in order of deadlines, whatever the priority."""
 
-    def sort_key(self, waiting: order.Waiting) -> order.SortKey:
+    def sort_key(self, work: order.QueuedWork) -> order.SortKey:
         """Returns the deadline, then the number of arrival."""
-        return (waiting.deadline, waiting.sequence)
+        return (work.deadline, work.sequence)
--- a/persimmonhinge/policies/order_fifo.py
+++ b/persimmonhinge/policies/order_fifo.py
@@ -5,10 +5,10 @@
 from persimmonhinge.policies import order
 
 
-@order.orders.register("fifo")
-class FifoOrder(order.Order):
+@order.order_policies.register("fifo")
+class FifoQueue(order.OrderedQueue):
     """Serves in order of arrival."""
 
-    def sort_key(self, waiting: order.Waiting) -> order.SortKey:
+    def sort_key(self, work: order.QueuedWork) -> order.SortKey:
         """Returns the number of arrival."""
-        return (waiting.sequence,)
+        return (work.sequence,)
--- a/persimmonhinge/policies/order_priority.py
+++ b/persimmonhinge/policies/order_priority.py
@@ -6,8 +6,8 @@
 from persimmonhinge.policies import order
 
 
-@order.orders.register("priority")
-class PriorityOrder(order.Order):
+@order.order_policies.register("priority")
+class PriorityQueue(order.OrderedQueue):
     """Serves by priority, then earliest deadline, and keeps the shares.
 
     Guards against starvation: under a steady load of valuable calls a class
@@ -20,39 +20,39 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._earned_s: dict[ids.CallClassName, float] = {}
+        self._credit_s: dict[ids.CallClassName, float] = {}
 
-    def sort_key(self, waiting: order.Waiting) -> order.SortKey:
+    def sort_key(self, work: order.QueuedWork) -> order.SortKey:
         """Returns priority, deadline and number of arrival."""
-        return (waiting.priority, waiting.deadline, waiting.sequence)
+        return (work.priority, work.deadline, work.sequence)
 
-    def choose(self, heads: list[order.Waiting]) -> order.Waiting:
+    def choose_next(self, heads: list[order.QueuedWork]) -> order.QueuedWork:
         """Returns the first of a class that earned it, or the most urgent."""
-        due = [head for head in heads if self._is_due(head)]
+        due = [head for head in heads if self._has_credit(head)]
         chosen = min(due or heads, key=self.sort_key)
-        self._account(heads, chosen)
+        self._update_credit(heads, chosen)
         return chosen
 
-    def discard(self, waiting: order.Waiting) -> None:
+    def discard(self, work: order.QueuedWork) -> None:
         """Removes work; a class of which nothing waits earns nothing."""
-        super().discard(waiting)
-        if not self.count(waiting.call_class):
-            self._earned_s.pop(waiting.call_class, None)
+        super().discard(work)
+        if not self.count_waiting(work.call_class):
+            self._credit_s.pop(work.call_class, None)
 
-    def _is_due(self, head: order.Waiting) -> bool:
+    def _has_credit(self, head: order.QueuedWork) -> bool:
         if head.share <= 0:
             return False
-        return self._earned_s.get(head.call_class, 0.0) >= head.cost_s
+        return self._credit_s.get(head.call_class, 0.0) >= head.cost_s
 
-    def _account(
-        self, heads: list[order.Waiting], chosen: order.Waiting
+    def _update_credit(
+        self, heads: list[order.QueuedWork], chosen: order.QueuedWork
     ) -> None:
         for head in heads:
             if head.share <= 0:
                 continue
-            earned_s = self._earned_s.get(head.call_class, 0.0)
+            earned_s = self._credit_s.get(head.call_class, 0.0)
             earned_s += head.share * chosen.cost_s
             if head is chosen:
                 # Going first by its priority alone makes no debt.
                 earned_s = max(0.0, earned_s - chosen.cost_s)
-            self._earned_s[head.call_class] = earned_s
+            self._credit_s[head.call_class] = earned_s
--- a/persimmonhinge/draws.py
+++ b/persimmonhinge/random_sampling.py
@@ -13,18 +13,18 @@
 T = TypeVar("T")
 
 # Seeded by the system.
-source = _random.Random()
+generator = _random.Random()
 
 
 def choose(items: Sequence[T]) -> T:
     """Returns one of some things, of which there is at least one."""
-    return items[int(source.random() * len(items))]
+    return items[int(generator.random() * len(items))]
 
 
-def sample(items: Sequence[T], most: int) -> list[T]:
+def sample(items: Sequence[T], max_count: int) -> list[T]:
     """Returns some of the things, each at most once, in any order."""
     left = list(items)
     drawn: list[T] = []
-    while left and len(drawn) < most:
-        drawn.append(left.pop(int(source.random() * len(left))))
+    while left and len(drawn) < max_count:
+        drawn.append(left.pop(int(generator.random() * len(left))))
     return drawn
--- a/persimmonhinge/registry.py
+++ b/persimmonhinge/registry.py
@@ -28,13 +28,13 @@
             ValueError: The name is taken.
         """
 
-        def enter(entry: T) -> T:
+        def add_entry(entry: T) -> T:
             if name in self._entries:
                 raise ValueError(f"{self.kind} {name!r} is registered twice")
             self._entries[name] = entry
             return entry
 
-        return enter
+        return add_entry
 
     def get(self, name: str) -> T:
         """Returns the entry of a name.
--- a/persimmonhinge/upstreams/feeding.py
+++ b/persimmonhinge/upstreams/feeding.py
@@ -94,7 +94,7 @@
         if not kept.accepting:
             return messages.FeedEnd(_Cause.REFUSED, load=load)
         if kept.feeds >= target.upstream.connections:
-            retry_s = admission.spread_s(
+            retry_s = admission.add_jitter_s(
                 _FULL_RETRY_S, self._context.randomness
             )
             return messages.FeedEnd(
--- a/persimmonhinge/upstreams/slots.py
+++ b/persimmonhinge/upstreams/slots.py
@@ -56,8 +56,8 @@
         self._start = start
         self._randomness = randomness
         policies = target.entry.contract.policies
-        self._queue = orders.make_order(policies.order)
-        self._admission = admissions.make_admission(policies.admission)
+        self._queue = orders.make_queue(policies.order)
+        self._admission = admissions.make_admission_policy(policies.admission)
         self._paused_until = 0.0
         self._handed_busy: dict[ids.HostRef, tuple[int, float]] = {}
 
@@ -92,11 +92,13 @@
         self._target = target
         if policies.order != former.order:
             waiting = list(self._queue)
-            self._queue = orders.make_order(policies.order)
+            self._queue = orders.make_queue(policies.order)
             for job in waiting:
                 self._queue.push(job)
         if policies.admission != former.admission:
-            self._admission = admissions.make_admission(policies.admission)
+            self._admission = admissions.make_admission_policy(
+                policies.admission
+            )
         self.fill()
 
     def submit(self, job: jobs.Job) -> None:
@@ -107,7 +109,9 @@
             job.finish(work.Dispatched(work.Outcome.BUSY))
             return
         if not self._admit(job, pressure):
-            retry_s = admissions.spread_retry_s(pressure, self._randomness)
+            retry_s = admissions.choose_retry_delay_s(
+                pressure, self._randomness
+            )
             job.finish(_refuse("overloaded", retry_s))
             return
         job.withdraw = functools.partial(self._withdraw, job)
@@ -178,7 +182,7 @@
         Guards against a wave of returns: a caller that is told no time to
         wait comes back at once, and finds the same queue.
         """
-        retry_s = admissions.spread_retry_s(
+        retry_s = admissions.choose_retry_delay_s(
             self._measure(job), self._randomness
         )
         job.finish(_refuse("deadline came too near in the queue", retry_s))
@@ -219,15 +223,17 @@
         A class with a share keeps that part of the places, so that it
         always has something waiting to which its slots can go.
         """
-        for last in self._queue.list_last():
+        for last in self._queue.list_tails():
             assert isinstance(last, jobs.Job)
             if self._queue.sort_key(last) < self._queue.sort_key(job):
                 return False
             kept = math.ceil(last.share * self._target.limits.queue)
-            if self._queue.count(last.call_class) <= kept:
+            if self._queue.count_waiting(last.call_class) <= kept:
                 continue
             self._queue.discard(last)
-            retry_s = admissions.spread_retry_s(pressure, self._randomness)
+            retry_s = admissions.choose_retry_delay_s(
+                pressure, self._randomness
+            )
             last.finish(_refuse("gave way to more urgent work", retry_s))
             return True
         return False
@@ -239,7 +245,7 @@
         return admissions.Pressure(
             slots=usable,
             free_slots=max(0, usable - busy),
-            left_s=job.deadline - trio.current_time(),
+            time_left_s=job.deadline - trio.current_time(),
             cost_s=job.cost_s,
             running_s=running_s,
             ahead_s=self._measure_ahead(job),
--- a/tests/test_policies/test_policies_admission.py
+++ b/tests/test_policies/test_policies_admission.py
@@ -21,7 +21,7 @@
     return admission.Pressure(
         slots=slots,
         free_slots=draw(strategies.integers(0, slots)),
-        left_s=draw(_SECONDS),
+        time_left_s=draw(_SECONDS),
         cost_s=draw(_SECONDS),
         running_s=draw(_SECONDS),
         ahead_s=ahead_s,
@@ -33,11 +33,11 @@
 def test_admission_refuses_just_what_can_not_be_served(
     pressure: admission.Pressure,
 ) -> None:
-    policy = admission.admissions.get("deadline")()
+    policy = admission.admission_policies.get("deadline")()
     idle = pressure.free_slots > 0 and pressure.ahead_s == 0
-    meets = pressure.finish_s <= pressure.left_s
+    meets = pressure.expected_finish_s <= pressure.time_left_s
     assert policy.admits(pressure) == (idle or meets)
-    assert admission.admissions.get("open")().admits(pressure)
+    assert admission.admission_policies.get("open")().admits(pressure)
 
 
 @hypothesis.given(pressure=draw_pressure(), seed=strategies.integers(0, 99))
@@ -45,7 +45,9 @@
     pressure: admission.Pressure, seed: int
 ) -> None:
     randomness = random.Random(seed)
-    times = {admission.spread_retry_s(pressure, randomness) for _ in range(50)}
-    assert min(times) >= max(1, pressure.drain_s)
-    assert max(times) <= 2 * (pressure.drain_s + 1)
+    times = {
+        admission.choose_retry_delay_s(pressure, randomness) for _ in range(50)
+    }
+    assert min(times) >= max(1, pressure.queue_drain_s)
+    assert max(times) <= 2 * (pressure.queue_drain_s + 1)
     assert len(times) > 1
--- a/tests/test_policies/test_policies_choice.py
+++ b/tests/test_policies/test_policies_choice.py
@@ -39,12 +39,12 @@
 
 
 def _new(name: str, seed: int = 1) -> choice.ChoicePolicy:
-    return choice.choices.get(name)(random.Random(seed))
+    return choice.choice_policies.get(name)(random.Random(seed))
 
 
 @hypothesis.given(
     candidates=draw_candidates(),
-    name=strategies.sampled_from(choice.choices.names()),
+    name=strategies.sampled_from(choice.choice_policies.names()),
     seed=_SEEDS,
 )
 def test_each_policy_returns_a_candidate_and_repeats_by_its_seed(
@@ -63,11 +63,11 @@
     least = min(candidate.relative_load for candidate in candidates)
     chosen = _new("least-loaded", seed).choose(candidates)
     assert chosen.relative_load == least
-    first = min(candidate.turn for candidate in candidates)
-    assert _new("free-slot", seed).choose(candidates).turn == first
-    own = min((c.own + 1) / c.capacity for c in candidates)
+    first = min(candidate.slot_round for candidate in candidates)
+    assert _new("free-slot", seed).choose(candidates).slot_round == first
+    own = min((c.own_load + 1) / c.capacity for c in candidates)
     chosen = _new("least-connections", seed).choose(candidates)
-    assert (chosen.own + 1) / chosen.capacity == own
+    assert (chosen.own_load + 1) / chosen.capacity == own
 
 
 @hypothesis.given(candidates=draw_candidates(), seed=_SEEDS)
@@ -102,7 +102,7 @@
     tie break is the same upstream on all hosts.
     """
     candidates = [_make(number, 0) for number in range(4)]
-    for name in choice.choices.names():
+    for name in choice.choice_policies.names():
         policy = _new(name)
         chosen = collections.Counter(
             policy.choose(candidates).upstream for _ in range(400)
--- a/tests/test_policies/test_policies_order.py
+++ b/tests/test_policies/test_policies_order.py
@@ -43,7 +43,7 @@
     return works
 
 
-def pop_all(queue: order.Order) -> list[order.Waiting]:
+def pop_all(queue: order.OrderedQueue) -> list[order.QueuedWork]:
     """Returns all work in the order in which it goes."""
     return [queue.pop() for _ in range(len(queue))]
 
@@ -53,7 +53,7 @@
     name=strategies.sampled_from(("fifo", "deadline", "priority")),
 )
 def test_order_serves_all_in_its_order(works: list[Work], name: str) -> None:
-    queue = order.orders.get(name)()
+    queue = order.order_policies.get(name)()
     for waiting in works:
         queue.push(waiting)
     keys = {
@@ -72,7 +72,7 @@
 def test_order_drops_just_what_is_discarded(
     works: list[Work], dropped: set[int], name: str
 ) -> None:
-    queue = order.orders.get(name)()
+    queue = order.order_policies.get(name)()
     for waiting in works:
         queue.push(waiting)
     for waiting in works:
@@ -87,7 +87,7 @@
 @hypothesis.given(works=draw_works())
 def test_order_lists_ahead_what_goes_before(works: list[Work]) -> None:
     hypothesis.assume(works)
-    queue = order.orders.get("priority")()
+    queue = order.order_policies.get("priority")()
     new = works.pop()
     for waiting in works:
         queue.push(waiting)
@@ -110,7 +110,7 @@
     Served by priority alone they would wait for ever, and unloading at the
     docks with them.
     """
-    queue = order.orders.get("priority")()
+    queue = order.order_policies.get("priority")()
     manifests = ids.CallClassName("manifests")
     reservations = ids.CallClassName("reservations")
     served = {manifests: 0.0, reservations: 0.0}
@@ -129,7 +129,7 @@
 
 
 def test_order_saves_nothing_up_for_an_idle_class() -> None:
-    queue = order.orders.get("priority")()
+    queue = order.order_policies.get("priority")()
     manifests = ids.CallClassName("manifests")
     reservations = ids.CallClassName("reservations")
     queue.push(Work(manifests, 5, 0.0, 0, 0.5))
@@ -142,4 +142,4 @@
 
 
 def test_order_names_its_policies() -> None:
-    assert order.orders.names() == ["deadline", "fifo", "priority"]
+    assert order.order_policies.names() == ["deadline", "fifo", "priority"]
--- a/tests/test_draws.py
+++ b/tests/test_random_sampling.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-from persimmonhinge import draws
+from persimmonhinge import random_sampling
 
 
 def test_each_thing_is_drawn_sooner_or_later() -> None:
-    assert {draws.choose("abc") for _ in range(500)} == set("abc")
+    assert {random_sampling.choose("abc") for _ in range(500)} == set("abc")
 
 
 def test_sample_draws_each_thing_at_most_once() -> None:
     for most in range(6):
-        drawn = draws.sample(range(4), most)
+        drawn = random_sampling.sample(range(4), most)
         assert len(drawn) == len(set(drawn)) == min(most, 4)
         assert set(drawn) <= set(range(4))
--- a/tests/test_upstreams/test_upstreams_message_layer.py
+++ b/tests/test_upstreams/test_upstreams_message_layer.py
@@ -188,6 +188,6 @@
 
 
 def test_policies_of_a_newer_version_give_way_to_the_default() -> None:
-    assert len(order.make_order("of a newer version")) == 0
-    policy = admission.make_admission("of a newer version")
+    assert len(order.make_queue("of a newer version")) == 0
+    policy = admission.make_admission_policy("of a newer version")
     assert isinstance(policy, admission.DeadlineAdmission)
