--- a/benchmarks/ablation/play.py
+++ b/benchmarks/ablation/play.py
@@ -184,7 +184,7 @@
 
     def _end(self, upstream: emulated_upstream.EmulatedUpstream) -> None:
         for host in self._hosts:
-            host.lose(upstream.described)
+            host.remove_upstream(upstream.described)
 
     def _end_all(self) -> None:
         for upstream in self._upstreams.values():
@@ -208,13 +208,13 @@
 
     def _check(self) -> None:
         for number, host in enumerate(self._hosts):
-            host.handle_due()
+            host.handle_due_openings()
             self._deliver(number)
         self._queue.after(_CHECK_S, self._check)
 
     def _confirm(self) -> None:
         for host in self._hosts:
-            host.confirm()
+            host.confirm_state()
         self._queue.after(_CONFIRM_S, self._confirm)
 
     def _deliver(self, number: int) -> None:
--- a/benchmarks/detection.py
+++ b/benchmarks/detection.py
@@ -151,10 +151,10 @@
         if port in self._met_dead:
             self._waits.append(self._queue.now - self._opened_at[port])
         host = self._hosts[number]
-        host.go_on(upstream, port=port, data=10)
+        host.continue_flow(upstream, port=port, data=10)
         self._after(
             _WORK_S,
-            lambda: host.go_on(
+            lambda: host.continue_flow(
                 upstream, port=port, sequence=11, acknowledged=1
             ),
         )
--- a/tests/test_forwarding/scene.py
+++ b/tests/test_forwarding/scene.py
@@ -31,8 +31,8 @@
 
 SERVICE = ids.ServiceName("floor")
 OTHER_SERVICE = ids.ServiceName("intake")
-HERE = ids.DomainId("north")
-ELSEWHERE = ids.DomainId("south")
+LOCAL_DOMAIN = ids.DomainId("north")
+OTHER_DOMAIN = ids.DomainId("south")
 REGION = ids.RegionId("country")
 ADDRESS = 0xC6120001
 PORT = 443
@@ -80,7 +80,7 @@
     def __init__(
         self,
         clock: Clock | None = None,
-        domain: ids.DomainId = HERE,
+        domain: ids.DomainId = LOCAL_DOMAIN,
         randomness: random.Random | None = None,
         host: str = "host-0",
         others: Sequence[str] = (),
@@ -113,7 +113,7 @@
                 self.knowledge,
                 self.suspicions,
                 warm_up_shares.WarmUpShares(host, lambda: others),
-                {HERE: REGION},
+                {LOCAL_DOMAIN: REGION},
             ),
             choice_near_first.NearFirstChoice(self.randomness),
             self.randomness,
@@ -142,7 +142,7 @@
             version, {route.at: route for route in found}, 15.0
         )
         self.knowledge.take_state(state, "test")
-        self.confirm()
+        self.confirm_state()
 
     def set_repetition(
         self, version: int, repetition: routes.Repetition
@@ -154,7 +154,7 @@
         state = desired_states.DesiredState(version, {route.at: route}, 15.0)
         self.knowledge.take_state(state, "test")
 
-    def confirm(self) -> None:
+    def confirm_state(self) -> None:
         """Has the store say that nothing is newer."""
         self.knowledge.confirmed_at = self.clock.now
         self.knowledge.trust.record_answer(self.clock.now)
@@ -164,7 +164,7 @@
         self.knowledge.take_upstream(upstream, self.clock.now, "test")
         return upstream
 
-    def lose(self, upstream: upstreams.Upstream) -> None:
+    def remove_upstream(self, upstream: upstreams.Upstream) -> None:
         """Takes the entry of an upstream away."""
         self.knowledge.miss_upstream(upstream.id, self.clock.now, "test")
 
@@ -177,13 +177,13 @@
         self.receive(make_packet(port, SYN, **fields))
         return self.last_upstream()
 
-    def go_on(
+    def continue_flow(
         self, upstream: upstreams.Upstream, port: int = 1000, **fields: int
     ) -> None:
         """Has the caller of a flow go on."""
         self.receive(make_packet(port, ACK, token=upstream.token, **fields))
 
-    def handle_due(self) -> None:
+    def handle_due_openings(self) -> None:
         """Handles the opening packets that were not answered."""
         for opening in self.openings.pop_due():
             self.forwarder.open_elsewhere(opening)
@@ -218,7 +218,7 @@
     number: int,
     *,
     service: ids.ServiceName = SERVICE,
-    domain: ids.DomainId = HERE,
+    domain: ids.DomainId = LOCAL_DOMAIN,
     state: upstreams.UpstreamState = upstreams.UpstreamState.READY,
     token: int | None = None,
     slots: int = 2,
@@ -274,4 +274,4 @@
     """Has the store fail meanwhile; it answers afterwards."""
     scene.knowledge.trust.record_failure()
     yield
-    scene.confirm()
+    scene.confirm_state()
--- a/tests/test_forwarding/test_forwarding_candidates.py
+++ b/tests/test_forwarding/test_forwarding_candidates.py
@@ -15,7 +15,7 @@
 from persimmonhinge.forwarding.decisions import candidates
 from tests.test_forwarding import scene as scenes
 
-_LENGTH_S = 15.0
+_DURATION_S = 15.0
 _SEED = 5
 
 
@@ -27,30 +27,30 @@
     for upstream in known:
         directory.put(upstream, 0.0)
     return candidates.CandidatePool(
-        scenes.HERE, directory, random.Random(_SEED)
+        scenes.LOCAL_DOMAIN, directory, random.Random(_SEED)
     )
 
 
-def play(drawn: int) -> plays.Result:
+def simulate(drawn: int) -> plays.Result:
     """Plays 72 hosts whose reports are a second old, before busy upstreams."""
     layout = choice_layouts.LAYOUTS["grown-full"]
     run = plays.Play(layout, "near-first", "all", drawn, _SEED)
-    return run.run(_LENGTH_S)
+    return run.run(_DURATION_S)
 
 
-def test_hosts_with_old_reports_do_not_rush_to_one_upstream() -> None:
+def test_hosts_with_old_reports_do_not_all_choose_one_upstream() -> None:
     """Guards against upstreams that shed while others have nothing to do.
 
     Hosts that compare all upstreams by the same old reports choose the same
     one until the next reports.
     """
-    of_all = play(drawn=0)
-    of_few = play(drawn=candidates.SAMPLE_SIZE)
+    of_all = simulate(drawn=0)
+    of_few = simulate(drawn=candidates.SAMPLE_SIZE)
     assert of_few.shed < of_all.shed / 5
     assert of_few.wait_ms < of_all.wait_ms
 
 
-def test_choice_looks_at_as_many_among_thousands() -> None:
+def test_choice_examines_no_more_among_thousands() -> None:
     """Guards against openings that take the longer the more upstreams are."""
     looked: dict[int, int] = {}
     for count in (75, 5_000):
@@ -78,7 +78,7 @@
 ) -> None:
     known = [scenes.make_upstream(n) for n in range(near)]
     known += [
-        scenes.make_upstream(12 + n, domain=scenes.ELSEWHERE)
+        scenes.make_upstream(12 + n, domain=scenes.OTHER_DOMAIN)
         for n in range(far)
     ]
     other = scenes.make_upstream(40, service=scenes.OTHER_SERVICE)
@@ -91,14 +91,14 @@
     assert set(names) <= {upstream.id for upstream in known}
 
 
-def test_upstream_that_leaves_is_drawn_no_more() -> None:
+def test_draining_upstream_is_not_drawn() -> None:
     """Guards against new flows at an upstream that said that it leaves."""
     directory = directories.Directory(60.0)
     leaving = scenes.make_upstream(1)
     directory.put(leaving, 0.0)
     directory.put(scenes.make_upstream(2), 0.0)
     pool = candidates.CandidatePool(
-        scenes.HERE, directory, random.Random(_SEED)
+        scenes.LOCAL_DOMAIN, directory, random.Random(_SEED)
     )
     assert len(pool.draw(scenes.SERVICE, lambda _: True)) == 2
     directory.mark(leaving.id, upstreams.UpstreamState.DRAINING)
@@ -106,7 +106,7 @@
     assert left.id != leaving.id
 
 
-def test_flow_goes_to_the_one_good_upstream_among_many_in_doubt() -> None:
+def test_flow_goes_to_the_one_good_upstream_among_many_suspected() -> None:
     """Guards against a draw that misses the only upstream that answers."""
     scene = scenes.Scene()
     for number in range(60):
--- a/tests/test_forwarding/test_forwarding_eligibility.py
+++ b/tests/test_forwarding/test_forwarding_eligibility.py
@@ -13,38 +13,42 @@
 from persimmonhinge.forwarding import upstream as upstreams
 from tests.test_forwarding import scene as scenes
 
-_COLD_S = 2.0
-_FLOWS = 30
-_COLD_PER_S = 4.0
+_WARM_UP_S = 2.0
+_FLOW_COUNT = 30
+_WARM_UP_LIMIT_PER_S = 4.0
 # What the users allow above that: a share of it, and requests.
-_EXCESS = 1.5
-_SLACK = 5
+_ALLOWED_FACTOR = 1.5
+_ALLOWED_EXTRA_REQUESTS = 5
 
 
 def make_scene() -> scenes.Scene:
     """Returns a host with an upstream in each of two failure domains."""
     scene = scenes.Scene()
     scene.add(scenes.make_upstream(1))
-    scene.add(scenes.make_upstream(2, domain=scenes.ELSEWHERE))
+    scene.add(scenes.make_upstream(2, domain=scenes.OTHER_DOMAIN))
     return scene
 
 
 def set_route(
-    scene: scenes.Scene, *regions: ids.RegionId, cold_per_s: float = 0.0
+    scene: scenes.Scene,
+    *regions: ids.RegionId,
+    warm_up_limit_per_s: float = 0.0,
 ) -> None:
     """Puts a version in force with one route."""
     route = records.replace(
         scenes.make_route(scenes.PORT, scenes.SERVICE),
         regions=frozenset(regions),
     )
-    limits = {scenes.SERVICE: cold_per_s} if cold_per_s else {}
+    limits = (
+        {scenes.SERVICE: warm_up_limit_per_s} if warm_up_limit_per_s else {}
+    )
     state = desired_states.DesiredState(2, {route.at: route}, 15.0, limits)
     scene.knowledge.take_state(state, "test")
 
 
-def add_cold(scene: scenes.Scene, number: int) -> upstreams.Upstream:
+def add_warming_up(scene: scenes.Scene, number: int) -> upstreams.Upstream:
     """Adds an upstream that has just started."""
-    cold = records.replace(scenes.make_upstream(number), cold_s=_COLD_S)
+    cold = records.replace(scenes.make_upstream(number), cold_s=_WARM_UP_S)
     return scene.add(cold)
 
 
@@ -53,7 +57,7 @@
     scene = make_scene()
     set_route(scene, scenes.REGION)
     near = scene.knowledge.directory.get(scenes.make_upstream(1).id)
-    for port in range(1000, 1000 + _FLOWS):
+    for port in range(1000, 1000 + _FLOW_COUNT):
         assert scene.open(port) == near
 
 
@@ -65,33 +69,35 @@
     assert scene.count_sent() == (0, 1)
 
 
-def test_domain_whose_region_is_not_known_gets_no_bound_flow() -> None:
+def test_domain_of_unknown_region_gets_no_flow_with_allowed_regions() -> None:
     """Guards against a domain that the settings do not name."""
     scene = scenes.Scene()
-    scene.add(scenes.make_upstream(2, domain=scenes.ELSEWHERE))
+    scene.add(scenes.make_upstream(2, domain=scenes.OTHER_DOMAIN))
     set_route(scene, scenes.REGION)
     scene.receive(scenes.make_packet(1000, scenes.SYN))
     assert scene.count_sent() == (0, 1)
 
 
-def test_warm_upstreams_take_flows_of_a_service_that_limits_cold_ones() -> None:
+def test_flows_go_to_warm_upstreams_if_the_service_limits_warm_up() -> None:
     """Guards against more at a cold upstream than its service allows."""
     scene = make_scene()
-    cold = add_cold(scene, 3)
-    set_route(scene, cold_per_s=_COLD_PER_S)
-    for port in range(1000, 1000 + _FLOWS):
+    cold = add_warming_up(scene, 3)
+    set_route(scene, warm_up_limit_per_s=_WARM_UP_LIMIT_PER_S)
+    for port in range(1000, 1000 + _FLOW_COUNT):
         assert scene.open(port).id != cold.id
-    scene.clock.sleep(_COLD_S)
-    scene.confirm()
-    assert cold.id in {scene.open(p).id for p in range(2000, 2000 + _FLOWS)}
+    scene.clock.sleep(_WARM_UP_S)
+    scene.confirm_state()
+    assert cold.id in {
+        scene.open(p).id for p in range(2000, 2000 + _FLOW_COUNT)
+    }
 
 
-def test_cold_upstreams_take_flows_of_a_service_without_a_limit() -> None:
+def test_upstream_in_warm_up_gets_flows_of_a_service_without_a_limit() -> None:
     """Guards against upstreams that stand idle while others are busy."""
     scene = make_scene()
-    cold = add_cold(scene, 3)
+    cold = add_warming_up(scene, 3)
     set_route(scene)
-    opened = {scene.open(p).id for p in range(1000, 1000 + _FLOWS)}
+    opened = {scene.open(p).id for p in range(1000, 1000 + _FLOW_COUNT)}
     assert cold.id in opened
 
 
@@ -101,7 +107,7 @@
     seed=strategies.integers(0, 1000),
 )
 @hypothesis.settings(max_examples=12)
-def test_cold_upstream_gets_no_more_than_its_limit_in_any_second(
+def test_upstream_in_warm_up_gets_no_more_than_its_limit_in_any_second(
     hosts: int, cold_per_s: float, seed: int
 ) -> None:
     """Guards against hosts that keep to a limit each, and not together.
@@ -119,8 +125,8 @@
             clock, randomness=randomness, host=name, others=known
         )
         for number in range(3):
-            add_cold(scene, number)
-        set_route(scene, cold_per_s=cold_per_s)
+            add_warming_up(scene, number)
+        set_route(scene, warm_up_limit_per_s=cold_per_s)
         fleet.append(scene)
     sent_at: dict[ids.UpstreamId, list[float]] = {}
     for caller in range(1000, 1000 + 600):
@@ -130,19 +136,21 @@
         if len(scene.output.to_upstreams) > sent:
             to = scene.last_upstream().id
             sent_at.setdefault(to, []).append(clock.now)
-        clock.sleep(_COLD_S / 601)
+        clock.sleep(_WARM_UP_S / 601)
     for times in sent_at.values():
         for first in times:
             within = sum(first <= at < first + 1.0 for at in times)
-            assert within <= cold_per_s * _EXCESS + _SLACK
+            assert (
+                within <= cold_per_s * _ALLOWED_FACTOR + _ALLOWED_EXTRA_REQUESTS
+            )
 
 
-def test_flow_beyond_what_cold_upstreams_bear_is_refused_at_once() -> None:
+def test_flow_beyond_the_warm_up_limit_is_refused_at_once() -> None:
     """Guards against callers that wait for what is known not to be served."""
     scene = scenes.Scene()
-    add_cold(scene, 1)
-    set_route(scene, cold_per_s=_COLD_PER_S)
-    scene.confirm()
+    add_warming_up(scene, 1)
+    set_route(scene, warm_up_limit_per_s=_WARM_UP_LIMIT_PER_S)
+    scene.confirm_state()
     scene.open(1000)
     scene.receive(scenes.make_packet(1001, scenes.SYN))
     assert scene.count_sent() == (1, 1)
--- a/tests/test_forwarding/test_forwarding_evacuation.py
+++ b/tests/test_forwarding/test_forwarding_evacuation.py
@@ -15,7 +15,7 @@
 from tests.test_forwarding import scene as scenes
 from tests.test_forwarding import test_forwarding_reading as readers
 
-_KEY = f"op/evacuate/{scenes.HERE}"
+_KEY = f"op/evacuate/{scenes.LOCAL_DOMAIN}"
 _DOMAIN = "domain-1"
 _LIMIT_S = 5.0
 _HEARD_S = 6.0
@@ -48,7 +48,7 @@
     for number in range(4):
         scene.add(scenes.make_upstream(number))
     for number in range(4, 8):
-        scene.add(scenes.make_upstream(number, domain=scenes.ELSEWHERE))
+        scene.add(scenes.make_upstream(number, domain=scenes.OTHER_DOMAIN))
     return scene
 
 
@@ -59,13 +59,13 @@
     found = set()
     for caller in range(first_port, first_port + _FLOWS):
         opened = scene.open(caller)
-        scene.go_on(opened, caller)
+        scene.continue_flow(opened, caller)
         scene.receive(
             scenes.make_packet(caller, scenes.FIN, token=opened.token)
         )
         found.add(opened.domain)
         scene.clock.sleep(1.0)
-        scene.confirm()
+        scene.confirm_state()
     return found
 
 
@@ -94,11 +94,11 @@
 def test_new_flows_leave_an_evacuated_domain() -> None:
     """Guards against new flows at upstreams that are to get nothing."""
     scene = make_scene()
-    assert list_domains(scene) == {scenes.HERE}
-    scene.knowledge.evacuate(scenes.HERE, "test")
-    assert list_domains(scene, 2000) == {scenes.ELSEWHERE}
-    scene.knowledge.end_evacuation(scenes.HERE, "test")
-    assert list_domains(scene, 3000) == {scenes.HERE}
+    assert list_domains(scene) == {scenes.LOCAL_DOMAIN}
+    scene.knowledge.evacuate(scenes.LOCAL_DOMAIN, "test")
+    assert list_domains(scene, 2000) == {scenes.OTHER_DOMAIN}
+    scene.knowledge.end_evacuation(scenes.LOCAL_DOMAIN, "test")
+    assert list_domains(scene, 3000) == {scenes.LOCAL_DOMAIN}
 
 
 def test_flow_is_refused_at_once_where_all_domains_are_evacuated() -> None:
@@ -106,10 +106,10 @@
     scene = make_scene()
     lost = scene.add(scenes.make_upstream(9))
     with scenes.failing_store(scene):
-        scene.lose(lost)
+        scene.remove_upstream(lost)
     scene.clock.sleep(10.0)
-    scene.confirm()
-    for domain in (scenes.HERE, scenes.ELSEWHERE):
+    scene.confirm_state()
+    for domain in (scenes.LOCAL_DOMAIN, scenes.OTHER_DOMAIN):
         scene.knowledge.evacuate(domain, "test")
     scene.receive(scenes.make_packet(1000, scenes.SYN))
     assert scene.count_sent() == (0, 1)
@@ -118,20 +118,20 @@
 def test_tries_and_copies_avoid_an_evacuated_domain() -> None:
     """Guards against a copy at an evacuated domain while others are silent."""
     scene = make_scene()
-    scene.knowledge.evacuate(scenes.HERE, "test")
+    scene.knowledge.evacuate(scenes.LOCAL_DOMAIN, "test")
     for upstream in scene.knowledge.directory.all():
-        if upstream.domain == scenes.ELSEWHERE:
+        if upstream.domain == scenes.OTHER_DOMAIN:
             scene.suspicions.record_miss(upstream.id, scene.clock.now)
     for copy in range(3):
         scene.receive(scenes.make_packet(1000, scenes.SYN, acknowledged=copy))
         scene.clock.sleep(0.16)
-        scene.handle_due()
+        scene.handle_due_openings()
     assert len(scene.output.to_upstreams) > 3
     places = {address for _, address in scene.output.to_upstreams}
     assert places <= {
         upstream.address
         for upstream in scene.knowledge.directory.all()
-        if upstream.domain == scenes.ELSEWHERE
+        if upstream.domain == scenes.OTHER_DOMAIN
     }
 
 
@@ -139,9 +139,9 @@
     """Guards against an evacuation that breaks established feeds."""
     scene = make_scene()
     upstream = scene.open()
-    scene.go_on(upstream)
+    scene.continue_flow(upstream)
     scene.knowledge.evacuate(upstream.domain, "test")
-    scene.go_on(upstream, data=10)
+    scene.continue_flow(upstream, data=10)
     assert scene.last_upstream() == upstream
     assert scene.count_sent() == (3, 0)
 
@@ -150,13 +150,13 @@
     """Guards against a host that was cut off and tells of what has ended."""
     reader = readers.Reader()
     reader.entries.take(_KEY, b"{}", 10)
-    assert reader.knowledge.evacuated == {scenes.HERE}
+    assert reader.knowledge.evacuated == {scenes.LOCAL_DOMAIN}
     reader.entries.take(_KEY, None, 12, "peer")
     reader.entries.take(_KEY, b"{}", 11, "peer")
     assert not reader.knowledge.evacuated
     reader.entries.take(_KEY, b"{}", 13)
     reader.entries.take(_KEY, None, 12, "peer")
-    assert reader.knowledge.evacuated == {scenes.HERE}
+    assert reader.knowledge.evacuated == {scenes.LOCAL_DOMAIN}
 
 
 def test_reading_that_shows_no_evacuation_ends_it() -> None:
@@ -165,7 +165,7 @@
     shown = port.KeyValue(_KEY, b"{}", 10)
     state = port.KeyValue("op/config", readers.make_state(1), 9)
     read(reader, 10, state, shown)
-    assert reader.knowledge.evacuated == {scenes.HERE}
+    assert reader.knowledge.evacuated == {scenes.LOCAL_DOMAIN}
     read(reader, 14, state)
     assert not reader.knowledge.evacuated
     assert reader.knowledge.state is not None
@@ -176,7 +176,7 @@
     reader = readers.Reader()
     reader.entries.take(_KEY, b"{}", 10)
     reader.knowledge.trust.record_failure()
-    assert reader.knowledge.evacuated == {scenes.HERE}
+    assert reader.knowledge.evacuated == {scenes.LOCAL_DOMAIN}
 
 
 def test_short_snapshot_and_news_hold_evacuations() -> None:
@@ -188,7 +188,7 @@
     assert [line.key for line in snapshot.entries] == [_KEY]
     hearer = readers.Reader()
     hearer.entries.take_short_snapshot(snapshot, "peer")
-    assert hearer.knowledge.evacuated == {scenes.HERE}
+    assert hearer.knowledge.evacuated == {scenes.LOCAL_DOMAIN}
     line = entry_lines.EntryLine(_KEY, None, 11)
     news = messages.News(10, 11, True, (line,))
     hearer.entries.take_news(news, "peer")
@@ -207,7 +207,7 @@
     assert reader.counts.sum("unreadable_entries_total") == 2
     scene = make_scene()
     scene.knowledge.evacuate(ids.DomainId("old"), "test")
-    assert list_domains(scene) == {scenes.HERE}
+    assert list_domains(scene) == {scenes.LOCAL_DOMAIN}
 
 
 def test_evacuation_is_known_though_hosts_lose_power() -> None:
@@ -270,15 +270,18 @@
 def test_domains_one_after_the_other_are_kept_apart() -> None:
     """Guards against one evacuation that ends or hides another one."""
     reader = readers.Reader()
-    other = f"op/evacuate/{scenes.ELSEWHERE}"
+    other = f"op/evacuate/{scenes.OTHER_DOMAIN}"
     reader.entries.take(_KEY, b"{}", 10)
     reader.entries.take(other, b"{}", 11)
-    assert reader.knowledge.evacuated == {scenes.HERE, scenes.ELSEWHERE}
+    assert reader.knowledge.evacuated == {
+        scenes.LOCAL_DOMAIN,
+        scenes.OTHER_DOMAIN,
+    }
     reader.entries.take(_KEY, None, 12)
-    assert reader.knowledge.evacuated == {scenes.ELSEWHERE}
+    assert reader.knowledge.evacuated == {scenes.OTHER_DOMAIN}
     reader.entries.take(_KEY, b"{}", 13)
     reader.entries.take(other, None, 14)
-    assert reader.knowledge.evacuated == {scenes.HERE}
+    assert reader.knowledge.evacuated == {scenes.LOCAL_DOMAIN}
 
 
 def test_burst_spreads_over_the_domains_that_are_left() -> None:
@@ -287,10 +290,10 @@
     for number in range(12):
         scene.add(scenes.make_upstream(number))
     others = [
-        scene.add(scenes.make_upstream(number, domain=scenes.ELSEWHERE))
+        scene.add(scenes.make_upstream(number, domain=scenes.OTHER_DOMAIN))
         for number in range(12, 36)
     ]
-    scene.knowledge.evacuate(scenes.HERE, "test")
+    scene.knowledge.evacuate(scenes.LOCAL_DOMAIN, "test")
     counted: dict[ids.UpstreamId, int] = {u.id: 0 for u in others}
     for number in range(10 * len(others)):
         counted[scene.open(1000 + number).id] += 1
--- a/tests/test_forwarding/test_forwarding_forwarder.py
+++ b/tests/test_forwarding/test_forwarding_forwarder.py
@@ -33,14 +33,14 @@
         first.add(scenes.make_upstream(number))
         second.add(scenes.make_upstream(number))
     chosen = first.open()
-    second.go_on(chosen, data=100)
+    second.continue_flow(chosen, data=100)
     assert second.last_upstream() == chosen
 
 
 def test_packet_with_a_token_of_nobody_is_dropped() -> None:
     scene = scenes.Scene()
     scene.add(scenes.make_upstream(1))
-    scene.go_on(scenes.make_upstream(7), data=10)
+    scene.continue_flow(scenes.make_upstream(7), data=10)
     assert scene.count_sent() == (0, 0)
     assert (
         scene.counts.get("packets_dropped_total", reason="unknown-token") == 1
@@ -57,7 +57,7 @@
     scene = scenes.Scene()
     first = scene.add(scenes.make_upstream(1, token=9))
     scene.add(scenes.make_upstream(2, token=9))
-    scene.go_on(first, data=10)
+    scene.continue_flow(first, data=10)
     assert scene.count_sent() == (0, 0)
     third = scene.add(scenes.make_upstream(3, token=8))
     assert scene.open() == third
@@ -67,12 +67,12 @@
     scene = scenes.Scene()
     leaving = scene.add(scenes.make_upstream(1))
     scene.open()
-    scene.go_on(leaving, data=10)
+    scene.continue_flow(leaving, data=10)
     state = upstreams.UpstreamState.DRAINING
     scene.add(scenes.make_upstream(1, state=state))
     staying = scene.add(scenes.make_upstream(2))
     assert scene.open(port=1001) == staying
-    scene.go_on(leaving, data=10, sequence=11)
+    scene.continue_flow(leaving, data=10, sequence=11)
     assert scene.last_upstream().id == leaving.id
     assert scene.count_sent()[1] == 0
 
@@ -87,8 +87,8 @@
     scene = scenes.Scene()
     upstream = scene.add(scenes.make_upstream(1))
     scene.open()
-    scene.lose(upstream)
-    scene.go_on(upstream, data=10, acknowledged=555)
+    scene.remove_upstream(upstream)
+    scene.continue_flow(upstream, data=10, acknowledged=555)
     octets, caller = scene.output.to_callers[0]
     assert caller == 0x64400007
     assert octets[12] == scenes.RST
@@ -107,14 +107,14 @@
     scene.open()
     with scenes.failing_store(scene):
         pass
-    scene.lose(upstream)
-    scene.go_on(upstream, data=10)
+    scene.remove_upstream(upstream)
+    scene.continue_flow(upstream, data=10)
     assert scene.count_sent() == (2, 0)
     assert scene.open(port=1001) == scene.last_upstream()
     scene.clock.sleep(3.0)
-    scene.confirm()
+    scene.confirm_state()
     scene.knowledge.settle(scene.clock.now)
-    scene.go_on(upstream, data=10, sequence=11)
+    scene.continue_flow(upstream, data=10, sequence=11)
     assert scene.count_sent()[1] == 1
 
 
@@ -150,7 +150,7 @@
     upstream = scene.add(scenes.make_upstream(1))
     scene.open()
     scene.set_state(2, scenes.OTHER_PORT)
-    scene.go_on(upstream, data=10)
+    scene.continue_flow(upstream, data=10)
     assert scene.count_sent() == (1, 1)
 
 
@@ -174,7 +174,7 @@
 def test_reset_of_a_caller_is_not_answered() -> None:
     scene = scenes.Scene()
     upstream = scene.add(scenes.make_upstream(1))
-    scene.lose(upstream)
+    scene.remove_upstream(upstream)
     packet = scenes.make_packet(1000, scenes.RST, token=upstream.token)
     scene.receive(packet)
     assert scene.count_sent() == (0, 0)
@@ -212,7 +212,7 @@
                 number,
                 state=state,
                 service=scenes.SERVICE if is_own else scenes.OTHER_SERVICE,
-                domain=scenes.HERE if is_near else scenes.ELSEWHERE,
+                domain=scenes.LOCAL_DOMAIN if is_near else scenes.OTHER_DOMAIN,
             )
         )
     for number in missed:
@@ -247,7 +247,7 @@
     restarted = scenes.Scene()
     for number in others:
         restarted.add(scenes.make_upstream(number))
-    restarted.go_on(chosen, data=10)
+    restarted.continue_flow(chosen, data=10)
     assert restarted.last_upstream().id == chosen.id
 
 
@@ -258,7 +258,7 @@
     ago. Cause: its opening packets are dropped in silence.
     """
     scene = scenes.Scene()
-    scene.lose(scene.add(scenes.make_upstream(1)))
+    scene.remove_upstream(scene.add(scenes.make_upstream(1)))
     scene.receive(scenes.make_packet(1000, scenes.SYN))
     assert scene.count_sent() == (0, 1)
     octets, _ = scene.output.to_callers[0]
--- a/tests/test_forwarding/test_forwarding_open_flows.py
+++ b/tests/test_forwarding/test_forwarding_open_flows.py
@@ -8,7 +8,7 @@
 from tests.test_forwarding import scene as scenes
 
 _CALLERS = range(2000, 2004)
-_AGAIN_S = 0.2
+_REPEAT_INTERVAL_S = 0.2
 
 
 def open_flows(scene: scenes.Scene) -> upstreams.Upstream:
@@ -16,35 +16,37 @@
     upstream = scene.add(scenes.make_upstream(1))
     for port in _CALLERS:
         scene.open(port=port)
-        scene.go_on(upstream, port=port, sequence=1, data=100)
-        scene.go_on(upstream, port=port, sequence=101, acknowledged=50)
+        scene.continue_flow(upstream, port=port, sequence=1, data=100)
+        scene.continue_flow(upstream, port=port, sequence=101, acknowledged=50)
     return upstream
 
 
-def ask(scene: scenes.Scene, upstream: upstreams.Upstream, *ports: int) -> None:
+def send_requests(
+    scene: scenes.Scene, upstream: upstreams.Upstream, *ports: int
+) -> None:
     """Has callers send a request, or the same one again."""
     for port in ports:
-        scene.go_on(
+        scene.continue_flow(
             upstream, port=port, sequence=101, acknowledged=50, data=100
         )
 
 
-def miss_openings(scene: scenes.Scene, number: int = 2) -> None:
+def leave_openings_unanswered(scene: scenes.Scene, count: int = 2) -> None:
     """Has opening packets to the only upstream go unanswered."""
-    for port in range(3000, 3000 + number):
+    for port in range(3000, 3000 + count):
         scene.open(port=port)
         scene.clock.sleep(answer_timeout.MIN_ANSWER_TIMEOUT_S + 0.001)
-        scene.handle_due()
+        scene.handle_due_openings()
 
 
-def go_silent(scene: scenes.Scene, upstream: upstreams.Upstream) -> None:
+def make_seem_silent(scene: scenes.Scene, upstream: upstreams.Upstream) -> None:
     """Has two callers ask and ask again, and an opening be missed."""
-    ask(scene, upstream, 2000, 2001)
-    miss_openings(scene, 1)
-    scene.clock.sleep(_AGAIN_S)
-    ask(scene, upstream, 2000, 2001)
-    scene.clock.sleep(2 * _AGAIN_S)
-    ask(scene, upstream, 2000, 2001)
+    send_requests(scene, upstream, 2000, 2001)
+    leave_openings_unanswered(scene, 1)
+    scene.clock.sleep(_REPEAT_INTERVAL_S)
+    send_requests(scene, upstream, 2000, 2001)
+    scene.clock.sleep(2 * _REPEAT_INTERVAL_S)
+    send_requests(scene, upstream, 2000, 2001)
 
 
 def count_resets(scene: scenes.Scene) -> int:
@@ -62,8 +64,8 @@
     """
     scene = scenes.Scene()
     upstream = open_flows(scene)
-    go_silent(scene, upstream)
-    ask(scene, upstream, *_CALLERS)
+    make_seem_silent(scene, upstream)
+    send_requests(scene, upstream, *_CALLERS)
     assert count_resets(scene) == 0
     assert scene.output.to_upstreams[-1][1] == upstream.address
 
@@ -76,49 +78,49 @@
     """
     scene = scenes.Scene()
     upstream = open_flows(scene)
-    ask(scene, upstream, *_CALLERS)
+    send_requests(scene, upstream, *_CALLERS)
     for _ in range(4):
-        scene.clock.sleep(_AGAIN_S)
-        ask(scene, upstream, *_CALLERS)
+        scene.clock.sleep(_REPEAT_INTERVAL_S)
+        send_requests(scene, upstream, *_CALLERS)
     assert count_resets(scene) == 0
 
 
 def test_openings_of_callers_that_left_prove_nothing() -> None:
     scene = scenes.Scene()
     upstream = open_flows(scene)
-    miss_openings(scene, 6)
-    ask(scene, upstream, *_CALLERS)
+    leave_openings_unanswered(scene, 6)
+    send_requests(scene, upstream, *_CALLERS)
     assert count_resets(scene) == 0
 
 
-def test_one_answer_ends_the_doubt() -> None:
+def test_one_answer_ends_the_suspicion() -> None:
     scene = scenes.Scene()
     upstream = open_flows(scene)
-    go_silent(scene, upstream)
-    scene.go_on(upstream, port=2003, sequence=201, acknowledged=90)
-    ask(scene, upstream, 2001, 2002)
+    make_seem_silent(scene, upstream)
+    scene.continue_flow(upstream, port=2003, sequence=201, acknowledged=90)
+    send_requests(scene, upstream, 2001, 2002)
     assert count_resets(scene) == 0
 
 
 def test_one_flow_that_is_stuck_proves_nothing() -> None:
     scene = scenes.Scene()
     upstream = open_flows(scene)
-    ask(scene, upstream, 2000)
-    miss_openings(scene)
+    send_requests(scene, upstream, 2000)
+    leave_openings_unanswered(scene)
     for _ in range(6):
-        scene.clock.sleep(_AGAIN_S)
-        ask(scene, upstream, 2000)
+        scene.clock.sleep(_REPEAT_INTERVAL_S)
+        send_requests(scene, upstream, 2000)
     assert count_resets(scene) == 0
 
 
 def test_packets_lost_one_by_one_do_not_add_up() -> None:
     scene = scenes.Scene()
     upstream = open_flows(scene)
-    miss_openings(scene)
+    leave_openings_unanswered(scene)
     for port in _CALLERS:
-        ask(scene, upstream, port)
-        scene.clock.sleep(_AGAIN_S)
-        ask(scene, upstream, port)
+        send_requests(scene, upstream, port)
+        scene.clock.sleep(_REPEAT_INTERVAL_S)
+        send_requests(scene, upstream, port)
         scene.clock.sleep(1.0)
     assert count_resets(scene) == 0
 
@@ -126,14 +128,14 @@
 def test_packets_that_come_together_are_no_repetitions() -> None:
     scene = scenes.Scene()
     upstream = open_flows(scene)
-    miss_openings(scene)
+    leave_openings_unanswered(scene)
     scene.clock.sleep(1.0)
     for _ in range(3):
-        ask(scene, upstream, *_CALLERS)
+        send_requests(scene, upstream, *_CALLERS)
     assert count_resets(scene) == 0
 
 
-def test_host_that_stood_still_takes_its_sleep_for_nobody_s_silence() -> None:
+def test_paused_host_does_not_take_its_pause_for_silence() -> None:
     """A flow that is whole is reset by a host that has just woken.
 
     Callers ask; the host is paused for seconds; they ask again, and others
@@ -143,14 +145,14 @@
     """
     scene = scenes.Scene()
     upstream = open_flows(scene)
-    ask(scene, upstream, *_CALLERS)
+    send_requests(scene, upstream, *_CALLERS)
     scene.suspicions.add_reported_misses(upstream.token, 12)
     scene.clock.sleep(3.0)
-    ask(scene, upstream, 2000, 2001)
-    ask(scene, upstream, 2002, 2003)
+    send_requests(scene, upstream, 2000, 2001)
+    send_requests(scene, upstream, 2002, 2003)
     assert count_resets(scene) == 0
-    scene.clock.sleep(_AGAIN_S)
-    ask(scene, upstream, 2000, 2001)
+    scene.clock.sleep(_REPEAT_INTERVAL_S)
+    send_requests(scene, upstream, 2000, 2001)
     assert count_resets(scene) == 0
 
 
@@ -161,9 +163,9 @@
     """
     scene = scenes.Scene()
     upstream = open_flows(scene)
-    go_silent(scene, upstream)
+    make_seem_silent(scene, upstream)
     scene.clock.sleep(1.6)
-    ask(scene, upstream, 2001)
+    send_requests(scene, upstream, 2001)
     assert count_resets(scene) == 0
 
 
@@ -175,12 +177,12 @@
     scene = scenes.Scene()
     scene.set_repetition(2, routes.Repetition.AT_MOST_ONCE)
     upstream = open_flows(scene)
-    go_silent(scene, upstream)
-    ask(scene, upstream, *_CALLERS)
+    make_seem_silent(scene, upstream)
+    send_requests(scene, upstream, *_CALLERS)
     assert count_resets(scene) == 0
 
 
-def test_flow_that_was_opened_elsewhere_is_no_sign_of_life() -> None:
+def test_flow_opened_at_another_host_does_not_end_the_suspicion() -> None:
     """New flows go to an upstream that is dark, as soon as hosts are restarted.
 
     Flows that other hosts opened come to this one, packet by packet, as the
@@ -189,7 +191,9 @@
     """
     scene = scenes.Scene()
     upstream = open_flows(scene)
-    miss_openings(scene)
+    leave_openings_unanswered(scene)
     missed = scene.suspicions.count_misses(upstream.id)
-    scene.go_on(upstream, port=4000, sequence=7, acknowledged=9, data=50)
+    scene.continue_flow(
+        upstream, port=4000, sequence=7, acknowledged=9, data=50
+    )
     assert scene.suspicions.count_misses(upstream.id) == missed > 0
--- a/tests/test_forwarding/test_forwarding_openings.py
+++ b/tests/test_forwarding/test_forwarding_openings.py
@@ -18,7 +18,7 @@
     scene.add(scenes.make_upstream(2))
     first = scene.open()
     scene.clock.sleep(answer_timeout.MIN_ANSWER_TIMEOUT_S + 0.001)
-    scene.handle_due()
+    scene.handle_due_openings()
     second = scene.last_upstream()
     assert second != first
     assert scene.count_sent() == (2, 0)
@@ -29,9 +29,9 @@
     scene.add(scenes.make_upstream(1))
     scene.add(scenes.make_upstream(2))
     chosen = scene.open()
-    scene.go_on(chosen)
+    scene.continue_flow(chosen)
     scene.clock.sleep(1.0)
-    scene.handle_due()
+    scene.handle_due_openings()
     assert scene.count_sent() == (2, 0)
 
 
@@ -47,7 +47,7 @@
     scene.open()
     for _ in range(50):
         scene.clock.sleep(answer_timeout.MIN_ANSWER_TIMEOUT_S + 0.001)
-        scene.handle_due()
+        scene.handle_due_openings()
     assert scene.count_sent() == (3, 0)
 
 
@@ -61,7 +61,7 @@
     for number in range(1, 9):
         scene.add(scenes.make_upstream(number))
     chosen = scene.open()
-    scene.go_on(chosen, data=10)
+    scene.continue_flow(chosen, data=10)
     for _ in range(20):
         scene.open(acknowledged=1)
         assert scene.last_upstream() == chosen
@@ -87,7 +87,7 @@
     assert scene.last_upstream() != chosen
 
 
-def test_dead_upstream_gets_few_openings_and_is_taken_back() -> None:
+def test_dead_upstream_gets_few_openings_and_is_used_again() -> None:
     scene = scenes.Scene()
     dead = scene.add(scenes.make_upstream(1))
     live = scene.add(scenes.make_upstream(2))
@@ -97,17 +97,17 @@
         if chosen == dead:
             sent_to_dead += 1
             scene.clock.sleep(answer_timeout.MIN_ANSWER_TIMEOUT_S)
-            scene.handle_due()
-        scene.go_on(live, port=port)
-        scene.go_on(live, port=port, acknowledged=1)
+            scene.handle_due_openings()
+        scene.continue_flow(live, port=port)
+        scene.continue_flow(live, port=port, acknowledged=1)
         scene.clock.sleep(0.02)
     assert 1 <= sent_to_dead <= 5
     scene.clock.sleep(2.0)
-    scene.go_on(dead, port=2000)
+    scene.continue_flow(dead, port=2000)
     assert dead in {scene.open(port=port) for port in range(3000, 3010)}
 
 
-def test_upstreams_whose_answers_take_longer_are_not_taken_for_dead() -> None:
+def test_upstreams_whose_answers_take_longer_are_not_suspected() -> None:
     """Each flow of callers far away is opened at three upstreams.
 
     Their next packet comes 60 ms after the opening one; the host gives each
@@ -122,12 +122,12 @@
         chosen = scene.open(port=port)
         sent, _ = scene.count_sent()
         scene.clock.sleep(0.031)
-        scene.handle_due()
+        scene.handle_due_openings()
         scene.clock.sleep(0.029)
-        scene.handle_due()
+        scene.handle_due_openings()
         twice += scene.count_sent()[0] > sent
-        scene.go_on(chosen, port=port)
-        scene.go_on(chosen, port=port, acknowledged=1)
+        scene.continue_flow(chosen, port=port)
+        scene.continue_flow(chosen, port=port, acknowledged=1)
     assert twice <= 3
 
 
@@ -149,10 +149,10 @@
         answers.append((scene.clock.now + 0.25, port))
         for _ in range(4):
             scene.clock.sleep(0.005)
-            scene.handle_due()
+            scene.handle_due_openings()
             while answers and answers[0][0] <= scene.clock.now:
                 _, answered = answers.pop(0)
-                scene.go_on(scene.last_upstream(), port=answered)
+                scene.continue_flow(scene.last_upstream(), port=answered)
     openings = sum(
         octets[8:][12] == scenes.SYN for octets, _ in scene.output.to_upstreams
     )
--- a/tests/test_forwarding/test_forwarding_report_lines.py
+++ b/tests/test_forwarding/test_forwarding_report_lines.py
@@ -7,7 +7,7 @@
 from persimmonhinge.forwarding.decisions import report_lines
 from tests.test_forwarding import scene as scenes
 
-_LIFE_S = 60.0
+_ENTRY_LIFE_S = 60.0
 
 
 def list_lines(scene: scenes.Scene) -> list[load_lines.LoadLine]:
@@ -16,19 +16,19 @@
     )
 
 
-def test_work_and_doubts_are_told_while_they_last() -> None:
+def test_load_and_misses_are_reported_while_current() -> None:
     scene = scenes.Scene()
     upstream = scene.add(scenes.make_upstream(1))
     scene.add(scenes.make_upstream(2))
-    scene.lose(scene.add(scenes.make_upstream(3)))
+    scene.remove_upstream(scene.add(scenes.make_upstream(3)))
     assert list_lines(scene) == []
     while scene.open() != upstream:
         scene.clock.sleep(answer_timeout.MIN_ANSWER_TIMEOUT_S + 0.001)
-        scene.handle_due()
+        scene.handle_due_openings()
     told = {line.token: line for line in list_lines(scene)}
     assert told[upstream.token].in_flight == 1
     scene.clock.sleep(answer_timeout.MIN_ANSWER_TIMEOUT_S + 0.001)
-    scene.handle_due()
+    scene.handle_due_openings()
     told = {line.token: line for line in list_lines(scene)}
     assert told[upstream.token].missed == 1
     scene.clock.sleep(1.0)
@@ -36,13 +36,13 @@
     assert told[upstream.token].missed == 0
 
 
-def test_upstream_that_is_no_more_is_neither_told_nor_kept() -> None:
+def test_removed_upstream_is_neither_reported_nor_stored() -> None:
     scene = scenes.Scene()
     upstream = scene.add(scenes.make_upstream(1))
     scene.open()
-    scene.lose(upstream)
-    scene.clock.sleep(2 * _LIFE_S)
+    scene.remove_upstream(upstream)
+    scene.clock.sleep(2 * _ENTRY_LIFE_S)
     scene.add(scenes.make_upstream(2))
-    scene.lose(scene.add(scenes.make_upstream(3)))
+    scene.remove_upstream(scene.add(scenes.make_upstream(3)))
     assert list_lines(scene) == []
     assert scene.loads.list_active() == []
--- a/tests/test_forwarding/test_forwarding_tracker.py
+++ b/tests/test_forwarding/test_forwarding_tracker.py
@@ -10,9 +10,9 @@
     upstream = scene.add(scenes.make_upstream(1))
     scene.open(sequence=9)
     assert scene.loads.in_flight(upstream.id) == 1
-    scene.go_on(upstream, sequence=10, acknowledged=500, data=200)
+    scene.continue_flow(upstream, sequence=10, acknowledged=500, data=200)
     assert scene.loads.in_flight(upstream.id) == 1
-    scene.go_on(upstream, sequence=210, acknowledged=900)
+    scene.continue_flow(upstream, sequence=210, acknowledged=900)
     assert scene.loads.in_flight(upstream.id) == 0
 
 
@@ -21,9 +21,9 @@
     upstream = scene.add(scenes.make_upstream(1))
     scene.open(sequence=9)
     for _ in range(5):
-        scene.go_on(upstream, sequence=10, acknowledged=500, data=200)
-    scene.go_on(upstream, sequence=210, acknowledged=900)
-    scene.go_on(upstream, sequence=10, acknowledged=500, data=200)
+        scene.continue_flow(upstream, sequence=10, acknowledged=500, data=200)
+    scene.continue_flow(upstream, sequence=210, acknowledged=900)
+    scene.continue_flow(upstream, sequence=10, acknowledged=500, data=200)
     assert scene.loads.in_flight(upstream.id) == 0
 
 
@@ -31,8 +31,8 @@
     scene = scenes.Scene()
     upstream = scene.add(scenes.make_upstream(1))
     scene.open(sequence=9)
-    scene.go_on(upstream, sequence=10, acknowledged=500, data=200)
-    scene.go_on(upstream, sequence=210, acknowledged=900, data=200)
+    scene.continue_flow(upstream, sequence=10, acknowledged=500, data=200)
+    scene.continue_flow(upstream, sequence=210, acknowledged=900, data=200)
     assert scene.loads.in_flight(upstream.id) == 1
 
 
@@ -41,19 +41,21 @@
     upstream = scene.add(scenes.make_upstream(1))
     end = 2**32
     scene.open(sequence=end - 101)
-    scene.go_on(upstream, sequence=end - 100, acknowledged=end - 10, data=200)
-    scene.go_on(upstream, sequence=100, acknowledged=5)
+    scene.continue_flow(
+        upstream, sequence=end - 100, acknowledged=end - 10, data=200
+    )
+    scene.continue_flow(upstream, sequence=100, acknowledged=5)
     assert scene.loads.in_flight(upstream.id) == 0
-    scene.go_on(upstream, sequence=100, acknowledged=5, data=10)
+    scene.continue_flow(upstream, sequence=100, acknowledged=5, data=10)
     assert scene.loads.in_flight(upstream.id) == 1
 
 
 def test_flow_that_another_host_opened_is_counted_by_its_requests() -> None:
     scene = scenes.Scene()
     upstream = scene.add(scenes.make_upstream(1))
-    scene.go_on(upstream, sequence=10, acknowledged=500)
+    scene.continue_flow(upstream, sequence=10, acknowledged=500)
     assert scene.loads.in_flight(upstream.id) == 0
-    scene.go_on(upstream, sequence=10, acknowledged=500, data=5)
+    scene.continue_flow(upstream, sequence=10, acknowledged=500, data=5)
     assert scene.loads.in_flight(upstream.id) == 1
 
 
@@ -100,7 +102,7 @@
     """
     scene = scenes.Scene()
     near = scene.add(scenes.make_upstream(1))
-    far = scene.add(scenes.make_upstream(2, domain=scenes.ELSEWHERE))
+    far = scene.add(scenes.make_upstream(2, domain=scenes.OTHER_DOMAIN))
     chosen = [scene.open(port=port) for port in range(1000, 1006)]
     assert chosen[0] == near
     assert far in chosen
--- a/tests/test_policies/test_policies_admission.py
+++ b/tests/test_policies/test_policies_admission.py
@@ -41,7 +41,7 @@
 
 
 @hypothesis.given(pressure=draw_pressure(), seed=strategies.integers(0, 99))
-def test_admission_spreads_returns_over_the_time_to_drain(
+def test_admission_spreads_retries_over_the_time_to_drain(
     pressure: admission.Pressure, seed: int
 ) -> None:
     randomness = random.Random(seed)
--- a/tests/test_policies/test_policies_choice.py
+++ b/tests/test_policies/test_policies_choice.py
@@ -23,7 +23,7 @@
     for number in range(draw(strategies.integers(1, 7))):
         own = draw(_LOADS)
         candidates.append(
-            _make(number, draw(_LOADS) + own, own, draw(_CAPACITIES))
+            _make_candidate(number, draw(_LOADS) + own, own, draw(_CAPACITIES))
         )
     return candidates
 
@@ -31,14 +31,14 @@
 _CAPACITIES = strategies.sampled_from([0.04, 0.5, 1.0, 2.0, 3.0])
 
 
-def _make(
+def _make_candidate(
     number: int, load: float, own: float = 0, capacity: float = 2
 ) -> choice.Candidate:
     name = ids.UpstreamId(f"u{number}")
     return choice.Candidate(name, capacity, load, own)
 
 
-def _new(name: str, seed: int = 1) -> choice.ChoicePolicy:
+def _make_policy(name: str, seed: int = 1) -> choice.ChoicePolicy:
     return choice.choice_policies.get(name)(random.Random(seed))
 
 
@@ -50,32 +50,34 @@
 def test_each_policy_returns_a_candidate_and_repeats_by_its_seed(
     candidates: list[choice.Candidate], name: str, seed: int
 ) -> None:
-    first, second = _new(name, seed), _new(name, seed)
+    first, second = _make_policy(name, seed), _make_policy(name, seed)
     chosen = [first.choose(candidates) for _ in range(20)]
     assert chosen == [second.choose(candidates) for _ in range(20)]
     assert all(candidate in candidates for candidate in chosen)
 
 
 @hypothesis.given(candidates=draw_candidates(), seed=_SEEDS)
-def test_policies_that_see_load_take_the_least(
+def test_policies_that_use_load_choose_the_least_loaded(
     candidates: list[choice.Candidate], seed: int
 ) -> None:
     least = min(candidate.relative_load for candidate in candidates)
-    chosen = _new("least-loaded", seed).choose(candidates)
+    chosen = _make_policy("least-loaded", seed).choose(candidates)
     assert chosen.relative_load == least
     first = min(candidate.slot_round for candidate in candidates)
-    assert _new("free-slot", seed).choose(candidates).slot_round == first
+    assert (
+        _make_policy("free-slot", seed).choose(candidates).slot_round == first
+    )
     own = min((c.own_load + 1) / c.capacity for c in candidates)
-    chosen = _new("least-connections", seed).choose(candidates)
+    chosen = _make_policy("least-connections", seed).choose(candidates)
     assert (chosen.own_load + 1) / chosen.capacity == own
 
 
 @hypothesis.given(candidates=draw_candidates(), seed=_SEEDS)
-def test_power_of_two_takes_the_worst_only_when_drawn_twice(
+def test_power_of_two_chooses_the_most_loaded_only_when_drawn_twice(
     candidates: list[choice.Candidate], seed: int
 ) -> None:
     hypothesis.assume(len({c.relative_load for c in candidates}) > 1)
-    policy = _new("power-of-two", seed)
+    policy = _make_policy("power-of-two", seed)
     worst = max(candidate.relative_load for candidate in candidates)
     hits = sum(
         policy.choose(candidates).relative_load == worst for _ in range(300)
@@ -86,9 +88,9 @@
     assert hits <= 300 * (part / capacity) ** 2 + 60
 
 
-def test_round_robin_takes_each_in_turn() -> None:
-    candidates = [_make(number, number) for number in range(5)]
-    policy = _new("round-robin")
+def test_round_robin_chooses_each_in_turn() -> None:
+    candidates = [_make_candidate(number, number) for number in range(5)]
+    policy = _make_policy("round-robin")
     chosen = collections.Counter(
         policy.choose(candidates).upstream for _ in range(50)
     )
@@ -101,17 +103,17 @@
     Candidates stand in the order of the contract, so a minimum without a
     tie break is the same upstream on all hosts.
     """
-    candidates = [_make(number, 0) for number in range(4)]
+    candidates = [_make_candidate(number, 0) for number in range(4)]
     for name in choice.choice_policies.names():
-        policy = _new(name)
+        policy = _make_policy(name)
         chosen = collections.Counter(
             policy.choose(candidates).upstream for _ in range(400)
         )
         assert min(chosen.get(c.upstream, 0) for c in candidates) >= 50, name
 
 
-def test_distrusted_candidate_is_last_and_yet_taken_when_all_are() -> None:
-    good, bad = _make(1, 5), _make(2, 0, capacity=0.04)
-    assert _new("free-slot").choose([good, bad]) is good
-    worse = _make(3, 1, capacity=0.04)
-    assert _new("free-slot").choose([bad, worse]) is bad
+def test_low_capacity_candidate_is_chosen_only_when_all_are_low() -> None:
+    good, bad = _make_candidate(1, 5), _make_candidate(2, 0, capacity=0.04)
+    assert _make_policy("free-slot").choose([good, bad]) is good
+    worse = _make_candidate(3, 1, capacity=0.04)
+    assert _make_policy("free-slot").choose([bad, worse]) is bad
--- a/tests/test_policies/test_policies_order.py
+++ b/tests/test_policies/test_policies_order.py
@@ -69,7 +69,7 @@
     dropped=strategies.sets(strategies.integers(0, 19)),
     name=strategies.sampled_from(("fifo", "deadline", "priority")),
 )
-def test_order_drops_just_what_is_discarded(
+def test_order_removes_just_what_is_discarded(
     works: list[Work], dropped: set[int], name: str
 ) -> None:
     queue = order.order_policies.get(name)()
@@ -128,7 +128,7 @@
     assert served[manifests] <= share * total + 2 * most_cost_s
 
 
-def test_order_saves_nothing_up_for_an_idle_class() -> None:
+def test_order_gives_no_credit_to_an_idle_class() -> None:
     queue = order.order_policies.get("priority")()
     manifests = ids.CallClassName("manifests")
     reservations = ids.CallClassName("reservations")
--- a/tests/test_random_sampling.py
+++ b/tests/test_random_sampling.py
@@ -5,11 +5,11 @@
 from persimmonhinge import random_sampling
 
 
-def test_each_thing_is_drawn_sooner_or_later() -> None:
+def test_each_item_is_drawn_eventually() -> None:
     assert {random_sampling.choose("abc") for _ in range(500)} == set("abc")
 
 
-def test_sample_draws_each_thing_at_most_once() -> None:
+def test_sample_draws_each_item_at_most_once() -> None:
     for most in range(6):
         drawn = random_sampling.sample(range(4), most)
         assert len(drawn) == len(set(drawn)) == min(most, 4)
