--- a/persimmonhinge/forwarding/decisions/candidates.py
+++ b/persimmonhinge/forwarding/decisions/candidates.py
@@ -7,8 +7,8 @@
 
 from persimmonhinge import ids
 from persimmonhinge import records
-from persimmonhinge.forwarding import directory as directories
-from persimmonhinge.forwarding import upstream as upstreams
+from persimmonhinge.forwarding import directory as directory_module
+from persimmonhinge.forwarding import upstream as upstream_module
 from persimmonhinge.light_typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
@@ -29,9 +29,9 @@
         far: Those of others.
     """
 
-    ready: Sequence[upstreams.Upstream]
-    local: Sequence[upstreams.Upstream]
-    remote: Sequence[upstreams.Upstream]
+    ready: Sequence[upstream_module.Upstream]
+    local: Sequence[upstream_module.Upstream]
+    remote: Sequence[upstream_module.Upstream]
 
 
 class CandidatePool:
@@ -47,7 +47,7 @@
     def __init__(
         self,
         domain: ids.DomainId,
-        directory: directories.Directory,
+        directory: directory_module.Directory,
         randomness: random.Random,
     ) -> None:
         """Makes the pool of a host.
@@ -67,9 +67,9 @@
     def draw(
         self,
         service: ids.ServiceName,
-        is_usable: Callable[[upstreams.Upstream], bool],
+        is_usable: Callable[[upstream_module.Upstream], bool],
         excluded: frozenset[ids.DomainId] = frozenset(),
-    ) -> list[upstreams.Upstream]:
+    ) -> list[upstream_module.Upstream]:
         """Returns some upstreams of both places that are ready and usable.
 
         Args:
@@ -101,14 +101,14 @@
 
 
 def draw_usable(
-    population: Sequence[upstreams.Upstream],
-    is_usable: Callable[[upstreams.Upstream], bool],
+    population: Sequence[upstream_module.Upstream],
+    is_usable: Callable[[upstream_module.Upstream], bool],
     randomness: random.Random,
-) -> list[upstreams.Upstream]:
+) -> list[upstream_module.Upstream]:
     """Returns a few of some upstreams that are usable, each once."""
     if len(population) <= SAMPLE_SIZE:
         return [upstream for upstream in population if is_usable(upstream)]
-    found: dict[ids.UpstreamId, upstreams.Upstream] = {}
+    found: dict[ids.UpstreamId, upstream_module.Upstream] = {}
     for _ in range(_MAX_DRAWS):
         drawn = population[int(randomness.random() * len(population))]
         if drawn.id not in found and is_usable(drawn):
--- a/persimmonhinge/forwarding/decisions/chooser.py
+++ b/persimmonhinge/forwarding/decisions/chooser.py
@@ -9,13 +9,15 @@
 
 from persimmonhinge import ids
 from persimmonhinge import records
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import route as routes
-from persimmonhinge.forwarding import upstream as upstreams
-from persimmonhinge.forwarding.decisions import candidates as candidate_pools
-from persimmonhinge.forwarding.decisions import eligibility as eligibilities
-from persimmonhinge.forwarding.decisions import loads as load_books
+from persimmonhinge.forwarding import flow as flow_module
+from persimmonhinge.forwarding import knowledge as knowledge_module
+from persimmonhinge.forwarding import route as route_module
+from persimmonhinge.forwarding import upstream as upstream_module
+from persimmonhinge.forwarding.decisions import candidates as candidates_module
+from persimmonhinge.forwarding.decisions import (
+    eligibility as eligibility_module,
+)
+from persimmonhinge.forwarding.decisions import loads as loads_module
 from persimmonhinge.light_typing import TYPE_CHECKING
 from persimmonhinge.policies import choice
 
@@ -35,7 +37,7 @@
         among: Number of upstreams that were compared.
     """
 
-    upstream: upstreams.Upstream
+    upstream: upstream_module.Upstream
     candidate: choice.Candidate
     candidate_count: int
 
@@ -46,9 +48,9 @@
     def __init__(
         self,
         domain: ids.DomainId,
-        knowledge: knowledge_parts.Knowledge,
-        loads: load_books.LoadTable,
-        eligibility: eligibilities.Eligibility,
+        knowledge: knowledge_module.Knowledge,
+        loads: loads_module.LoadTable,
+        eligibility: eligibility_module.Eligibility,
         policy: choice.ChoicePolicy,
         randomness: random.Random,
     ) -> None:
@@ -57,14 +59,14 @@
         self._loads = loads
         self._eligibility = eligibility
         self._policy = policy
-        self._pool = candidate_pools.CandidatePool(
+        self._pool = candidates_module.CandidatePool(
             domain, knowledge.directory, randomness
         )
 
     def choose(
         self,
-        route: routes.Route,
-        flow: flows.FlowId,
+        route: route_module.Route,
+        flow: flow_module.FlowId,
         now: float,
         unanswered: Collection[ids.UpstreamId] = (),
     ) -> ChosenUpstream | None:
@@ -77,7 +79,7 @@
             without: Upstreams that have left an opening packet of this flow
                 unanswered; taken only where there is no other.
         """
-        wanted = eligibilities.NewFlow(
+        wanted = eligibility_module.NewFlow(
             choose_service(route, flow),
             self._eligibility.list_excluded_domains(route),
             unanswered,
@@ -94,9 +96,9 @@
         return ChosenUpstream(upstream, candidate, len(candidates))
 
     def _list_usable(
-        self, flow: eligibilities.NewFlow
-    ) -> Sequence[upstreams.Upstream]:
-        def is_usable(upstream: upstreams.Upstream) -> bool:
+        self, flow: eligibility_module.NewFlow
+    ) -> Sequence[upstream_module.Upstream]:
+        def is_usable(upstream: upstream_module.Upstream) -> bool:
             eligibility = self._eligibility
             return eligibility.is_preferred(
                 upstream, flow
@@ -106,28 +108,30 @@
         return drawn or self._list_fallbacks(flow)
 
     def _list_fallbacks(
-        self, flow: eligibilities.NewFlow
-    ) -> Sequence[upstreams.Upstream]:
+        self, flow: eligibility_module.NewFlow
+    ) -> Sequence[upstream_module.Upstream]:
         """Returns those that are the least bad where hardly any is usable."""
-        ready = self._list_allowed(flow, upstreams.UpstreamState.READY)
+        ready = self._list_allowed(flow, upstream_module.UpstreamState.READY)
         fresh = [u for u in ready if u.id not in flow.unanswered]
         good = [u for u in fresh if self._eligibility.is_preferred(u, flow)]
         return (
             good
             or fresh
             or ready
-            or self._list_allowed(flow, upstreams.UpstreamState.MISSING)
+            or self._list_allowed(flow, upstream_module.UpstreamState.MISSING)
         )
 
     def _list_allowed(
-        self, flow: eligibilities.NewFlow, state: upstreams.UpstreamState
-    ) -> list[upstreams.Upstream]:
+        self,
+        flow: eligibility_module.NewFlow,
+        state: upstream_module.UpstreamState,
+    ) -> list[upstream_module.Upstream]:
         """Returns those of a state that the flow may go to at all."""
         found = self._knowledge.directory.select(flow.service, state)
         return [u for u in found if self._eligibility.is_allowed(u, flow)]
 
     def _make_candidate(
-        self, upstream: upstreams.Upstream, now: float
+        self, upstream: upstream_module.Upstream, now: float
     ) -> choice.Candidate:
         cold = self._knowledge.directory.is_cold(upstream.id, now)
         room = _WARMING_UP_CAPACITY_SHARE if cold else 1.0
@@ -143,7 +147,9 @@
         )
 
 
-def choose_service(route: routes.Route, flow: flows.FlowId) -> ids.ServiceName:
+def choose_service(
+    route: route_module.Route, flow: flow_module.FlowId
+) -> ids.ServiceName:
     """Returns the service of a flow by the weights of its route.
 
     It follows from the flow, so that copies of an opening packet go to one
--- a/persimmonhinge/forwarding/decisions/eligibility.py
+++ b/persimmonhinge/forwarding/decisions/eligibility.py
@@ -7,12 +7,12 @@
 
 from persimmonhinge import ids
 from persimmonhinge import records
-from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import route as routes
-from persimmonhinge.forwarding import upstream as upstreams
-from persimmonhinge.forwarding.decisions import suspicions as suspicion_lists
+from persimmonhinge.forwarding import knowledge as knowledge_module
+from persimmonhinge.forwarding import route as route_module
+from persimmonhinge.forwarding import upstream as upstream_module
+from persimmonhinge.forwarding.decisions import suspicions as suspicions_module
 from persimmonhinge.forwarding.decisions import (
-    warm_up_shares as cold_share_books,
+    warm_up_shares as warm_up_shares_module,
 )
 
 
@@ -41,9 +41,9 @@
 
     def __init__(
         self,
-        knowledge: knowledge_parts.Knowledge,
-        suspicions: suspicion_lists.Suspicions,
-        warm_up_shares: cold_share_books.WarmUpShares,
+        knowledge: knowledge_module.Knowledge,
+        suspicions: suspicions_module.Suspicions,
+        warm_up_shares: warm_up_shares_module.WarmUpShares,
         regions: Mapping[ids.DomainId, ids.RegionId],
     ) -> None:
         """Makes the conditions of one host.
@@ -60,7 +60,7 @@
         self._regions = regions
 
     def list_excluded_domains(
-        self, route: routes.Route
+        self, route: route_module.Route
     ) -> frozenset[ids.DomainId]:
         """Returns the failure domains that no new flow of a route may go to.
 
@@ -75,7 +75,9 @@
             if self._regions.get(domain) not in route.regions
         }
 
-    def is_allowed(self, upstream: upstreams.Upstream, flow: NewFlow) -> bool:
+    def is_allowed(
+        self, upstream: upstream_module.Upstream, flow: NewFlow
+    ) -> bool:
         """Tells whether an upstream meets what always holds."""
         return (
             upstream.domain not in flow.excluded
@@ -83,7 +85,9 @@
             and self._has_warm_up_share(upstream, flow)
         )
 
-    def is_preferred(self, upstream: upstreams.Upstream, flow: NewFlow) -> bool:
+    def is_preferred(
+        self, upstream: upstream_module.Upstream, flow: NewFlow
+    ) -> bool:
         """Tells whether an upstream also meets what may give way."""
         return (
             upstream.id not in flow.unanswered
@@ -94,14 +98,14 @@
         )
 
     def record_opening(
-        self, upstream: upstreams.Upstream, flow: NewFlow
+        self, upstream: upstream_module.Upstream, flow: NewFlow
     ) -> None:
         """Records that a flow goes to an upstream."""
         if self._find_warm_up_limit(upstream, flow) is not None:
             self._warm_up_shares.record_opening(upstream.id, flow.now)
 
     def _has_warm_up_share(
-        self, upstream: upstreams.Upstream, flow: NewFlow
+        self, upstream: upstream_module.Upstream, flow: NewFlow
     ) -> bool:
         limit_per_s = self._find_warm_up_limit(upstream, flow)
         if limit_per_s is None:
@@ -111,7 +115,7 @@
         )
 
     def _find_warm_up_limit(
-        self, upstream: upstreams.Upstream, flow: NewFlow
+        self, upstream: upstream_module.Upstream, flow: NewFlow
     ) -> float | None:
         """Returns the requests a second that an upstream bears; None for any.
 
--- a/persimmonhinge/forwarding/decisions/openings.py
+++ b/persimmonhinge/forwarding/decisions/openings.py
@@ -8,8 +8,8 @@
 
 from persimmonhinge import ids
 from persimmonhinge import records
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import packet as packets
+from persimmonhinge.forwarding import flow as flow_module
+from persimmonhinge.forwarding import packet as packet_module
 from persimmonhinge.forwarding.decisions import answer_timeout
 
 # A caller gives an opening up after 1.4 s; nothing is learned from it then.
@@ -25,7 +25,7 @@
         due_at: When it counts as unanswered.
     """
 
-    packet: packets.Packet
+    packet: packet_module.Packet
     tried_upstreams: list[ids.UpstreamId]
     due_at: float
 
@@ -47,15 +47,17 @@
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
-        self._pending: dict[flows.FlowId, Opening] = {}
+        self._pending: dict[flow_module.FlowId, Opening] = {}
         self._in_send_order: collections.deque[Opening] = collections.deque()
         self._first_attempts: collections.OrderedDict[
-            flows.FlowId, FirstAttempt
+            flow_module.FlowId, FirstAttempt
         ] = collections.OrderedDict()
         self._answer_timeout = answer_timeout.AnswerTimeout()
 
     def add(
-        self, packet: packets.Packet, tried_upstreams: list[ids.UpstreamId]
+        self,
+        packet: packet_module.Packet,
+        tried_upstreams: list[ids.UpstreamId],
     ) -> None:
         """Waits for the caller of a packet that was just sent on."""
         now = self._clock()
@@ -71,7 +73,7 @@
         self._remove_old_attempts(now - _MAX_ATTEMPT_AGE_S)
 
     def record_answer(
-        self, flow: flows.FlowId, upstream: ids.UpstreamId
+        self, flow: flow_module.FlowId, upstream: ids.UpstreamId
     ) -> None:
         """Stops waiting for a flow that an upstream has accepted.
 
@@ -83,12 +85,12 @@
         if first is not None and first.upstream == upstream:
             self._answer_timeout.add_answer_time(self._clock() - first.sent_at)
 
-    def remove(self, flow: flows.FlowId) -> None:
+    def remove(self, flow: flow_module.FlowId) -> None:
         """Stops waiting for a flow."""
         self._pending.pop(flow, None)
         self._first_attempts.pop(flow, None)
 
-    def find_pending(self, flow: flows.FlowId) -> Opening | None:
+    def find_pending(self, flow: flow_module.FlowId) -> Opening | None:
         """Returns the opening packet of a flow that may yet be answered."""
         opening = self._pending.get(flow)
         if opening is None or opening.due_at <= self._clock():
--- a/persimmonhinge/forwarding/decisions/report_lines.py
+++ b/persimmonhinge/forwarding/decisions/report_lines.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import load_line as load_lines
-from persimmonhinge.forwarding.decisions import loads as load_books
-from persimmonhinge.forwarding.decisions import suspicions as suspicion_lists
+from persimmonhinge.forwarding import knowledge as knowledge_module
+from persimmonhinge.forwarding import load_line
+from persimmonhinge.forwarding.decisions import loads as loads_module
+from persimmonhinge.forwarding.decisions import suspicions as suspicions_module
 
 
 def list_report_lines(
-    knowledge: knowledge_parts.Knowledge,
-    loads: load_books.LoadTable,
-    suspicions: suspicion_lists.Suspicions,
+    knowledge: knowledge_module.Knowledge,
+    loads: loads_module.LoadTable,
+    suspicions: suspicions_module.Suspicions,
     now: float,
-) -> list[load_lines.LoadLine]:
+) -> list[load_line.LoadLine]:
     """Returns a line for each upstream with work of this host, or in doubt.
 
     What is kept of upstreams that are no more is dropped.
@@ -31,7 +31,7 @@
             loads.remove_upstream(upstream)
             suspicions.remove_upstream(upstream)
             continue
-        line = load_lines.LoadLine(
+        line = load_line.LoadLine(
             known.token,
             loads.in_flight(upstream),
             round(loads.average(upstream) * 100),
--- a/tests/test_forwarding/scene.py
+++ b/tests/test_forwarding/scene.py
@@ -9,22 +9,22 @@
 
 from persimmonhinge import ids
 from persimmonhinge import records
-from persimmonhinge.forwarding import desired_state as desired_states
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import flow_table as flow_tables
-from persimmonhinge.forwarding import forwarder as forwarders
-from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import route as routes
+from persimmonhinge.forwarding import desired_state
+from persimmonhinge.forwarding import flow
+from persimmonhinge.forwarding import flow_table
+from persimmonhinge.forwarding import forwarder
+from persimmonhinge.forwarding import knowledge
+from persimmonhinge.forwarding import route as route_module
 from persimmonhinge.forwarding import tokens
-from persimmonhinge.forwarding import tracker as trackers
-from persimmonhinge.forwarding import upstream as upstreams
-from persimmonhinge.forwarding.decisions import chooser as choosers
+from persimmonhinge.forwarding import tracker
+from persimmonhinge.forwarding import upstream as upstream_module
+from persimmonhinge.forwarding.decisions import chooser
 from persimmonhinge.forwarding.decisions import eligibility
-from persimmonhinge.forwarding.decisions import loads as load_books
-from persimmonhinge.forwarding.decisions import openings as opening_lists
-from persimmonhinge.forwarding.decisions import suspicions as suspicion_lists
+from persimmonhinge.forwarding.decisions import loads
+from persimmonhinge.forwarding.decisions import openings
+from persimmonhinge.forwarding.decisions import suspicions
 from persimmonhinge.forwarding.decisions import warm_up_shares
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.metrics import counts
 from persimmonhinge.platform import adapter
 from persimmonhinge.platform import header
 from persimmonhinge.policies import choice_near_first
@@ -62,10 +62,10 @@
     """Keeps what was sent, the newest last."""
 
     def __init__(self) -> None:
-        self.to_upstreams: list[tuple[bytes, flows.Endpoint]] = []
+        self.to_upstreams: list[tuple[bytes, flow.Endpoint]] = []
         self.to_callers: list[tuple[bytes, int]] = []
 
-    def send_to_upstream(self, octets: bytes, address: flows.Endpoint) -> None:
+    def send_to_upstream(self, octets: bytes, address: flow.Endpoint) -> None:
         """See `forwarder.Output`."""
         self.to_upstreams.append((octets, address))
 
@@ -97,15 +97,15 @@
         self.clock = clock or Clock()
         self.randomness = randomness or random.Random(1)
         self.output = Output()
-        self.counts = host_counts.Counts()
-        self.knowledge = knowledge_parts.Knowledge(60.0, 2.2)
-        self.loads = load_books.LoadTable(self.clock)
-        self.suspicions = suspicion_lists.Suspicions()
-        self.openings = opening_lists.Openings(self.clock)
-        self.tracker = trackers.FlowTracker(
-            flow_tables.FlowTable(1000), self.loads, self.counts, self.clock
+        self.counts = counts.Counts()
+        self.knowledge = knowledge.Knowledge(60.0, 2.2)
+        self.loads = loads.LoadTable(self.clock)
+        self.suspicions = suspicions.Suspicions()
+        self.openings = openings.Openings(self.clock)
+        self.tracker = tracker.FlowTracker(
+            flow_table.FlowTable(1000), self.loads, self.counts, self.clock
         )
-        self.chooser = choosers.UpstreamChooser(
+        self.chooser = chooser.UpstreamChooser(
             domain,
             self.knowledge,
             self.loads,
@@ -118,7 +118,7 @@
             choice_near_first.NearFirstChoice(self.randomness),
             self.randomness,
         )
-        self.forwarder = forwarders.Forwarder(
+        self.forwarder = forwarder.Forwarder(
             adapter.PacketFormat(),
             self.output,
             self.knowledge,
@@ -138,20 +138,20 @@
             make_route(port, services.get(port, SERVICE))
             for port in ports or services
         ]
-        state = desired_states.DesiredState(
+        state = desired_state.DesiredState(
             version, {route.at: route for route in found}, 15.0
         )
         self.knowledge.take_state(state, "test")
         self.confirm_state()
 
     def set_repetition(
-        self, version: int, repetition: routes.Repetition
+        self, version: int, repetition: route_module.Repetition
     ) -> None:
         """Puts a version in force whose requests may all be so repeated."""
         route = records.replace(
             make_route(PORT, SERVICE), repetition=repetition
         )
-        state = desired_states.DesiredState(version, {route.at: route}, 15.0)
+        state = desired_state.DesiredState(version, {route.at: route}, 15.0)
         self.knowledge.take_state(state, "test")
 
     def confirm_state(self) -> None:
@@ -159,12 +159,14 @@
         self.knowledge.confirmed_at = self.clock.now
         self.knowledge.trust.record_answer(self.clock.now)
 
-    def add(self, upstream: upstreams.Upstream) -> upstreams.Upstream:
+    def add(
+        self, upstream: upstream_module.Upstream
+    ) -> upstream_module.Upstream:
         """Adds an upstream."""
         self.knowledge.take_upstream(upstream, self.clock.now, "test")
         return upstream
 
-    def remove_upstream(self, upstream: upstreams.Upstream) -> None:
+    def remove_upstream(self, upstream: upstream_module.Upstream) -> None:
         """Takes the entry of an upstream away."""
         self.knowledge.miss_upstream(upstream.id, self.clock.now, "test")
 
@@ -172,13 +174,16 @@
         """Has a packet come from the fabric."""
         self.forwarder.receive(octets)
 
-    def open(self, port: int = 1000, **fields: int) -> upstreams.Upstream:
+    def open(self, port: int = 1000, **fields: int) -> upstream_module.Upstream:
         """Opens a flow; returns where its first packet went."""
         self.receive(make_packet(port, SYN, **fields))
         return self.last_upstream()
 
     def continue_flow(
-        self, upstream: upstreams.Upstream, port: int = 1000, **fields: int
+        self,
+        upstream: upstream_module.Upstream,
+        port: int = 1000,
+        **fields: int,
     ) -> None:
         """Has the caller of a flow go on."""
         self.receive(make_packet(port, ACK, token=upstream.token, **fields))
@@ -188,7 +193,7 @@
         for opening in self.openings.pop_due():
             self.forwarder.open_elsewhere(opening)
 
-    def last_upstream(self) -> upstreams.Upstream:
+    def last_upstream(self) -> upstream_module.Upstream:
         """Returns where the newest packet went."""
         octets, address = self.output.to_upstreams[-1]
         number = int.from_bytes(octets[:8])
@@ -203,14 +208,14 @@
         return len(self.output.to_upstreams), len(self.output.to_callers)
 
 
-def make_route(port: int, service: ids.ServiceName) -> routes.Route:
+def make_route(port: int, service: ids.ServiceName) -> route_module.Route:
     """Returns a route at a port."""
-    return routes.Route(
+    return route_module.Route(
         name=f"route-{port}",
-        at=routes.RouteAddress(ADDRESS, port),
-        shares=(routes.Share(service, 1.0),),
+        at=route_module.RouteAddress(ADDRESS, port),
+        shares=(route_module.Share(service, 1.0),),
         priority=1,
-        repetition=routes.Repetition.IDEMPOTENT,
+        repetition=route_module.Repetition.IDEMPOTENT,
     )
 
 
@@ -219,18 +224,18 @@
     *,
     service: ids.ServiceName = SERVICE,
     domain: ids.DomainId = LOCAL_DOMAIN,
-    state: upstreams.UpstreamState = upstreams.UpstreamState.READY,
+    state: upstream_module.UpstreamState = upstream_module.UpstreamState.READY,
     token: int | None = None,
     slots: int = 2,
-) -> upstreams.Upstream:
+) -> upstream_module.Upstream:
     """Returns an upstream."""
     name = ids.UpstreamId(f"i-{number:010x}")
-    return upstreams.Upstream(
+    return upstream_module.Upstream(
         id=name,
         number=number,
         token=tokens.compute_token(name) if token is None else token,
         service=service,
-        address=flows.Endpoint(f"10.0.0.{number % 250}", 8000 + number),
+        address=flow.Endpoint(f"10.0.0.{number % 250}", 8000 + number),
         domain=domain,
         slots=slots,
         state=state,
--- a/tests/test_forwarding/test_forwarding_candidates.py
+++ b/tests/test_forwarding/test_forwarding_candidates.py
@@ -7,11 +7,11 @@
 import hypothesis
 from hypothesis import strategies
 
-from benchmarks import choice as plays
+from benchmarks import choice
 from benchmarks import choice_layouts
 from persimmonhinge import ids
-from persimmonhinge.forwarding import directory as directories
-from persimmonhinge.forwarding import upstream as upstreams
+from persimmonhinge.forwarding import directory as directory_module
+from persimmonhinge.forwarding import upstream as upstream_module
 from persimmonhinge.forwarding.decisions import candidates
 from tests.test_forwarding import scene as scenes
 
@@ -20,10 +20,10 @@
 
 
 def make_pool(
-    known: list[upstreams.Upstream],
+    known: list[upstream_module.Upstream],
 ) -> candidates.CandidatePool:
     """Returns the pool of a host that knows some upstreams."""
-    directory = directories.Directory(60.0)
+    directory = directory_module.Directory(60.0)
     for upstream in known:
         directory.put(upstream, 0.0)
     return candidates.CandidatePool(
@@ -31,10 +31,10 @@
     )
 
 
-def simulate(drawn: int) -> plays.Result:
+def simulate(drawn: int) -> choice.Result:
     """Plays 72 hosts whose reports are a second old, before busy upstreams."""
     layout = choice_layouts.LAYOUTS["grown-full"]
-    run = plays.Play(layout, "near-first", "all", drawn, _SEED)
+    run = choice.Play(layout, "near-first", "all", drawn, _SEED)
     return run.run(_DURATION_S)
 
 
@@ -58,7 +58,8 @@
         seen: list[ids.UpstreamId] = []
 
         def is_usable(
-            upstream: upstreams.Upstream, seen: list[ids.UpstreamId] = seen
+            upstream: upstream_module.Upstream,
+            seen: list[ids.UpstreamId] = seen,
         ) -> bool:
             seen.append(upstream.id)
             return True
@@ -82,7 +83,9 @@
         for n in range(far)
     ]
     other = scenes.make_upstream(40, service=scenes.OTHER_SERVICE)
-    leaving = scenes.make_upstream(41, state=upstreams.UpstreamState.DRAINING)
+    leaving = scenes.make_upstream(
+        41, state=upstream_module.UpstreamState.DRAINING
+    )
     pool = make_pool([*known, other, leaving])
     drawn = pool.draw(scenes.SERVICE, lambda u: u.number not in bad)
     names = [upstream.id for upstream in drawn]
@@ -93,7 +96,7 @@
 
 def test_draining_upstream_is_not_drawn() -> None:
     """Guards against new flows at an upstream that said that it leaves."""
-    directory = directories.Directory(60.0)
+    directory = directory_module.Directory(60.0)
     leaving = scenes.make_upstream(1)
     directory.put(leaving, 0.0)
     directory.put(scenes.make_upstream(2), 0.0)
@@ -101,7 +104,7 @@
         scenes.LOCAL_DOMAIN, directory, random.Random(_SEED)
     )
     assert len(pool.draw(scenes.SERVICE, lambda _: True)) == 2
-    directory.mark(leaving.id, upstreams.UpstreamState.DRAINING)
+    directory.mark(leaving.id, upstream_module.UpstreamState.DRAINING)
     (left,) = pool.draw(scenes.SERVICE, lambda _: True)
     assert left.id != leaving.id
 
--- a/tests/test_forwarding/test_forwarding_eligibility.py
+++ b/tests/test_forwarding/test_forwarding_eligibility.py
@@ -9,8 +9,8 @@
 
 from persimmonhinge import ids
 from persimmonhinge import records
-from persimmonhinge.forwarding import desired_state as desired_states
-from persimmonhinge.forwarding import upstream as upstreams
+from persimmonhinge.forwarding import desired_state
+from persimmonhinge.forwarding import upstream
 from tests.test_forwarding import scene as scenes
 
 _WARM_UP_S = 2.0
@@ -42,11 +42,11 @@
     limits = (
         {scenes.SERVICE: warm_up_limit_per_s} if warm_up_limit_per_s else {}
     )
-    state = desired_states.DesiredState(2, {route.at: route}, 15.0, limits)
+    state = desired_state.DesiredState(2, {route.at: route}, 15.0, limits)
     scene.knowledge.take_state(state, "test")
 
 
-def add_warming_up(scene: scenes.Scene, number: int) -> upstreams.Upstream:
+def add_warming_up(scene: scenes.Scene, number: int) -> upstream.Upstream:
     """Adds an upstream that has just started."""
     cold = records.replace(scenes.make_upstream(number), cold_s=_WARM_UP_S)
     return scene.add(cold)
--- a/tests/test_forwarding/test_forwarding_open_flows.py
+++ b/tests/test_forwarding/test_forwarding_open_flows.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from persimmonhinge.forwarding import route as routes
-from persimmonhinge.forwarding import upstream as upstreams
+from persimmonhinge.forwarding import route
+from persimmonhinge.forwarding import upstream as upstream_module
 from persimmonhinge.forwarding.decisions import answer_timeout
 from tests.test_forwarding import scene as scenes
 
@@ -11,7 +11,7 @@
 _REPEAT_INTERVAL_S = 0.2
 
 
-def open_flows(scene: scenes.Scene) -> upstreams.Upstream:
+def open_flows(scene: scenes.Scene) -> upstream_module.Upstream:
     """Opens long flows at one upstream; each has had an answer."""
     upstream = scene.add(scenes.make_upstream(1))
     for port in _CALLERS:
@@ -22,7 +22,7 @@
 
 
 def send_requests(
-    scene: scenes.Scene, upstream: upstreams.Upstream, *ports: int
+    scene: scenes.Scene, upstream: upstream_module.Upstream, *ports: int
 ) -> None:
     """Has callers send a request, or the same one again."""
     for port in ports:
@@ -39,7 +39,9 @@
         scene.handle_due_openings()
 
 
-def make_seem_silent(scene: scenes.Scene, upstream: upstreams.Upstream) -> None:
+def make_seem_silent(
+    scene: scenes.Scene, upstream: upstream_module.Upstream
+) -> None:
     """Has two callers ask and ask again, and an opening be missed."""
     send_requests(scene, upstream, 2000, 2001)
     leave_openings_unanswered(scene, 1)
@@ -175,7 +177,7 @@
     Nobody can tell whether it ran, so its caller does not repeat it.
     """
     scene = scenes.Scene()
-    scene.set_repetition(2, routes.Repetition.AT_MOST_ONCE)
+    scene.set_repetition(2, route.Repetition.AT_MOST_ONCE)
     upstream = open_flows(scene)
     make_seem_silent(scene, upstream)
     send_requests(scene, upstream, *_CALLERS)
--- a/tests/test_forwarding/test_forwarding_report_lines.py
+++ b/tests/test_forwarding/test_forwarding_report_lines.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from persimmonhinge.forwarding import load_line as load_lines
+from persimmonhinge.forwarding import load_line
 from persimmonhinge.forwarding.decisions import answer_timeout
 from persimmonhinge.forwarding.decisions import report_lines
 from tests.test_forwarding import scene as scenes
@@ -10,7 +10,7 @@
 _ENTRY_LIFE_S = 60.0
 
 
-def list_lines(scene: scenes.Scene) -> list[load_lines.LoadLine]:
+def list_lines(scene: scenes.Scene) -> list[load_line.LoadLine]:
     return report_lines.list_report_lines(
         scene.knowledge, scene.loads, scene.suspicions, scene.clock.now
     )
