--- a/persimmonhinge/policies/__init__.py
+++ b/persimmonhinge/policies/__init__.py
@@ -1,1 +1,1 @@
-"""Policies that a contract or the settings name."""
+"""Policies that contracts and settings refer to by name."""
--- a/persimmonhinge/policies/admission.py
+++ b/persimmonhinge/policies/admission.py
@@ -1,4 +1,4 @@
-"""Which requests a keeper refuses at once."""
+"""Admission policies: which requests a keeper refuses on arrival."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pressure:
-    """What a new request finds at its upstream.
+    """Load of an upstream and its queue when a new request arrives.
 
     Attributes:
-        slots: Slots that may be used now; at least 1.
-        free_slots: Those that hold nothing.
-        left_s: Time until the deadline of the request, seconds.
-        cost_s: How long the request will hold a slot, seconds.
+        slots: Number of slots that may be used now; at least 1.
+        free_slots: Number of these slots that are free.
+        time_left_s: Time until the deadline of the new request, seconds.
+        cost_s: Time for which the new request will hold a slot, seconds.
         running_s: Slot time that the running requests still need, seconds.
-        ahead_s: Slot time that the waiting requests need which go before
-            this one, seconds.
-        queued_s: Slot time that all waiting requests need, seconds.
+        ahead_s: Slot time that the queued requests ahead of the new one
+            need, seconds.
+        queued_s: Slot time that all queued requests need, seconds.
     """
 
     slots: int
@@ -40,21 +40,21 @@
 
     @property
     def expected_finish_s(self) -> float:
-        """Time until the answer, if nothing more urgent comes, seconds."""
+        """Time until the answer if no more urgent request arrives, seconds."""
         wait_s = (self.running_s + self.ahead_s) / self.slots
         return wait_s + self.cost_s
 
     @property
     def queue_drain_s(self) -> float:
-        """Time until all that waits now has been served, seconds."""
+        """Time until all requests now in the queue are served, seconds."""
         return (self.running_s + self.queued_s) / self.slots
 
 
 class AdmissionPolicy(Protocol):
-    """Decides whether a request may wait."""
+    """Decides whether a new request may enter the queue."""
 
     def admits(self, pressure: Pressure) -> bool:
-        """Tells whether a request may wait for a slot."""
+        """Returns whether a request may wait for a slot."""
 
 
 admission_policies: registry.Registry[type[AdmissionPolicy]] = (
@@ -64,7 +64,7 @@
 
 @admission_policies.register("open")
 class OpenAdmission:
-    """Lets all requests wait; only the limit of the queue refuses."""
+    """Admits all requests, up to the limit of the queue."""
 
     def admits(self, pressure: Pressure) -> bool:
         """Returns True."""
@@ -73,42 +73,45 @@
 
 @admission_policies.register("deadline")
 class DeadlineAdmission:
-    """Lets a request wait only if its deadline can be met.
+    """Admits a request only if it can be answered before its deadline.
 
-    A caller that is refused at once can go elsewhere; one that is let in
-    and dropped at its deadline has waited for nothing, and its place in the
-    queue was lost to others.
+    A caller that is refused on arrival can try another service. A request
+    that is admitted and then dropped at its deadline wastes its caller's
+    time and takes a place in the queue that another could have used.
     """
 
     def admits(self, pressure: Pressure) -> bool:
-        """Tells whether the request ends before its deadline."""
+        """Returns whether the request can end before its deadline."""
         if pressure.free_slots > 0 and pressure.ahead_s <= 0:
-            # With a slot at hand, trying costs nobody else anything.
+            # A free slot that no earlier request needs delays no other request.
             return True
         return pressure.expected_finish_s <= pressure.time_left_s
 
 
 def make_admission_policy(name: str) -> AdmissionPolicy:
-    """Returns a policy; the default one if there is none of the name."""
+    """Returns the named policy, or the default one if the name is unknown."""
     if name not in admission_policies.names():
         logger.warning(
-            "No admission policy %r; %s is used.", name, _DEFAULT_POLICY
+            "Unknown admission policy %r; using %s.", name, _DEFAULT_POLICY
         )
         name = _DEFAULT_POLICY
     return admission_policies.get(name)()
 
 
 def choose_retry_delay_s(pressure: Pressure, randomness: random.Random) -> int:
-    """Returns when a refused caller may come back, seconds, at least 1.
+    """Returns the delay before a refused caller may retry, seconds, min. 1.
 
-    Guards against a wave of returns: callers that are refused together and
-    told the same time would come back together and be refused again. The
-    times are spread over as long as the queue takes to drain.
+    Callers that are refused together and receive the same delay would retry
+    together and be refused again. The delays are spread over the time that
+    the queue takes to drain.
     """
     return add_jitter_s(math.ceil(pressure.queue_drain_s), randomness)
 
 
 def add_jitter_s(base_s: int, randomness: random.Random) -> int:
-    """Returns a time from a base to its double, seconds, at least 1."""
+    """Returns a random time between a base and twice the base, seconds.
+
+    A base below 1 counts as 1.
+    """
     base_s = max(1, base_s)
     return base_s + randomness.randint(0, base_s)
--- a/persimmonhinge/policies/builtin.py
+++ b/persimmonhinge/policies/builtin.py
@@ -1,4 +1,4 @@
-"""Enters all policies in their registries."""
+"""Registers all built-in choice and order policies."""
 
 from persimmonhinge.policies import choice_free_slot
 from persimmonhinge.policies import choice_least_connections
@@ -11,7 +11,7 @@
 from persimmonhinge.policies import order_fifo
 from persimmonhinge.policies import order_priority
 
-# Importing a module enters its policy in the registry.
+# Importing a module registers its policy.
 __all__ = [
     "choice_free_slot",
     "choice_least_connections",
--- a/persimmonhinge/policies/choice.py
+++ b/persimmonhinge/policies/choice.py
@@ -1,4 +1,4 @@
-"""How an upstream is chosen: what the policies share."""
+"""Common parts of the policies that choose an upstream."""
 
 from __future__ import annotations
 
@@ -17,16 +17,19 @@
 
 
 class Candidate(records.Record, frozen=True):
-    """An upstream that could take the work, as this host sees it.
+    """An upstream that may receive new work, and its load as this host sees it.
+
+    Loads are numbers of requests or feeds.
 
     Attributes:
         upstream: The upstream.
-        capacity: Slots or connections, times the trust in the upstream.
-        load: Work that it has, as last reported by its keeper and corrected
-            by what this host began and ended since.
-        own: The part of the load that this host gave it.
-        recent: Work that this host gave it lately, ended or not.
-        near: False if it is in another failure domain than this host.
+        capacity: Number of slots or connections, reduced for an upstream that
+            fails, is slow or is warming up.
+        load: Work in progress, as last reported by its keeper or by other
+            hosts, and corrected for what this host started and ended since.
+        own_load: The part of `load` that this host sent.
+        recent_load: Work that was recently sent, in progress or ended.
+        same_domain: Whether the upstream is in this host's failure domain.
     """
 
     upstream: ids.UpstreamId
@@ -38,12 +41,16 @@
 
     @property
     def relative_load(self) -> float:
-        """Load for each unit of capacity, the new work included."""
+        """Load per unit of capacity, including the new work."""
         return (self.load + 1) / self.capacity
 
     @property
     def slot_round(self) -> int:
-        """In which turn of its slots the new work would run, from 1."""
+        """Number of the pass over its slots in which the new work would run.
+
+        It is 1 if a slot is free for the new work, 2 if the work has to wait
+        until each slot has served one more request, and so on.
+        """
         return math.ceil(self.relative_load)
 
 
@@ -51,26 +58,26 @@
     """Chooses one of several candidates.
 
     Attributes:
-        asks: True to ask the chosen upstream's keeper for a slot that is
-            free at once, and to choose again if there is none.
-        for_feeds: Name of the policy that chooses for feeds; empty for the
-            same. Feeds hold no slots, and last.
+        requires_free_slot: Whether to request a slot that is free now from
+            the chosen upstream's keeper, and to choose again if there is none.
+        feed_policy: Name of the policy that chooses upstreams for feeds;
+            empty if this policy does. Feeds hold no slots and are long-lived.
     """
 
     requires_free_slot: ClassVar[bool] = False
     feed_policy: ClassVar[str] = ""
 
     def __init__(self, randomness: random.Random) -> None:
-        """Makes a policy with its own state.
+        """Creates a policy with its own state.
 
         Args:
-            randomness: Source of its random numbers.
+            randomness: Source of random numbers.
         """
         self._random = randomness
 
     @abc.abstractmethod
     def choose(self, candidates: Sequence[Candidate]) -> Candidate:
-        """Returns one of the candidates, of which there is at least one."""
+        """Returns one of the candidates, which must not be empty."""
 
 
 choice_policies: registry.Registry[type[ChoicePolicy]] = registry.Registry(
--- a/persimmonhinge/policies/choice_free_slot.py
+++ b/persimmonhinge/policies/choice_free_slot.py
@@ -1,4 +1,4 @@
-"""A candidate with a slot free, the one that had least of late."""
+"""Policy that prefers upstreams with a free slot."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 
 @choice.choice_policies.register("free-slot")
 class FreeSlotChoice(choice.ChoicePolicy):
-    """Takes what can run the work first, and asks its keeper for a slot.
+    """Chooses the upstream that can run the work first and requests a slot.
 
-    Guards against choice by reports that are older than a request runs for:
-    requests wait at one upstream while another one idles. The keeper alone
-    knows what is free, and says so at the cost of one message and only
-    where there was none.
+    Load reports are older than most requests run for, so a choice by reports
+    alone lets requests wait at one upstream while another is idle. Only the
+    keeper has the current number of free slots. It refuses a request for
+    which no slot is free, and that refusal costs one message.
 
-    Of those that can run it equally soon, the one that got least from this
-    host of late is taken. So work is spread more evenly than by chance also
-    where all are idle and no load tells them apart.
+    Among upstreams that can run the work equally soon, the one that received
+    least work from this host recently is chosen. This spreads work more
+    evenly than a random choice even if all upstreams are idle and their loads
+    are equal.
     """
 
     asks = True
--- a/persimmonhinge/policies/choice_least_connections.py
+++ b/persimmonhinge/policies/choice_least_connections.py
@@ -1,4 +1,4 @@
-"""The candidate with least work of this host."""
+"""Policy that chooses the upstream with the least work of this host."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 @choice.choice_policies.register("least-connections")
 class LeastConnectionsChoice(choice.ChoicePolicy):
-    """Takes what has least of this host's own work: one host's sight."""
+    """Chooses by this host's own load alone, relative to capacity.
+
+    Work that other hosts send is ignored.
+    """
 
     def choose(
         self, candidates: Sequence[choice.Candidate]
--- a/persimmonhinge/policies/choice_least_loaded.py
+++ b/persimmonhinge/policies/choice_least_loaded.py
@@ -1,4 +1,4 @@
-"""The candidate with the least load."""
+"""Policy that chooses the upstream with the least load."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 @choice.choice_policies.register("least-loaded")
 class LeastLoadedChoice(choice.ChoicePolicy):
-    """Takes the least load as the keepers report it, corrected for age."""
+    """Chooses the least load relative to capacity.
+
+    The load comes from the keepers' reports, corrected for their age.
+    """
 
     def choose(
         self, candidates: Sequence[choice.Candidate]
--- a/persimmonhinge/policies/choice_near_first.py
+++ b/persimmonhinge/policies/choice_near_first.py
@@ -1,4 +1,4 @@
-"""The least loaded candidate, rather in the host's own failure domain."""
+"""Policy that prefers upstreams in the host's own failure domain."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 
 from persimmonhinge.policies import choice
 
-# How much fuller, as a share of its slots, a candidate of the own failure
-# domain may be than one elsewhere and still be preferred.
+# Load in excess of an upstream in another failure domain up to which an
+# upstream in the own domain is preferred, as a share of its capacity.
 _OTHER_DOMAIN_PENALTY = 0.8
+# Weight of the current load; the recent load has the remaining weight.
 _CURRENT_LOAD_WEIGHT = 0.5
 
 
 @choice.choice_policies.register("near-first")
 class NearFirstChoice(choice.ChoicePolicy):
-    """Leaves the failure domain only where it is clearly fuller.
+    """Leaves the own failure domain only if it is clearly more loaded.
 
-    A flow that stays within its domain is whole while domains are cut off
-    from each other.
+    A flow that stays within its domain continues while the domains are
+    partitioned from each other.
     """
 
     def choose(
--- a/persimmonhinge/policies/choice_power_of_two.py
+++ b/persimmonhinge/policies/choice_power_of_two.py
@@ -1,4 +1,4 @@
-"""The less loaded of two candidates."""
+"""Policy that chooses the less loaded of two random upstreams."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @choice.choice_policies.register("power-of-two")
 class PowerOfTwoChoice(choice.ChoicePolicy):
-    """Takes the less loaded of two that are drawn by capacity.
+    """Chooses the less loaded of two upstreams drawn in proportion to capacity.
 
-    Hosts that share one old report do not all run to the same upstream, as
-    they would if each took the least loaded.
+    If each host chose the least loaded upstream, all hosts that share one old
+    report would choose the same one.
     """
 
     def choose(
--- a/persimmonhinge/policies/choice_random.py
+++ b/persimmonhinge/policies/choice_random.py
@@ -1,4 +1,4 @@
-"""Any candidate."""
+"""Policy that chooses a random upstream."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @choice.choice_policies.register("random")
 class RandomChoice(choice.ChoicePolicy):
-    """Takes any candidate, blind to load: the plain baseline."""
+    """Chooses at random and ignores load; a baseline for other policies."""
 
     def choose(
         self, candidates: Sequence[choice.Candidate]
--- a/persimmonhinge/policies/choice_round_robin.py
+++ b/persimmonhinge/policies/choice_round_robin.py
@@ -1,4 +1,4 @@
-"""One candidate after the other."""
+"""Policy that chooses the upstreams in rotation."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @choice.choice_policies.register("round-robin")
 class RoundRobinChoice(choice.ChoicePolicy):
-    """Takes candidates in turn, blind to load."""
+    """Chooses the candidates in rotation and ignores load."""
 
     def __init__(self, randomness: random.Random) -> None:
         """See `ChoicePolicy`."""
         super().__init__(randomness)
-        # Hosts that all began with the first would load it together.
+        # A random start keeps hosts from all choosing the first upstream first.
         self._next = randomness.randrange(1_000_000)
 
     def choose(
--- a/persimmonhinge/policies/order.py
+++ b/persimmonhinge/policies/order.py
@@ -1,4 +1,4 @@
-"""In which order a keeper serves its queue: what the policies share."""
+"""Common parts of the policies that order a keeper's queue."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class QueuedWork(Protocol):
-    """Work that waits for a slot, as the policies see it.
+    """Work that waits for a slot.
 
     Attributes:
         call_class: Name of its call class.
-        priority: 0 goes first.
+        priority: Priority; 0 is the most urgent.
         deadline: Time of its deadline, seconds.
-        sequence: Number of its arrival.
-        share: Part of the slots that is kept for its class.
-        cost_s: How long it will hold a slot, as far as is known, seconds.
+        sequence: Sequence number in order of arrival.
+        share: Share of the slots that is reserved for its call class, 0 to 1.
+        cost_s: Estimated time for which it will hold a slot, seconds.
     """
 
     @property
@@ -59,79 +59,79 @@
 class OrderedQueue(abc.ABC):
     """A queue in the order of a policy.
 
-    Each call class has a sorted list of its own, so that a policy can look
-    at the first of each class; there are few classes and the lists are
-    short, because a contract limits its queue.
+    Each call class has its own sorted list, so that a policy can compare the
+    heads of the classes. Insertion into a list is cheap enough: there are few
+    classes, and the contract limits the length of the queue.
     """
 
     def __init__(self) -> None:
         self._by_class: dict[ids.CallClassName, list[_QueueEntry]] = {}
 
     def __len__(self) -> int:
-        return sum(len(places) for places in self._by_class.values())
+        return sum(len(entries) for entries in self._by_class.values())
 
     def __iter__(self) -> Iterator[QueuedWork]:
-        for places in self._by_class.values():
-            for place in places:
-                yield place.work
+        for entries in self._by_class.values():
+            for entry in entries:
+                yield entry.work
 
     @abc.abstractmethod
     def sort_key(self, work: QueuedWork) -> SortKey:
-        """Returns what decides between two; the lesser goes first.
+        """Returns the key to sort work by; lower keys go first.
 
-        It is unique: it ends with the number of arrival.
+        Keys are unique, because each ends with the sequence number.
         """
 
     def push(self, work: QueuedWork) -> None:
-        """Adds work."""
-        places = self._by_class.setdefault(work.call_class, [])
-        bisect.insort(places, _QueueEntry(self.sort_key(work), work))
+        """Adds work to the queue."""
+        entries = self._by_class.setdefault(work.call_class, [])
+        bisect.insort(entries, _QueueEntry(self.sort_key(work), work))
 
     def pop(self) -> QueuedWork:
         """Removes and returns the work that goes next.
 
         Raises:
-            IndexError: Nothing waits.
+            IndexError: The queue is empty.
         """
-        heads = [places[0] for places in self._by_class.values()]
+        heads = [entries[0] for entries in self._by_class.values()]
         if not heads:
-            raise IndexError("nothing waits")
+            raise IndexError("pop from an empty queue")
         chosen = self.choose_next([head.work for head in heads])
         self.discard(chosen)
         return chosen
 
     def choose_next(self, heads: list[QueuedWork]) -> QueuedWork:
-        """Returns the one to go next of the first of each class."""
+        """Returns the work that goes next, given the head of each class."""
         return min(heads, key=self.sort_key)
 
     def discard(self, work: QueuedWork) -> None:
-        """Removes work; what does not wait here is passed over."""
-        places = self._by_class.get(work.call_class, [])
-        place = _QueueEntry(self.sort_key(work), work)
-        index = bisect.bisect_left(places, place)
-        if index == len(places) or places[index].work is not work:
+        """Removes work; does nothing if the work is not in the queue."""
+        entries = self._by_class.get(work.call_class, [])
+        entry = _QueueEntry(self.sort_key(work), work)
+        index = bisect.bisect_left(entries, entry)
+        if index == len(entries) or entries[index].work is not work:
             return
-        del places[index]
-        if not places:
+        del entries[index]
+        if not entries:
             del self._by_class[work.call_class]
 
     def list_ahead(self, work: QueuedWork) -> list[QueuedWork]:
-        """Returns the work that would go before new work."""
-        place = _QueueEntry(self.sort_key(work), work)
+        """Returns the queued work that would go before new work."""
+        entry = _QueueEntry(self.sort_key(work), work)
         ahead: list[QueuedWork] = []
-        for places in self._by_class.values():
-            index = bisect.bisect_left(places, place)
-            ahead += [p.work for p in places[:index]]
+        for entries in self._by_class.values():
+            index = bisect.bisect_left(entries, entry)
+            ahead += [earlier.work for earlier in entries[:index]]
         return ahead
 
     def count_waiting(self, call_class: ids.CallClassName) -> int:
-        """Returns how much work of a class waits."""
+        """Returns the number of queued requests of a call class."""
         return len(self._by_class.get(call_class, ()))
 
     def list_tails(self) -> list[QueuedWork]:
-        """Returns the last of each class, the last of all first."""
-        tails = [places[-1] for places in self._by_class.values()]
-        return [place.work for place in sorted(tails, reverse=True)]
+        """Returns the last work of each call class, least urgent first."""
+        tails = [entries[-1] for entries in self._by_class.values()]
+        return [entry.work for entry in sorted(tails, reverse=True)]
 
 
 order_policies: registry.Registry[type[OrderedQueue]] = registry.Registry(
@@ -142,12 +142,14 @@
 
 
 def make_queue(name: str) -> OrderedQueue:
-    """Returns an empty queue of a policy.
+    """Returns an empty queue of the named policy.
 
-    A contract may name a policy of a newer version; this host then serves by
-    the default rather than not at all.
+    A contract may name a policy that only a newer version has. This host then
+    uses the default policy, so that it still serves the contract.
     """
     if name not in order_policies.names():
-        logger.warning("No order policy %r; %s is used.", name, _DEFAULT_POLICY)
+        logger.warning(
+            "Unknown order policy %r; using %s.", name, _DEFAULT_POLICY
+        )
         name = _DEFAULT_POLICY
     return order_policies.get(name)()
--- a/persimmonhinge/policies/order_deadline.py
+++ b/persimmonhinge/policies/order_deadline.py
@@ -1,4 +1,4 @@
-"""Earliest deadline first."""
+"""Queue that serves the earliest deadline first."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 @order.order_policies.register("deadline")
 class DeadlineQueue(order.OrderedQueue):
-    """Serves in order of deadlines, whatever the priority."""
+    """Serves in order of deadlines and ignores priorities."""
 
     def sort_key(self, work: order.QueuedWork) -> order.SortKey:
-        """Returns the deadline, then the number of arrival."""
+        """Returns the deadline and the sequence number."""
         return (work.deadline, work.sequence)
--- a/persimmonhinge/policies/order_fifo.py
+++ b/persimmonhinge/policies/order_fifo.py
@@ -1,4 +1,4 @@
-"""First come, first served."""
+"""Queue that serves in order of arrival."""
 
 from __future__ import annotations
 
@@ -10,5 +10,5 @@
     """Serves in order of arrival."""
 
     def sort_key(self, work: order.QueuedWork) -> order.SortKey:
-        """Returns the number of arrival."""
+        """Returns the sequence number."""
         return (work.sequence,)
--- a/persimmonhinge/policies/order_priority.py
+++ b/persimmonhinge/policies/order_priority.py
@@ -1,4 +1,4 @@
-"""Most valuable first, with a guaranteed share for the rest."""
+"""Queue that serves by priority and guarantees shares to call classes."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 @order.order_policies.register("priority")
 class PriorityQueue(order.OrderedQueue):
-    """Serves by priority, then earliest deadline, and keeps the shares.
-
-    Guards against starvation: under a steady load of valuable calls a class
-    of low priority would never run. While a class with a share waits, it
-    earns its share of the time that the slots give to others; once it has
-    earned the cost of its first work, that goes next. A class that waits
-    for nothing earns nothing, so what it leaves idle goes to the others and
-    it can't save up for a burst.
+    """Serves by priority, then by deadline, and guarantees the shares.
+
+    Without shares, a class of low priority would starve under a steady load
+    of calls of high priority. While a class with a share has queued work, it
+    gains credit: its share of the slot time that is assigned to any class.
+    Once its credit covers the cost of the first work in its queue, that work
+    goes next. A class with an empty queue gains no credit, so the other
+    classes use its share, and it can't accumulate credit for a burst.
     """
 
     def __init__(self) -> None:
@@ -23,18 +23,22 @@
         self._credit_s: dict[ids.CallClassName, float] = {}
 
     def sort_key(self, work: order.QueuedWork) -> order.SortKey:
-        """Returns priority, deadline and number of arrival."""
+        """Returns the priority, the deadline and the sequence number."""
         return (work.priority, work.deadline, work.sequence)
 
     def choose_next(self, heads: list[order.QueuedWork]) -> order.QueuedWork:
-        """Returns the first of a class that earned it, or the most urgent."""
+        """Returns the head of a class with enough credit, else the most urgent.
+
+        If several classes have enough credit, the most urgent head of these
+        is returned.
+        """
         due = [head for head in heads if self._has_credit(head)]
         chosen = min(due or heads, key=self.sort_key)
         self._update_credit(heads, chosen)
         return chosen
 
     def discard(self, work: order.QueuedWork) -> None:
-        """Removes work; a class of which nothing waits earns nothing."""
+        """Removes work; a class whose queue is now empty loses its credit."""
         super().discard(work)
         if not self.count_waiting(work.call_class):
             self._credit_s.pop(work.call_class, None)
@@ -50,9 +54,9 @@
         for head in heads:
             if head.share <= 0:
                 continue
-            earned_s = self._credit_s.get(head.call_class, 0.0)
-            earned_s += head.share * chosen.cost_s
+            credit_s = self._credit_s.get(head.call_class, 0.0)
+            credit_s += head.share * chosen.cost_s
             if head is chosen:
-                # Going first by its priority alone makes no debt.
-                earned_s = max(0.0, earned_s - chosen.cost_s)
-            self._credit_s[head.call_class] = earned_s
+                # A class that goes first by its priority owes no credit.
+                credit_s = max(0.0, credit_s - chosen.cost_s)
+            self._credit_s[head.call_class] = credit_s
--- a/persimmonhinge/random_sampling.py
+++ b/persimmonhinge/random_sampling.py
@@ -1,6 +1,7 @@
-"""Draws of lots, for what a host needs before its first packet.
+"""Random selection for code that runs before a host's first packet.
 
-`random` draws in hashes and more, which a host does not need before that.
+`random` imports `hashlib` and other modules that a host does not need that
+early, so this module uses `_random` instead.
 """
 
 from __future__ import annotations
@@ -12,19 +13,19 @@
 
 T = TypeVar("T")
 
-# Seeded by the system.
+# Seeded by the operating system.
 generator = _random.Random()
 
 
 def choose(items: Sequence[T]) -> T:
-    """Returns one of some things, of which there is at least one."""
+    """Returns a random item of a sequence that is not empty."""
     return items[int(generator.random() * len(items))]
 
 
 def sample(items: Sequence[T], max_count: int) -> list[T]:
-    """Returns some of the things, each at most once, in any order."""
-    left = list(items)
+    """Returns up to `max_count` random items, each at most once."""
+    remaining = list(items)
     drawn: list[T] = []
-    while left and len(drawn) < max_count:
-        drawn.append(left.pop(int(generator.random() * len(left))))
+    while remaining and len(drawn) < max_count:
+        drawn.append(remaining.pop(int(generator.random() * len(remaining))))
     return drawn
--- a/persimmonhinge/registry.py
+++ b/persimmonhinge/registry.py
@@ -1,4 +1,4 @@
-"""A registry of named behaviour, filled by decorators."""
+"""Registries that map names to implementations."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Registry(Generic[T]):
-    """Maps names to behaviour of one kind.
+    """Maps names to the implementations of one kind.
 
     Attributes:
-        kind: What the entries are, for error texts.
+        kind: Description of an entry, used in error messages.
     """
 
     def __init__(self, kind: str) -> None:
@@ -22,10 +22,10 @@
         self._entries: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Returns a decorator that enters its argument under a name.
+        """Returns a decorator that registers its argument under a name.
 
         Raises:
-            ValueError: The name is taken.
+            ValueError: The name is already registered.
         """
 
         def add_entry(entry: T) -> T:
@@ -37,10 +37,11 @@
         return add_entry
 
     def get(self, name: str) -> T:
-        """Returns the entry of a name.
+        """Returns the entry that is registered under a name.
 
         Raises:
-            KeyError: No entry has this name; the text lists those there are.
+            KeyError: No entry has this name. The message lists the names
+                that are registered.
         """
         if name not in self._entries:
             known = ", ".join(self.names())
@@ -48,5 +49,5 @@
         return self._entries[name]
 
     def names(self) -> list[str]:
-        """Returns all names in order."""
+        """Returns all registered names in alphabetical order."""
         return sorted(self._entries)
