--- a/tests/test_forwarding/scene.py
+++ b/tests/test_forwarding/scene.py
@@ -1,4 +1,4 @@
-"""A host that forwards packets, without sockets and with a clock by hand."""
+"""A forwarding host for tests, without sockets and with a manual clock."""
 
 from __future__ import annotations
 
@@ -44,22 +44,22 @@
 
 
 class Clock:
-    """A clock that stands still until it is moved."""
+    """A clock that only advances by `sleep`."""
 
     def __init__(self) -> None:
         self.now = 100.0
 
     def __call__(self) -> float:
-        """Returns the time."""
+        """Returns the current time, seconds."""
         return self.now
 
     def sleep(self, time_s: float) -> None:
-        """Moves it on."""
+        """Advances the clock."""
         self.now += time_s
 
 
 class Output:
-    """Keeps what was sent, the newest last."""
+    """Records the sent datagrams, the newest last."""
 
     def __init__(self) -> None:
         self.to_upstreams: list[tuple[bytes, flow.Endpoint]] = []
@@ -75,7 +75,7 @@
 
 
 class Scene:
-    """One host, with two services of which each has a route."""
+    """A host with two services that have one route each."""
 
     def __init__(
         self,
@@ -85,13 +85,13 @@
         host: str = "host-0",
         others: Sequence[str] = (),
     ) -> None:
-        """Makes a host.
+        """Creates a host.
 
         Args:
-            clock: Its clock.
-            domain: Its failure domain.
-            randomness: Source of its random numbers.
-            host: Its name.
+            clock: Clock of the host.
+            domain: Failure domain of the host.
+            randomness: Source of random numbers.
+            host: Name of the host.
             others: Names of the other hosts.
         """
         self.clock = clock or Clock()
@@ -132,7 +132,7 @@
         self.set_state(1)
 
     def set_state(self, version: int, *ports: int) -> None:
-        """Puts a desired state in force, with routes at the ports."""
+        """Applies a desired state with routes at the given ports or at both."""
         services = {PORT: SERVICE, OTHER_PORT: OTHER_SERVICE}
         found = [
             make_route(port, services.get(port, SERVICE))
@@ -147,7 +147,7 @@
     def set_repetition(
         self, version: int, repetition: route_module.Repetition
     ) -> None:
-        """Puts a version in force whose requests may all be so repeated."""
+        """Applies a desired state whose one route has a rule for repetition."""
         route = records.replace(
             make_route(PORT, SERVICE), repetition=repetition
         )
@@ -155,27 +155,27 @@
         self.knowledge.take_state(state, "test")
 
     def confirm_state(self) -> None:
-        """Has the store say that nothing is newer."""
+        """Confirms the current state, as an answer of the store does."""
         self.knowledge.confirmed_at = self.clock.now
         self.knowledge.trust.record_answer(self.clock.now)
 
     def add(
         self, upstream: upstream_module.Upstream
     ) -> upstream_module.Upstream:
-        """Adds an upstream."""
+        """Adds the entry of an upstream."""
         self.knowledge.take_upstream(upstream, self.clock.now, "test")
         return upstream
 
     def remove_upstream(self, upstream: upstream_module.Upstream) -> None:
-        """Takes the entry of an upstream away."""
+        """Removes the entry of an upstream."""
         self.knowledge.miss_upstream(upstream.id, self.clock.now, "test")
 
     def receive(self, octets: bytes) -> None:
-        """Has a packet come from the fabric."""
+        """Receives a packet from the fabric."""
         self.forwarder.receive(octets)
 
     def open(self, port: int = 1000, **fields: int) -> upstream_module.Upstream:
-        """Opens a flow; returns where its first packet went."""
+        """Sends an opening packet and returns the upstream that it went to."""
         self.receive(make_packet(port, SYN, **fields))
         return self.last_upstream()
 
@@ -185,26 +185,26 @@
         port: int = 1000,
         **fields: int,
     ) -> None:
-        """Has the caller of a flow go on."""
+        """Sends the next packet of a flow from its caller."""
         self.receive(make_packet(port, ACK, token=upstream.token, **fields))
 
     def handle_due_openings(self) -> None:
-        """Handles the opening packets that were not answered."""
+        """Handles the opening packets that were not answered in time."""
         for opening in self.openings.pop_due():
             self.forwarder.open_elsewhere(opening)
 
     def last_upstream(self) -> upstream_module.Upstream:
-        """Returns where the newest packet went."""
+        """Returns the upstream that the newest packet went to."""
         octets, address = self.output.to_upstreams[-1]
         number = int.from_bytes(octets[:8])
         for upstream in self.knowledge.directory.all():
             if upstream.number == number:
                 assert upstream.address == address
                 return upstream
-        raise AssertionError("sent to no upstream that is known")
+        raise AssertionError("the newest packet went to an unknown upstream")
 
     def count_sent(self) -> tuple[int, int]:
-        """Returns how many packets went to upstreams and to callers."""
+        """Returns the numbers of packets to upstreams and to callers."""
         return len(self.output.to_upstreams), len(self.output.to_callers)
 
 
@@ -252,7 +252,7 @@
     data: int = 0,
     service_port: int = PORT,
 ) -> bytes:
-    """Returns a packet of a caller, with so many octets of data."""
+    """Returns a packet of a caller with `data` octets of payload."""
     head = header.HEAD.pack(
         token,
         sequence,
@@ -276,7 +276,7 @@
 
 @contextlib.contextmanager
 def failing_store(scene: Scene) -> Iterator[None]:
-    """Has the store fail meanwhile; it answers afterwards."""
+    """Makes the store fail within the context and return after it."""
     scene.knowledge.trust.record_failure()
     yield
     scene.confirm_state()
--- a/tests/test_forwarding/test_forwarding_candidates.py
+++ b/tests/test_forwarding/test_forwarding_candidates.py
@@ -1,4 +1,4 @@
-"""Tests of the upstreams that a host compares for a new flow."""
+"""Tests of the sample of upstreams that a host compares for a new flow."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 def make_pool(
     known: list[upstream_module.Upstream],
 ) -> candidates.CandidatePool:
-    """Returns the pool of a host that knows some upstreams."""
+    """Returns the pool of a host that knows the given upstreams."""
     directory = directory_module.Directory(60.0)
     for upstream in known:
         directory.put(upstream, 0.0)
@@ -32,70 +32,70 @@
 
 
 def simulate(drawn: int) -> choice.Result:
-    """Plays 72 hosts whose reports are a second old, before busy upstreams."""
+    """Simulates 72 hosts with busy upstreams and reports one second old."""
     layout = choice_layouts.LAYOUTS["grown-full"]
     run = choice.Play(layout, "near-first", "all", drawn, _SEED)
     return run.run(_DURATION_S)
 
 
 def test_hosts_with_old_reports_do_not_all_choose_one_upstream() -> None:
-    """Guards against upstreams that shed while others have nothing to do.
+    """Guards against upstreams that shed requests while others are idle.
 
-    Hosts that compare all upstreams by the same old reports choose the same
-    one until the next reports.
+    Hosts that compare all upstreams by the same old reports would choose the
+    same upstream until the next reports arrive.
     """
-    of_all = simulate(drawn=0)
-    of_few = simulate(drawn=candidates.SAMPLE_SIZE)
-    assert of_few.shed < of_all.shed / 5
-    assert of_few.wait_ms < of_all.wait_ms
+    compare_all = simulate(drawn=0)
+    compare_sample = simulate(drawn=candidates.SAMPLE_SIZE)
+    assert compare_sample.shed < compare_all.shed / 5
+    assert compare_sample.wait_ms < compare_all.wait_ms
 
 
 def test_choice_examines_no_more_among_thousands() -> None:
-    """Guards against openings that take the longer the more upstreams are."""
-    looked: dict[int, int] = {}
+    """Guards against choices that take longer the more upstreams there are."""
+    examined_counts: dict[int, int] = {}
     for count in (75, 5_000):
         pool = make_pool([scenes.make_upstream(n) for n in range(count)])
-        seen: list[ids.UpstreamId] = []
+        examined: list[ids.UpstreamId] = []
 
         def is_usable(
             upstream: upstream_module.Upstream,
-            seen: list[ids.UpstreamId] = seen,
+            examined: list[ids.UpstreamId] = examined,
         ) -> bool:
-            seen.append(upstream.id)
+            examined.append(upstream.id)
             return True
 
         pool.draw(scenes.SERVICE, is_usable)
-        looked[count] = len(seen)
-    assert looked[5_000] <= looked[75]
+        examined_counts[count] = len(examined)
+    assert examined_counts[5_000] <= examined_counts[75]
 
 
 @hypothesis.given(
-    near=strategies.integers(0, 12),
-    far=strategies.integers(0, 12),
-    bad=strategies.sets(strategies.integers(0, 23)),
+    local_count=strategies.integers(0, 12),
+    remote_count=strategies.integers(0, 12),
+    unusable=strategies.sets(strategies.integers(0, 23)),
 )
 def test_only_usable_upstreams_of_the_service_are_drawn(
-    near: int, far: int, bad: set[int]
+    local_count: int, remote_count: int, unusable: set[int]
 ) -> None:
-    known = [scenes.make_upstream(n) for n in range(near)]
+    known = [scenes.make_upstream(n) for n in range(local_count)]
     known += [
         scenes.make_upstream(12 + n, domain=scenes.OTHER_DOMAIN)
-        for n in range(far)
+        for n in range(remote_count)
     ]
     other = scenes.make_upstream(40, service=scenes.OTHER_SERVICE)
     leaving = scenes.make_upstream(
         41, state=upstream_module.UpstreamState.DRAINING
     )
     pool = make_pool([*known, other, leaving])
-    drawn = pool.draw(scenes.SERVICE, lambda u: u.number not in bad)
+    drawn = pool.draw(scenes.SERVICE, lambda u: u.number not in unusable)
     names = [upstream.id for upstream in drawn]
     assert len(set(names)) == len(names) <= 2 * candidates.SAMPLE_SIZE
-    assert all(upstream.number not in bad for upstream in drawn)
+    assert all(upstream.number not in unusable for upstream in drawn)
     assert set(names) <= {upstream.id for upstream in known}
 
 
 def test_draining_upstream_is_not_drawn() -> None:
-    """Guards against new flows at an upstream that said that it leaves."""
+    """Guards against new flows at an upstream that announced that it drains."""
     directory = directory_module.Directory(60.0)
     leaving = scenes.make_upstream(1)
     directory.put(leaving, 0.0)
@@ -110,7 +110,7 @@
 
 
 def test_flow_goes_to_the_one_good_upstream_among_many_suspected() -> None:
-    """Guards against a draw that misses the only upstream that answers."""
+    """Guards against a sample without the only upstream that answers."""
     scene = scenes.Scene()
     for number in range(60):
         scene.add(scenes.make_upstream(number))
--- a/tests/test_forwarding/test_forwarding_clock.py
+++ b/tests/test_forwarding/test_forwarding_clock.py
@@ -1,4 +1,4 @@
-"""Tests that the time of day decides nothing."""
+"""Tests that decisions do not depend on the time of day."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def test_no_decision_reads_the_time_of_day() -> None:
-    """Hosts take all upstreams for dead when their clocks are set right.
+    """Guards against suspicion of all upstreams when a clock is corrected.
 
-    The time of day jumps by seconds, and back again. Cause: durations that
-    are taken as differences of it.
+    The time of day jumps by seconds. Durations that are differences of two
+    times of day would then be wrong.
     """
     with (
         mock.patch("time.time", side_effect=AssertionError("time of day")),
--- a/tests/test_forwarding/test_forwarding_decisions_imports.py
+++ b/tests/test_forwarding/test_forwarding_decisions_imports.py
@@ -1,12 +1,12 @@
-"""Tests of what the decisions of a host import."""
+"""Tests of the imports of the modules in `forwarding.decisions`."""
 
 from __future__ import annotations
 
 import subprocess
 import sys
 
-# What a decision must not draw in: sockets, an event loop, a client of the
-# store, the set-up of logs, and programs.
+# Modules that decisions must not import: sockets, an event loop, a client of
+# the store, the set-up of logs, and programs.
 _FORBIDDEN = (
     "_socket",
     "trio",
@@ -26,11 +26,10 @@
 
 
 def test_decisions_import_no_input_or_output() -> None:
-    """A policy can't be replayed without a platform.
+    """Guards against decisions that can't be replayed without a platform.
 
-    A decision reads a socket or the store by itself; a benchmark of it needs
-    real hosts, and what it decided can't be repeated. Cause: decisions and
-    input or output in one module.
+    If a decision read from a socket or the store itself, benchmarks of it
+    would need real hosts, and its results would not be reproducible.
     """
     listed = subprocess.run(
         [sys.executable, "-c", _LIST_MODULES],
--- a/tests/test_forwarding/test_forwarding_eligibility.py
+++ b/tests/test_forwarding/test_forwarding_eligibility.py
@@ -1,4 +1,4 @@
-"""Tests of the conditions for new flows."""
+"""Tests of the conditions that an upstream has to meet for a new flow."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 _WARM_UP_S = 2.0
 _FLOW_COUNT = 30
 _WARM_UP_LIMIT_PER_S = 4.0
-# What the users allow above that: a share of it, and requests.
+# The users allow this multiple of the limit, plus a number of requests.
 _ALLOWED_FACTOR = 1.5
 _ALLOWED_EXTRA_REQUESTS = 5
 
 
 def make_scene() -> scenes.Scene:
-    """Returns a host with an upstream in each of two failure domains."""
+    """Returns a host with one upstream in each of two failure domains."""
     scene = scenes.Scene()
     scene.add(scenes.make_upstream(1))
     scene.add(scenes.make_upstream(2, domain=scenes.OTHER_DOMAIN))
@@ -34,7 +34,14 @@
     *regions: ids.RegionId,
     warm_up_limit_per_s: float = 0.0,
 ) -> None:
-    """Puts a version in force with one route."""
+    """Applies a desired state with one route.
+
+    Args:
+        scene: The host.
+        *regions: Regions that the route is limited to; all if empty.
+        warm_up_limit_per_s: Limit for upstreams that are warming up, requests
+            per second; 0 for no limit.
+    """
     route = records.replace(
         scenes.make_route(scenes.PORT, scenes.SERVICE),
         regions=frozenset(regions),
@@ -47,22 +54,24 @@
 
 
 def add_warming_up(scene: scenes.Scene, number: int) -> upstream.Upstream:
-    """Adds an upstream that has just started."""
-    cold = records.replace(scenes.make_upstream(number), cold_s=_WARM_UP_S)
-    return scene.add(cold)
+    """Adds an upstream that is warming up."""
+    warming_up = records.replace(
+        scenes.make_upstream(number), cold_s=_WARM_UP_S
+    )
+    return scene.add(warming_up)
 
 
 def test_flow_of_a_route_stays_in_its_regions() -> None:
-    """Guards against requests that run in a region where they may not."""
+    """Guards against requests that run outside the regions of their route."""
     scene = make_scene()
     set_route(scene, scenes.REGION)
-    near = scene.knowledge.directory.get(scenes.make_upstream(1).id)
+    local_upstream = scene.knowledge.directory.get(scenes.make_upstream(1).id)
     for port in range(1000, 1000 + _FLOW_COUNT):
-        assert scene.open(port) == near
+        assert scene.open(port) == local_upstream
 
 
 def test_flow_is_refused_where_no_upstream_is_in_its_regions() -> None:
-    """Guards against a region that is left since nothing else is there."""
+    """Guards against use of other regions when the route's have no upstream."""
     scene = make_scene()
     set_route(scene, ids.RegionId("abroad"))
     scene.receive(scenes.make_packet(1000, scenes.SYN))
@@ -70,7 +79,7 @@
 
 
 def test_domain_of_unknown_region_gets_no_flow_with_allowed_regions() -> None:
-    """Guards against a domain that the settings do not name."""
+    """Guards against use of a domain whose region the settings do not name."""
     scene = scenes.Scene()
     scene.add(scenes.make_upstream(2, domain=scenes.OTHER_DOMAIN))
     set_route(scene, scenes.REGION)
@@ -79,41 +88,41 @@
 
 
 def test_flows_go_to_warm_upstreams_if_the_service_limits_warm_up() -> None:
-    """Guards against more at a cold upstream than its service allows."""
+    """Guards against overload of an upstream that is warming up."""
     scene = make_scene()
-    cold = add_warming_up(scene, 3)
+    warming_up = add_warming_up(scene, 3)
     set_route(scene, warm_up_limit_per_s=_WARM_UP_LIMIT_PER_S)
     for port in range(1000, 1000 + _FLOW_COUNT):
-        assert scene.open(port).id != cold.id
+        assert scene.open(port).id != warming_up.id
     scene.clock.sleep(_WARM_UP_S)
     scene.confirm_state()
-    assert cold.id in {
+    assert warming_up.id in {
         scene.open(p).id for p in range(2000, 2000 + _FLOW_COUNT)
     }
 
 
 def test_upstream_in_warm_up_gets_flows_of_a_service_without_a_limit() -> None:
-    """Guards against upstreams that stand idle while others are busy."""
+    """Guards against upstreams that are idle while others are busy."""
     scene = make_scene()
-    cold = add_warming_up(scene, 3)
+    warming_up = add_warming_up(scene, 3)
     set_route(scene)
     opened = {scene.open(p).id for p in range(1000, 1000 + _FLOW_COUNT)}
-    assert cold.id in opened
+    assert warming_up.id in opened
 
 
 @hypothesis.given(
     hosts=strategies.sampled_from((1, 6, 84, 195)),
-    cold_per_s=strategies.floats(0.5, 20.0),
+    warm_up_limit_per_s=strategies.floats(0.5, 20.0),
     seed=strategies.integers(0, 1000),
 )
 @hypothesis.settings(max_examples=12)
 def test_upstream_in_warm_up_gets_no_more_than_its_limit_in_any_second(
-    hosts: int, cold_per_s: float, seed: int
+    hosts: int, warm_up_limit_per_s: float, seed: int
 ) -> None:
-    """Guards against hosts that keep to a limit each, and not together.
+    """Guards against hosts that each keep to a limit but exceed it together.
 
-    All upstreams of the service are cold, and a tenth of the hosts does not
-    know another tenth.
+    All upstreams of the service are warming up, and each host does not know
+    about a tenth of the other hosts.
     """
     randomness = random.Random(seed)
     clock = scenes.Clock()
@@ -126,7 +135,7 @@
         )
         for number in range(3):
             add_warming_up(scene, number)
-        set_route(scene, warm_up_limit_per_s=cold_per_s)
+        set_route(scene, warm_up_limit_per_s=warm_up_limit_per_s)
         fleet.append(scene)
     sent_at: dict[ids.UpstreamId, list[float]] = {}
     for caller in range(1000, 1000 + 600):
@@ -134,19 +143,23 @@
         sent = len(scene.output.to_upstreams)
         scene.receive(scenes.make_packet(caller, scenes.SYN))
         if len(scene.output.to_upstreams) > sent:
-            to = scene.last_upstream().id
-            sent_at.setdefault(to, []).append(clock.now)
+            target = scene.last_upstream().id
+            sent_at.setdefault(target, []).append(clock.now)
         clock.sleep(_WARM_UP_S / 601)
     for times in sent_at.values():
         for first in times:
-            within = sum(first <= at < first + 1.0 for at in times)
+            sent_count = sum(
+                first <= opened_at < first + 1.0 for opened_at in times
+            )
             assert (
-                within <= cold_per_s * _ALLOWED_FACTOR + _ALLOWED_EXTRA_REQUESTS
+                sent_count
+                <= warm_up_limit_per_s * _ALLOWED_FACTOR
+                + _ALLOWED_EXTRA_REQUESTS
             )
 
 
 def test_flow_beyond_the_warm_up_limit_is_refused_at_once() -> None:
-    """Guards against callers that wait for what is known not to be served."""
+    """Guards against callers that wait for a flow that can't be served."""
     scene = scenes.Scene()
     add_warming_up(scene, 1)
     set_route(scene, warm_up_limit_per_s=_WARM_UP_LIMIT_PER_S)
--- a/tests/test_forwarding/test_forwarding_import_pace.py
+++ b/tests/test_forwarding/test_forwarding_import_pace.py
@@ -1,11 +1,11 @@
-"""Tests of how a host divides its time while it starts."""
+"""Tests of the division of time between imports and packets at a start."""
 
 from __future__ import annotations
 
 from persimmonhinge.forwarding.decisions import import_pace
 from tests.test_forwarding import scene as scenes
 
-# Imports of a host of a quarter of a core, seconds.
+# Duration of one import on a host with a quarter of a core.
 _IMPORT_S = 0.02
 _IMPORTS = 100
 
@@ -13,7 +13,11 @@
 def simulate_start(
     packets: int, imports: int = _IMPORTS
 ) -> tuple[float, float]:
-    """Plays a start with so many packets during each import.
+    """Simulates a start.
+
+    Args:
+        packets: Number of packets that arrive during each import.
+        imports: Number of imports.
 
     Returns:
         Time for imports and time for packets, seconds.
@@ -31,11 +35,12 @@
 
 
 def test_burst_after_a_restart_gets_half_of_the_time() -> None:
-    """Callers wait though their packets have come and upstreams are idle.
+    """Guards against late forwarding after a restart of all hosts.
 
-    All hosts lose power; all that was asked meanwhile is sent again as soon
-    as they forward, while they still import most of their modules. Cause:
-    packets get a turn only between one import and the next.
+    Callers retransmit all open requests as soon as the hosts forward packets,
+    while the hosts still import most of their modules. If packets were only
+    read once between two imports, callers would wait although their packets
+    have arrived and upstreams are idle.
     """
     imported_s, served_s = simulate_start(packets=5, imports=20)
     assert abs(served_s - imported_s) < 1e-9
@@ -46,9 +51,9 @@
 
 
 def test_long_burst_does_not_delay_the_start() -> None:
-    """A host hears of no change while packets keep coming.
+    """Guards against a start that lasts as long as packets arrive.
 
-    Cause: its start waits until the rush is over.
+    A host receives no updates from the platform until its start is complete.
     """
     assert simulate_start(packets=5)[1] <= 1.0
 
--- a/tests/test_forwarding/test_forwarding_open_flows.py
+++ b/tests/test_forwarding/test_forwarding_open_flows.py
@@ -1,4 +1,4 @@
-"""Tests of open flows at upstreams that seem to be silent."""
+"""Tests that open flows are not reset while an upstream seems silent."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def open_flows(scene: scenes.Scene) -> upstream_module.Upstream:
-    """Opens long flows at one upstream; each has had an answer."""
+    """Opens long flows at one upstream; each has received an answer."""
     upstream = scene.add(scenes.make_upstream(1))
     for port in _CALLERS:
         scene.open(port=port)
@@ -24,7 +24,7 @@
 def send_requests(
     scene: scenes.Scene, upstream: upstream_module.Upstream, *ports: int
 ) -> None:
-    """Has callers send a request, or the same one again."""
+    """Sends a request from each caller; later calls repeat the request."""
     for port in ports:
         scene.continue_flow(
             upstream, port=port, sequence=101, acknowledged=50, data=100
@@ -32,7 +32,7 @@
 
 
 def leave_openings_unanswered(scene: scenes.Scene, count: int = 2) -> None:
-    """Has opening packets to the only upstream go unanswered."""
+    """Leaves opening packets to the only upstream unanswered."""
     for port in range(3000, 3000 + count):
         scene.open(port=port)
         scene.clock.sleep(answer_timeout.MIN_ANSWER_TIMEOUT_S + 0.001)
@@ -42,7 +42,7 @@
 def make_seem_silent(
     scene: scenes.Scene, upstream: upstream_module.Upstream
 ) -> None:
-    """Has two callers ask and ask again, and an opening be missed."""
+    """Repeats requests of two callers and leaves an opening unanswered."""
     send_requests(scene, upstream, 2000, 2001)
     leave_openings_unanswered(scene, 1)
     scene.clock.sleep(_REPEAT_INTERVAL_S)
@@ -52,17 +52,17 @@
 
 
 def count_resets(scene: scenes.Scene) -> int:
-    """Returns how many flows were reset."""
+    """Returns the number of flows that were reset."""
     return scene.count_sent()[1]
 
 
 def test_host_whose_own_link_is_full_resets_no_flow() -> None:
-    """A flow that is whole is reset though its upstream serves.
+    """Guards against resets of intact flows by a host with a saturated link.
 
-    Many hosts pull snapshots from one, and fill its link of 5 Mbit/s for a
-    second: what it forwards comes late everywhere, so openings at all
-    upstreams seem to be missed, and callers with open flows ask again.
-    Cause: silence at one host was taken for proof that an upstream is gone.
+    Many hosts pull snapshots from one host and saturate its link of 5 Mbit/s
+    for a second. The packets that it forwards are late, so openings at all
+    upstreams seem unanswered, and callers repeat their requests. Silence that
+    only one host observes does not prove that an upstream has failed.
     """
     scene = scenes.Scene()
     upstream = open_flows(scene)
@@ -73,10 +73,10 @@
 
 
 def test_slow_upstream_that_answers_openings_keeps_its_flows() -> None:
-    """A flow that is whole is reset because its upstream is slow.
+    """Guards against resets of intact flows at a slow upstream.
 
-    All its callers send again, since it has much to do; but it answers
-    opening packets at once.
+    The upstream is busy, so all its callers repeat their requests, but it
+    answers opening packets at once.
     """
     scene = scenes.Scene()
     upstream = open_flows(scene)
@@ -138,12 +138,13 @@
 
 
 def test_paused_host_does_not_take_its_pause_for_silence() -> None:
-    """A flow that is whole is reset by a host that has just woken.
+    """Guards against resets of intact flows by a host that was paused.
 
-    Callers ask; the host is paused for seconds; they ask again, and others
-    miss openings at their busy upstream. The host wakes, and reads what they
-    sent, before its event loop has a turn and after it. Cause: the time that
-    it slept is taken for the upstream's silence (seed 5001 of the soak).
+    Callers send requests, the host is paused for seconds, the callers repeat
+    their requests, and other hosts report unanswered openings at the busy
+    upstream. After the pause the host reads the packets, some before and some
+    after the next turn of its event loop. It must not count its own pause as
+    silence of the upstream (soak test, seed 5001).
     """
     scene = scenes.Scene()
     upstream = open_flows(scene)
@@ -159,9 +160,10 @@
 
 
 def test_old_evidence_resets_nothing() -> None:
-    """A flow is reset after the cut that stalled it has healed.
+    """Guards against resets after a network partition has ended.
 
-    Nothing came for the upstream since; the evidence is of before.
+    No packet for the upstream arrived since the partition, so all signs of
+    silence date from before its end.
     """
     scene = scenes.Scene()
     upstream = open_flows(scene)
@@ -172,9 +174,10 @@
 
 
 def test_request_that_may_run_once_is_left_to_its_upstream() -> None:
-    """A booking fails at once that its upstream may yet have answered.
+    """Guards against failure of at-most-once requests that may be answered.
 
-    Nobody can tell whether it ran, so its caller does not repeat it.
+    After a reset, it is unknown whether the request ran, so its caller can't
+    repeat it.
     """
     scene = scenes.Scene()
     scene.set_repetition(2, route.Repetition.AT_MOST_ONCE)
@@ -185,11 +188,11 @@
 
 
 def test_flow_opened_at_another_host_does_not_end_the_suspicion() -> None:
-    """New flows go to an upstream that is dark, as soon as hosts are restarted.
+    """Guards against new flows to a failed upstream while hosts restart.
 
-    Flows that other hosts opened come to this one, packet by packet, as the
-    fabric moves them. Cause: the first packet that a host sees of a flow was
-    taken for the answer to its opening, which ended the doubt.
+    The fabric moves flows that other hosts opened to this host. If the first
+    packet that a host receives of such a flow counted as the answer to an
+    opening, it would end the suspicion of the upstream.
     """
     scene = scenes.Scene()
     upstream = open_flows(scene)
--- a/tests/test_forwarding/test_forwarding_openings.py
+++ b/tests/test_forwarding/test_forwarding_openings.py
@@ -1,4 +1,4 @@
-"""Tests of opening packets that meet a dead upstream."""
+"""Tests of opening packets that an upstream does not answer."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 def test_unanswered_opening_is_sent_elsewhere_before_the_callers_copy() -> None:
-    """Each new flow to a dead upstream costs its caller 200 ms.
+    """Guards against a delay of 200 ms for each flow to a failed upstream.
 
-    An upstream goes dark; a new flow is sent there; its caller sends a copy
-    only after 200 ms, longer than its latency target. Cause: the host waits
-    for the copy though the answer is due after 4 ms.
+    The caller retransmits its opening packet only after 200 ms, which is more
+    than its latency target. An answer is due after 4 ms, so the host must not
+    wait for the retransmission.
     """
     scene = scenes.Scene()
     scene.add(scenes.make_upstream(1))
@@ -36,10 +36,11 @@
 
 
 def test_opening_of_a_caller_that_left_is_not_sent_without_end() -> None:
-    """Hosts spend all their time on flows that nobody waits for.
+    """Guards against unlimited retries of an opening packet.
 
-    A caller leaves after its opening packet; the host sends the packet from
-    one upstream to the next every 30 ms. Cause: no end to the tries.
+    If a caller leaves after its opening packet, a host without a limit would
+    send the packet to one upstream after the other, every 30 ms. Hosts would
+    spend all their time on such flows.
     """
     scene = scenes.Scene()
     for number in range(1, 9):
@@ -52,10 +53,11 @@
 
 
 def test_copy_of_an_open_flow_goes_to_its_upstream() -> None:
-    """A feed is led astray by a copy of its first packet that came late.
+    """Guards against a wrong token after a late copy of an opening packet.
 
-    The flow is open; the copy goes to a second upstream, whose answer brings
-    the caller another token. Cause: the copy was taken for a new flow.
+    If the copy for an open flow were treated as a new flow, it would go to a
+    second upstream. That upstream's answer would replace the caller's routing
+    token, and the flow's feed would go to the wrong upstream.
     """
     scene = scenes.Scene()
     for number in range(1, 9):
@@ -68,12 +70,12 @@
 
 
 def test_copy_read_with_the_first_packet_goes_where_that_one_went() -> None:
-    """After a restart each new flow holds room at two upstreams.
+    """Guards against flows that are opened at two upstreams after a restart.
 
-    Packets wait in the host's socket while it starts, so an opening packet
-    and the copy that its caller sent 200 ms later are read together; the copy
-    is sent to a second upstream. Cause: each copy was taken for a sign that
-    the upstream did not answer.
+    Packets stay in the host's socket while it starts, so it reads an opening
+    packet together with the copy that its caller sent 200 ms later. If every
+    copy meant that the upstream had not answered, the host would send the copy
+    to a second upstream.
     """
     scene = scenes.Scene()
     for number in range(1, 9):
@@ -108,16 +110,16 @@
 
 
 def test_upstreams_whose_answers_take_longer_are_not_suspected() -> None:
-    """Each flow of callers far away is opened at three upstreams.
+    """Guards against a timeout that is too short for distant callers.
 
-    Their next packet comes 60 ms after the opening one; the host gives each
-    upstream 30 ms, and then none is trusted. Cause: one fixed limit for all
-    distances.
+    Their next packet arrives 60 ms after the opening packet. With a fixed
+    timeout of 30 ms, the host would open each of their flows at three
+    upstreams, and all upstreams would become suspected.
     """
     scene = scenes.Scene()
     for number in range(1, 5):
         scene.add(scenes.make_upstream(number))
-    twice = 0
+    retried_count = 0
     for port in range(1000, 1060):
         chosen = scene.open(port=port)
         sent, _ = scene.count_sent()
@@ -125,19 +127,20 @@
         scene.handle_due_openings()
         scene.clock.sleep(0.029)
         scene.handle_due_openings()
-        twice += scene.count_sent()[0] > sent
+        retried_count += scene.count_sent()[0] > sent
         scene.continue_flow(chosen, port=port)
         scene.continue_flow(chosen, port=port, acknowledged=1)
-    assert twice <= 3
+    assert retried_count <= 3
 
 
 def test_openings_are_not_tripled_where_all_upstreams_answer_late() -> None:
-    """A busy evening ends with hardly any request answered, for minutes.
+    """Guards against an overload that retries of openings keep up.
 
-    All upstreams are so busy that they answer after 0.25 s, more than hosts
-    wait at most; each new flow is opened at three of them, which makes them
-    busier still, and it does not end when the load goes back. Cause: tries
-    elsewhere without a budget.
+    All upstreams are so busy that they answer after 0.25 s, which is more than
+    the maximum timeout. Without a budget for retries, each new flow would be
+    opened at three upstreams. That would slow them down further and continue
+    for minutes after the original load has decreased, with hardly any request
+    answered.
     """
     scene = scenes.Scene()
     for number in range(1, 7):
--- a/tests/test_forwarding/test_forwarding_report_lines.py
+++ b/tests/test_forwarding/test_forwarding_report_lines.py
@@ -1,4 +1,4 @@
-"""Tests of what a host tells others of the upstreams that it uses."""
+"""Tests of the lines in a host's load reports."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
     while scene.open() != upstream:
         scene.clock.sleep(answer_timeout.MIN_ANSWER_TIMEOUT_S + 0.001)
         scene.handle_due_openings()
-    told = {line.token: line for line in list_lines(scene)}
-    assert told[upstream.token].in_flight == 1
+    lines_by_token = {line.token: line for line in list_lines(scene)}
+    assert lines_by_token[upstream.token].in_flight == 1
     scene.clock.sleep(answer_timeout.MIN_ANSWER_TIMEOUT_S + 0.001)
     scene.handle_due_openings()
-    told = {line.token: line for line in list_lines(scene)}
-    assert told[upstream.token].missed == 1
+    lines_by_token = {line.token: line for line in list_lines(scene)}
+    assert lines_by_token[upstream.token].missed == 1
     scene.clock.sleep(1.0)
-    told = {line.token: line for line in list_lines(scene)}
-    assert told[upstream.token].missed == 0
+    lines_by_token = {line.token: line for line in list_lines(scene)}
+    assert lines_by_token[upstream.token].missed == 0
 
 
 def test_removed_upstream_is_neither_reported_nor_stored() -> None:
--- a/tests/test_policies/test_policies_admission.py
+++ b/tests/test_policies/test_policies_admission.py
@@ -1,4 +1,4 @@
-"""Properties of the policies that refuse requests at once."""
+"""Properties of the admission policies."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @strategies.composite
 def draw_pressure(draw: strategies.DrawFn) -> admission.Pressure:
-    """Returns what a new request may find."""
+    """Draws the load of an upstream and its queue."""
     slots = draw(strategies.integers(1, 5))
     ahead_s = draw(_SECONDS)
     return admission.Pressure(
@@ -34,9 +34,9 @@
     pressure: admission.Pressure,
 ) -> None:
     policy = admission.admission_policies.get("deadline")()
-    idle = pressure.free_slots > 0 and pressure.ahead_s == 0
-    meets = pressure.expected_finish_s <= pressure.time_left_s
-    assert policy.admits(pressure) == (idle or meets)
+    has_free_slot = pressure.free_slots > 0 and pressure.ahead_s == 0
+    meets_deadline = pressure.expected_finish_s <= pressure.time_left_s
+    assert policy.admits(pressure) == (has_free_slot or meets_deadline)
     assert admission.admission_policies.get("open")().admits(pressure)
 
 
@@ -45,9 +45,9 @@
     pressure: admission.Pressure, seed: int
 ) -> None:
     randomness = random.Random(seed)
-    times = {
+    delays = {
         admission.choose_retry_delay_s(pressure, randomness) for _ in range(50)
     }
-    assert min(times) >= max(1, pressure.queue_drain_s)
-    assert max(times) <= 2 * (pressure.queue_drain_s + 1)
-    assert len(times) > 1
+    assert min(delays) >= max(1, pressure.queue_drain_s)
+    assert max(delays) <= 2 * (pressure.queue_drain_s + 1)
+    assert len(delays) > 1
--- a/tests/test_policies/test_policies_choice.py
+++ b/tests/test_policies/test_policies_choice.py
@@ -18,7 +18,7 @@
 
 @strategies.composite
 def draw_candidates(draw: strategies.DrawFn) -> list[choice.Candidate]:
-    """Returns upstreams as a host may see them."""
+    """Draws upstreams with loads and capacities."""
     candidates = []
     for number in range(draw(strategies.integers(1, 7))):
         own = draw(_LOADS)
@@ -60,9 +60,9 @@
 def test_policies_that_use_load_choose_the_least_loaded(
     candidates: list[choice.Candidate], seed: int
 ) -> None:
-    least = min(candidate.relative_load for candidate in candidates)
+    min_load = min(candidate.relative_load for candidate in candidates)
     chosen = _make_policy("least-loaded", seed).choose(candidates)
-    assert chosen.relative_load == least
+    assert chosen.relative_load == min_load
     first = min(candidate.slot_round for candidate in candidates)
     assert (
         _make_policy("free-slot", seed).choose(candidates).slot_round == first
@@ -78,14 +78,16 @@
 ) -> None:
     hypothesis.assume(len({c.relative_load for c in candidates}) > 1)
     policy = _make_policy("power-of-two", seed)
-    worst = max(candidate.relative_load for candidate in candidates)
-    hits = sum(
-        policy.choose(candidates).relative_load == worst for _ in range(300)
+    max_load = max(candidate.relative_load for candidate in candidates)
+    chosen_count = sum(
+        policy.choose(candidates).relative_load == max_load for _ in range(300)
     )
     capacity = sum(candidate.capacity for candidate in candidates)
-    part = sum(c.capacity for c in candidates if c.relative_load == worst)
-    # The square of the chance of one draw, with ample room for chance.
-    assert hits <= 300 * (part / capacity) ** 2 + 60
+    max_load_capacity = sum(
+        c.capacity for c in candidates if c.relative_load == max_load
+    )
+    # The square of the probability of one draw, plus a margin for variance.
+    assert chosen_count <= 300 * (max_load_capacity / capacity) ** 2 + 60
 
 
 def test_round_robin_chooses_each_in_turn() -> None:
@@ -98,10 +100,10 @@
 
 
 def test_equal_candidates_share_the_work() -> None:
-    """All upstreams idle, and every host sends to the first of the contract.
+    """Guards against all hosts choosing the first upstream of a contract.
 
-    Candidates stand in the order of the contract, so a minimum without a
-    tie break is the same upstream on all hosts.
+    Candidates are in the order of the contract. If all upstreams are idle, a
+    minimum without a random tie break is the same upstream on all hosts.
     """
     candidates = [_make_candidate(number, 0) for number in range(4)]
     for name in choice.choice_policies.names():
--- a/tests/test_policies/test_policies_order.py
+++ b/tests/test_policies/test_policies_order.py
@@ -1,4 +1,4 @@
-"""Properties of the orders in which a queue is served."""
+"""Properties of the queues of the order policies."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Work:
-    """Work that waits."""
+    """Queued work."""
 
     call_class: ids.CallClassName
     priority: int
@@ -33,7 +33,7 @@
 
 @strategies.composite
 def draw_works(draw: strategies.DrawFn) -> list[Work]:
-    """Returns work of several classes in order of arrival."""
+    """Draws work of several call classes, in order of arrival."""
     count = draw(strategies.integers(0, 20))
     works = []
     for sequence in range(count):
@@ -44,7 +44,7 @@
 
 
 def pop_all(queue: order.OrderedQueue) -> list[order.QueuedWork]:
-    """Returns all work in the order in which it goes."""
+    """Removes all work and returns it in the order in which it is served."""
     return [queue.pop() for _ in range(len(queue))]
 
 
@@ -66,22 +66,22 @@
 
 @hypothesis.given(
     works=draw_works(),
-    dropped=strategies.sets(strategies.integers(0, 19)),
+    discarded=strategies.sets(strategies.integers(0, 19)),
     name=strategies.sampled_from(("fifo", "deadline", "priority")),
 )
 def test_order_removes_just_what_is_discarded(
-    works: list[Work], dropped: set[int], name: str
+    works: list[Work], discarded: set[int], name: str
 ) -> None:
     queue = order.order_policies.get(name)()
     for waiting in works:
         queue.push(waiting)
     for waiting in works:
-        if waiting.sequence in dropped:
+        if waiting.sequence in discarded:
             queue.discard(waiting)
             queue.discard(waiting)
-    left = [w for w in works if w.sequence not in dropped]
-    assert len(queue) == len(left)
-    assert sorted(w.sequence for w in queue) == [w.sequence for w in left]
+    remaining = [w for w in works if w.sequence not in discarded]
+    assert len(queue) == len(remaining)
+    assert sorted(w.sequence for w in queue) == [w.sequence for w in remaining]
 
 
 @hypothesis.given(works=draw_works())
@@ -93,8 +93,8 @@
         queue.push(waiting)
     ahead = {w.sequence for w in queue.list_ahead(new)}
     queue.push(new)
-    before = [w.sequence for w in pop_all(queue)]
-    assert ahead == set(before[: before.index(new.sequence)])
+    served_order = [w.sequence for w in pop_all(queue)]
+    assert ahead == set(served_order[: served_order.index(new.sequence)])
 
 
 @hypothesis.given(
@@ -105,10 +105,11 @@
 def test_order_gives_a_class_its_share_and_no_more(
     share: float, cost_s: float, rounds: int
 ) -> None:
-    """Manifests wait behind a steady load of reservations.
+    """Guards against starvation of a call class of low priority.
 
-    Served by priority alone they would wait for ever, and unloading at the
-    docks with them.
+    Manifests have a share of the slots and are queued behind a steady load of
+    reservations of higher priority. By priority alone they would never be
+    served.
     """
     queue = order.order_policies.get("priority")()
     manifests = ids.CallClassName("manifests")
@@ -118,14 +119,14 @@
         queue.push(Work(manifests, 5, 0.0, -1 - number, share, cost_s))
     for number in range(rounds):
         queue.push(Work(reservations, 0, 0.0, 2 * number))
-        gone = queue.pop()
-        served[gone.call_class] += gone.cost_s
-        if gone.call_class == manifests:
+        popped = queue.pop()
+        served[popped.call_class] += popped.cost_s
+        if popped.call_class == manifests:
             queue.push(Work(manifests, 5, 0.0, 2 * number + 1, share, cost_s))
     total = sum(served.values())
-    most_cost_s = max(cost_s, 0.04)
-    assert served[manifests] >= share * total - 2 * most_cost_s
-    assert served[manifests] <= share * total + 2 * most_cost_s
+    max_cost_s = max(cost_s, 0.04)
+    assert served[manifests] >= share * total - 2 * max_cost_s
+    assert served[manifests] <= share * total + 2 * max_cost_s
 
 
 def test_order_gives_no_credit_to_an_idle_class() -> None:
--- a/tests/test_random_sampling.py
+++ b/tests/test_random_sampling.py
@@ -1,4 +1,4 @@
-"""Tests of draws of lots."""
+"""Tests of random selection."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def test_sample_draws_each_item_at_most_once() -> None:
-    for most in range(6):
-        drawn = random_sampling.sample(range(4), most)
-        assert len(drawn) == len(set(drawn)) == min(most, 4)
+    for max_count in range(6):
+        drawn = random_sampling.sample(range(4), max_count)
+        assert len(drawn) == len(set(drawn)) == min(max_count, 4)
         assert set(drawn) <= set(range(4))
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -6,11 +6,11 @@
 
 
 def test_registry_names_known_entries_in_its_error() -> None:
-    things: registry.Registry[int] = registry.Registry("thing")
-    things.register("one")(1)
-    assert things.get("one") == 1
+    items: registry.Registry[int] = registry.Registry("thing")
+    items.register("one")(1)
+    assert items.get("one") == 1
     try:
-        things.get("two")
+        items.get("two")
     except KeyError as error:
         assert "known: one" in str(error)
     else:
