--- a/persimmonhinge/forwarding/decisions/answer_timeout.py
+++ b/persimmonhinge/forwarding/decisions/answer_timeout.py
@@ -4,7 +4,7 @@
 
 # Several times what a nearby caller takes to send its next packet.
 MIN_ANSWER_TIMEOUT_S = 0.03
-# The caller retransmits its opening packet after 0.2 s.
+# Below the 0.2 s after which the caller retransmits its opening packet.
 _MAX_ANSWER_TIMEOUT_S = 0.15
 # Weights and factor of the retransmission timer of TCP (RFC 6298).
 _MEAN_WEIGHT = 1 / 8
--- a/persimmonhinge/forwarding/decisions/store_availability.py
+++ b/persimmonhinge/forwarding/decisions/store_availability.py
@@ -1,4 +1,4 @@
-"""Availability of the store, which decides if a missing entry is removed."""
+"""Availability of the store, which decides what a missing entry means."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 class StoreAvailability:
     """Tracks failures of the store and the time of its last return.
 
-    An entry that is missing from the store may have expired while the store
-    was unavailable, so its absence is confirmed only some time after the
+    Entries that expire while the store is unavailable are written again after
+    its return. So a missing entry counts as removed only some time after the
     return.
     """
 
@@ -45,7 +45,7 @@
         return returned
 
     def record_return(self, now: float) -> None:
-        """Records that the store returned, as reported by another host."""
+        """Records that another host recently observed a return of the store."""
         self._returned_at = now
 
     def confirms_absence(self, now: float) -> bool:
--- a/persimmonhinge/policies/admission.py
+++ b/persimmonhinge/policies/admission.py
@@ -75,9 +75,9 @@
 class DeadlineAdmission:
     """Admits a request only if it can be answered before its deadline.
 
-    A caller that is refused on arrival can try another service. A request
-    that is admitted and then dropped at its deadline wastes its caller's
-    time and takes a place in the queue that another could have used.
+    A caller that is refused on arrival can send its request elsewhere. A
+    request that is admitted and then dropped at its deadline wastes its
+    caller's time and takes a place in the queue from other requests.
     """
 
     def admits(self, pressure: Pressure) -> bool:
@@ -99,7 +99,7 @@
 
 
 def choose_retry_delay_s(pressure: Pressure, randomness: random.Random) -> int:
-    """Returns the delay before a refused caller may retry, seconds, min. 1.
+    """Returns a retry delay for a refused caller, seconds, at least 1.
 
     Callers that are refused together and receive the same delay would retry
     together and be refused again. The delays are spread over the time that
--- a/persimmonhinge/policies/order_priority.py
+++ b/persimmonhinge/policies/order_priority.py
@@ -57,6 +57,7 @@
             credit_s = self._credit_s.get(head.call_class, 0.0)
             credit_s += head.share * chosen.cost_s
             if head is chosen:
-                # A class that goes first by its priority owes no credit.
+                # A class that goes first by priority alone must not get
+                # negative credit.
                 credit_s = max(0.0, credit_s - chosen.cost_s)
             self._credit_s[head.call_class] = credit_s
