--- a/persimmonhinge/policies/choice_free_slot.py
+++ b/persimmonhinge/policies/choice_free_slot.py
@@ -22,8 +22,8 @@
     are equal.
     """
 
-    asks = True
-    for_feeds = "least-loaded"
+    requires_free_slot = True
+    feed_policy = "least-loaded"
 
     def choose(
         self, candidates: Sequence[choice.Candidate]
