--- a/persimmonhinge/forwarding/decisions/__init__.py
+++ b/persimmonhinge/forwarding/decisions/__init__.py
@@ -1,5 +1,5 @@
 """Decisions of a forwarding host, without input or output.
 
-They choose upstreams for new flows, time out and retry opening packets,
-suspect upstreams and set the rate of reports.
+The modules choose upstreams for new flows, time out and retry opening packets,
+track which upstreams are suspected, and set the rate of reports.
 """
--- a/persimmonhinge/forwarding/decisions/candidates.py
+++ b/persimmonhinge/forwarding/decisions/candidates.py
@@ -25,13 +25,12 @@
     """The upstreams of a service that are ready.
 
     Attributes:
-        ready: All ready upstreams, including those in excluded failure
-            domains.
+        all_domains: Upstreams in all failure domains, excluded ones included.
         local: Upstreams in the own failure domain, unless it is excluded.
         remote: Upstreams in other failure domains that are not excluded.
     """
 
-    ready: Sequence[upstream_module.Upstream]
+    all_domains: Sequence[upstream_module.Upstream]
     local: Sequence[upstream_module.Upstream]
     remote: Sequence[upstream_module.Upstream]
 
@@ -70,7 +69,7 @@
         self,
         service: ids.ServiceName,
         is_usable: Callable[[upstream_module.Upstream], bool],
-        excluded: frozenset[ids.DomainId] = frozenset(),
+        excluded_domains: frozenset[ids.DomainId] = frozenset(),
     ) -> list[upstream_module.Upstream]:
         """Returns a sample of the usable upstreams of a service.
 
@@ -80,28 +79,30 @@
         Args:
             service: The service.
             is_usable: Returns whether an upstream may receive the flow.
-            excluded: Failure domains whose upstreams are not drawn.
+            excluded_domains: Failure domains whose upstreams are not drawn.
 
         Returns:
             The sample; empty if no usable upstream was drawn.
         """
-        ready = self._get_ready(service, excluded)
-        local = draw_usable(ready.local, is_usable, self._random)
-        remote = draw_usable(ready.remote, is_usable, self._random)
+        found = self._get_ready_upstreams(service, excluded_domains)
+        local = draw_usable(found.local, is_usable, self._random)
+        remote = draw_usable(found.remote, is_usable, self._random)
         return local + remote
 
-    def _get_ready(
-        self, service: ids.ServiceName, excluded: frozenset[ids.DomainId]
+    def _get_ready_upstreams(
+        self,
+        service: ids.ServiceName,
+        excluded_domains: frozenset[ids.DomainId],
     ) -> _ReadyUpstreams:
         ready = self._directory.list_ready(service)
-        cached = self._ready_cache.get((service, excluded))
-        if cached is not None and cached.ready is ready:
+        cached = self._ready_cache.get((service, excluded_domains))
+        if cached is not None and cached.all_domains is ready:
             return cached
-        allowed = [u for u in ready if u.domain not in excluded]
+        allowed = [u for u in ready if u.domain not in excluded_domains]
         local = [u for u in allowed if u.domain == self._domain]
         remote = [u for u in allowed if u.domain != self._domain]
         ready_upstreams = _ReadyUpstreams(ready, local, remote)
-        self._ready_cache[service, excluded] = ready_upstreams
+        self._ready_cache[service, excluded_domains] = ready_upstreams
         return ready_upstreams
 
 
--- a/persimmonhinge/forwarding/decisions/chooser.py
+++ b/persimmonhinge/forwarding/decisions/chooser.py
@@ -24,8 +24,8 @@
 if TYPE_CHECKING:
     import random
 
-# Share of its slots that an upstream counts with while it is warming up,
-# because it is slower then.
+# Capacity of an upstream that is warming up, as a share of its slots. It is
+# slower then.
 _WARMING_UP_CAPACITY_SHARE = 0.6
 
 
@@ -69,7 +69,7 @@
         route: route_module.Route,
         flow: flow_module.FlowId,
         now: float,
-        unanswered: Collection[ids.UpstreamId] = (),
+        tried_upstreams: Collection[ids.UpstreamId] = (),
     ) -> ChosenUpstream | None:
         """Returns the upstream for a new flow, None if there is none.
 
@@ -77,64 +77,70 @@
             route: Route of the flow.
             flow: The flow.
             now: The current time, seconds.
-            unanswered: Upstreams that left an opening packet of this flow
+            tried_upstreams: Upstreams that left an opening packet of this flow
                 unanswered; chosen only if there is no other.
         """
         new_flow = eligibility_module.NewFlow(
             choose_service(route, flow),
             self._eligibility.list_excluded_domains(route),
-            unanswered,
+            tried_upstreams,
             now,
         )
         usable = self._list_usable(new_flow)
         if not usable:
             return None
-        found = {upstream.id: upstream for upstream in usable}
+        upstreams_by_id = {upstream.id: upstream for upstream in usable}
         candidates = [self._make_candidate(u, now) for u in usable]
         candidate = self._policy.choose(candidates)
-        upstream = found[candidate.upstream]
+        upstream = upstreams_by_id[candidate.upstream]
         self._eligibility.record_opening(upstream, new_flow)
         return ChosenUpstream(upstream, candidate, len(candidates))
 
     def _list_usable(
-        self, flow: eligibility_module.NewFlow
+        self, new_flow: eligibility_module.NewFlow
     ) -> Sequence[upstream_module.Upstream]:
         def is_usable(upstream: upstream_module.Upstream) -> bool:
             eligibility = self._eligibility
             return eligibility.is_preferred(
-                upstream, flow
-            ) and eligibility.is_allowed(upstream, flow)
+                upstream, new_flow
+            ) and eligibility.is_allowed(upstream, new_flow)
 
-        drawn = self._pool.draw(flow.service, is_usable, flow.excluded)
-        return drawn or self._list_fallbacks(flow)
+        drawn = self._pool.draw(
+            new_flow.service, is_usable, new_flow.excluded_domains
+        )
+        return drawn or self._list_fallbacks(new_flow)
 
     def _list_fallbacks(
-        self, flow: eligibility_module.NewFlow
+        self, new_flow: eligibility_module.NewFlow
     ) -> Sequence[upstream_module.Upstream]:
         """Returns upstreams to use if the sample has no usable one.
 
         Conditions that are preferences are given up one after the other.
         """
-        ready = self._list_allowed(flow, upstream_module.UpstreamState.READY)
-        not_tried = [u for u in ready if u.id not in flow.unanswered]
+        ready = self._list_allowed(
+            new_flow, upstream_module.UpstreamState.READY
+        )
+        not_tried = [u for u in ready if u.id not in new_flow.tried_upstreams]
         preferred = [
-            u for u in not_tried if self._eligibility.is_preferred(u, flow)
+            u for u in not_tried if self._eligibility.is_preferred(u, new_flow)
         ]
         return (
             preferred
             or not_tried
             or ready
-            or self._list_allowed(flow, upstream_module.UpstreamState.MISSING)
+            or self._list_allowed(
+                new_flow, upstream_module.UpstreamState.MISSING
+            )
         )
 
     def _list_allowed(
         self,
-        flow: eligibility_module.NewFlow,
+        new_flow: eligibility_module.NewFlow,
         state: upstream_module.UpstreamState,
     ) -> list[upstream_module.Upstream]:
         """Returns the upstreams in a state that the flow is allowed to use."""
-        found = self._knowledge.directory.select(flow.service, state)
-        return [u for u in found if self._eligibility.is_allowed(u, flow)]
+        found = self._knowledge.directory.select(new_flow.service, state)
+        return [u for u in found if self._eligibility.is_allowed(u, new_flow)]
 
     def _make_candidate(
         self, upstream: upstream_module.Upstream, now: float
--- a/persimmonhinge/forwarding/decisions/eligibility.py
+++ b/persimmonhinge/forwarding/decisions/eligibility.py
@@ -21,15 +21,15 @@
 
     Attributes:
         service: Service of the flow.
-        excluded: Failure domains that must not receive the flow.
-        unanswered: Upstreams that left an opening packet of the flow
+        excluded_domains: Failure domains that must not receive the flow.
+        tried_upstreams: Upstreams that left an opening packet of the flow
             unanswered.
         now: The current time, seconds.
     """
 
     service: ids.ServiceName
-    excluded: frozenset[ids.DomainId]
-    unanswered: Collection[ids.UpstreamId]
+    excluded_domains: frozenset[ids.DomainId]
+    tried_upstreams: Collection[ids.UpstreamId]
     now: float
 
 
@@ -83,9 +83,9 @@
     ) -> bool:
         """Returns whether an upstream meets the mandatory conditions."""
         return (
-            upstream.domain not in flow.excluded
+            upstream.domain not in flow.excluded_domains
             and self._knowledge.directory.is_unique(upstream)
-            and self._has_warm_up_share(upstream, flow)
+            and self._is_within_warm_up_limit(upstream, flow)
         )
 
     def is_preferred(
@@ -93,7 +93,7 @@
     ) -> bool:
         """Returns whether an upstream meets the preferences."""
         return (
-            upstream.id not in flow.unanswered
+            upstream.id not in flow.tried_upstreams
             and not self._suspicions.is_suspected(
                 upstream.id, upstream.token, flow.now
             )
@@ -107,7 +107,7 @@
         if self._find_warm_up_limit(upstream, flow) is not None:
             self._warm_up_shares.record_opening(upstream.id, flow.now)
 
-    def _has_warm_up_share(
+    def _is_within_warm_up_limit(
         self, upstream: upstream_module.Upstream, flow: NewFlow
     ) -> bool:
         limit_per_s = self._find_warm_up_limit(upstream, flow)
--- a/persimmonhinge/forwarding/decisions/import_pace.py
+++ b/persimmonhinge/forwarding/decisions/import_pace.py
@@ -8,17 +8,17 @@
 # Time for packets after each import, as a multiple of the import's duration.
 _PACKET_TIME_FACTOR = 1.0
 # Maximum time for packets after one import.
-_MAX_PACKET_TURN_S = 0.05
+_MAX_PACKET_TIME_PER_IMPORT_S = 0.05
 # A burst ends when no packet arrives for this time. Callers retransmit after
 # 0.2 s.
 _BURST_TIMEOUT_S = 0.2
 # Maximum time for packets over the whole start, because the host receives no
 # updates from the platform until the imports are done.
-_MAX_PACKET_TIME_S = 1.0
+_MAX_TOTAL_PACKET_TIME_S = 1.0
 
 
 class ImportPace:
-    """Divides the time until all modules are imported.
+    """Divides the time of a start between imports and packets.
 
     After a restart of all hosts, the packets that callers sent in the meantime
     arrive in one burst, and each would be delayed by several imports. During a
@@ -29,7 +29,7 @@
         self._clock = clock
         self._import_started_at = clock()
         self._burst_ends_at = clock()
-        self._packet_time_left_s = _MAX_PACKET_TIME_S
+        self._packet_time_left_s = _MAX_TOTAL_PACKET_TIME_S
 
     def record_import_end(self, packet_count: int) -> float:
         """Records that an import ended.
@@ -48,7 +48,7 @@
         import_time_s = now - self._import_started_at
         packet_time_s = min(
             import_time_s * _PACKET_TIME_FACTOR,
-            _MAX_PACKET_TURN_S,
+            _MAX_PACKET_TIME_PER_IMPORT_S,
             self._packet_time_left_s,
         )
         self._packet_time_left_s -= packet_time_s
--- a/persimmonhinge/forwarding/decisions/loads.py
+++ b/persimmonhinge/forwarding/decisions/loads.py
@@ -91,7 +91,7 @@
         """Returns the average number of other hosts' requests."""
         return self._reported.get(token, _NO_LOAD)[1] / 100
 
-    def list_active(self) -> list[ids.UpstreamId]:
+    def list_used_upstreams(self) -> list[ids.UpstreamId]:
         """Returns the upstreams that have or had requests of this host."""
         return list(self._loads)
 
--- a/persimmonhinge/forwarding/decisions/openings.py
+++ b/persimmonhinge/forwarding/decisions/openings.py
@@ -63,7 +63,7 @@
 
         Args:
             packet: The packet.
-            tried_upstreams: Upstreams that it was sent to, the last one now.
+            tried_upstreams: Upstreams that it was sent to, in this order.
         """
         now = self._clock()
         opening = Opening(
--- a/persimmonhinge/forwarding/decisions/report_lines.py
+++ b/persimmonhinge/forwarding/decisions/report_lines.py
@@ -25,7 +25,7 @@
         now: The current time, seconds.
     """
     lines = []
-    for upstream in loads.list_active():
+    for upstream in loads.list_used_upstreams():
         known = knowledge.directory.get(upstream)
         if known is None:
             loads.remove_upstream(upstream)
--- a/persimmonhinge/forwarding/decisions/report_pace.py
+++ b/persimmonhinge/forwarding/decisions/report_pace.py
@@ -6,7 +6,7 @@
 
 
 class ReportPace(records.Record, frozen=True):
-    """Computes the interval between reports that keeps within a budget.
+    """Computes an interval that keeps reports within a budget.
 
     Attributes:
         min_interval_s: Minimum time between two reports, seconds.
--- a/persimmonhinge/forwarding/decisions/retry_budget.py
+++ b/persimmonhinge/forwarding/decisions/retry_budget.py
@@ -4,8 +4,9 @@
 
 # Retries that each opening packet of a caller adds to the budget.
 _RETRIES_PER_OPENING = 0.2
-# A host has some tens of unanswered openings at once when a quarter of the
-# upstreams of a service fail together.
+# Maximum number of retries in the budget, and thus at once. A host has some
+# tens of unanswered openings at once when a quarter of the upstreams of a
+# service fail together.
 _MAX_RETRIES = 50.0
 
 
--- a/persimmonhinge/forwarding/decisions/store_availability.py
+++ b/persimmonhinge/forwarding/decisions/store_availability.py
@@ -5,7 +5,7 @@
 # Entries that expired while the store was unavailable are written again within
 # about two seconds of its return, according to the platform's operators. A
 # quarter more covers timers that fire late.
-ENTRY_RETURN_S = 2.5
+ENTRY_REWRITE_S = 2.5
 
 
 class StoreAvailability:
@@ -44,7 +44,7 @@
             self._failing = False
         return returned
 
-    def record_return(self, now: float) -> None:
+    def record_reported_return(self, now: float) -> None:
         """Records that another host recently observed a return of the store."""
         self._returned_at = now
 
@@ -54,5 +54,5 @@
             return False
         return (
             self._returned_at is None
-            or now >= self._returned_at + ENTRY_RETURN_S
+            or now >= self._returned_at + ENTRY_REWRITE_S
         )
--- a/persimmonhinge/forwarding/decisions/suspicions.py
+++ b/persimmonhinge/forwarding/decisions/suspicions.py
@@ -37,13 +37,13 @@
 
     def record_miss(self, upstream: ids.UpstreamId, now: float) -> None:
         """Records that an upstream left an opening packet unanswered."""
-        missed = self._misses.get(upstream, 0) + 1
-        pause_s = _PAUSES_S[min(missed, len(_PAUSES_S)) - 1]
-        self._misses[upstream] = missed
+        misses = self._misses.get(upstream, 0) + 1
+        pause_s = _PAUSES_S[min(misses, len(_PAUSES_S)) - 1]
+        self._misses[upstream] = misses
         self._paused_until[upstream] = now + pause_s
         logger.info(
             "Upstream did not answer an opening packet.",
-            extra={"upstream": upstream, "missed": missed, "pause_s": pause_s},
+            extra={"upstream": upstream, "missed": misses, "pause_s": pause_s},
         )
 
     def record_answer(self, upstream: ids.UpstreamId, now: float) -> None:
@@ -91,19 +91,19 @@
         It is 0 once the pause has ended. Otherwise hosts could keep a live
         upstream suspected through each other's reports: each has misses
         there, and none tries the upstream again because the others report
-        theirs. The hosts would then choose from one upstream of several for
+        theirs. The hosts would then use only one of several upstreams for
         seconds, until a pause ends.
         """
         if now >= self._paused_until.get(upstream, 0.0):
             return 0
         return self.count_misses(upstream)
 
-    def add_reported_misses(self, token: int, missed: int) -> None:
+    def add_reported_misses(self, token: int, misses: int) -> None:
         """Adds the misses that another host reports for an upstream.
 
         A negative number removes an earlier report.
         """
-        total = self._reported_misses.get(token, 0) + missed
+        total = self._reported_misses.get(token, 0) + misses
         if total:
             self._reported_misses[token] = total
         else:
--- a/persimmonhinge/forwarding/reading.py
+++ b/persimmonhinge/forwarding/reading.py
@@ -280,7 +280,7 @@
         outage that only another host has seen: the one that follows the
         store, or the one that did until a moment ago.
         """
-        self._knowledge.trust.record_return(time.monotonic())
+        self._knowledge.trust.record_reported_return(time.monotonic())
 
     def _take_changes(self, snapshot: messages.Snapshot, source: str) -> None:
         self._take_lines(snapshot.entries, source, settled=snapshot.settled)
--- a/persimmonhinge/policies/admission.py
+++ b/persimmonhinge/policies/admission.py
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pressure:
-    """Load of an upstream and its queue when a new request arrives.
+    """Load of an upstream and its queue, and needs of a new request.
 
     Attributes:
         slots: Number of slots that may be used now; at least 1.
@@ -40,7 +40,10 @@
 
     @property
     def expected_finish_s(self) -> float:
-        """Time until the answer if no more urgent request arrives, seconds."""
+        """Time until the answer, seconds.
+
+        A more urgent request that arrives later may delay the answer.
+        """
         wait_s = (self.running_s + self.ahead_s) / self.slots
         return wait_s + self.cost_s
 
@@ -83,7 +86,8 @@
     def admits(self, pressure: Pressure) -> bool:
         """Returns whether the request can end before its deadline."""
         if pressure.free_slots > 0 and pressure.ahead_s <= 0:
-            # A free slot that no earlier request needs delays no other request.
+            # No earlier request needs the slot, so an attempt costs the other
+            # requests nothing even if it misses its deadline.
             return True
         return pressure.expected_finish_s <= pressure.time_left_s
 
--- a/persimmonhinge/policies/choice.py
+++ b/persimmonhinge/policies/choice.py
@@ -28,7 +28,8 @@
         load: Work in progress, as last reported by its keeper or by other
             hosts, and corrected for what this host started and ended since.
         own_load: The part of `load` that this host sent.
-        recent_load: Work that was recently sent, in progress or ended.
+        recent_load: Work that the upstream recently received, whether it is
+            still in progress or has ended.
         same_domain: Whether the upstream is in this host's failure domain.
     """
 
@@ -46,10 +47,11 @@
 
     @property
     def slot_round(self) -> int:
-        """Number of the pass over its slots in which the new work would run.
+        """Round of work in which the new work would run, counted from 1.
 
-        It is 1 if a slot is free for the new work, 2 if the work has to wait
-        until each slot has served one more request, and so on.
+        In each round, every slot serves one request. The round is 1 if a slot
+        is free for the new work, 2 if the work has to wait until each slot has
+        served one more request, and so on.
         """
         return math.ceil(self.relative_load)
 
--- a/persimmonhinge/policies/choice_free_slot.py
+++ b/persimmonhinge/policies/choice_free_slot.py
@@ -9,7 +9,9 @@
 
 @choice.choice_policies.register("free-slot")
 class FreeSlotChoice(choice.ChoicePolicy):
-    """Chooses the upstream that can run the work first and requests a slot.
+    """Chooses the upstream that can run the work first.
+
+    A slot that is free now is then requested from the upstream's keeper.
 
     Load reports are older than most requests run for, so a choice by reports
     alone lets requests wait at one upstream while another is idle. Only the
--- a/persimmonhinge/policies/choice_near_first.py
+++ b/persimmonhinge/policies/choice_near_first.py
@@ -6,8 +6,8 @@
 
 from persimmonhinge.policies import choice
 
-# Load in excess of an upstream in another failure domain up to which an
-# upstream in the own domain is preferred, as a share of its capacity.
+# Share of its capacity by which an upstream in the own failure domain may be
+# more loaded than one in another domain and still be preferred.
 _OTHER_DOMAIN_PENALTY = 0.8
 # Weight of the current load; the recent load has the remaining weight.
 _CURRENT_LOAD_WEIGHT = 0.5
@@ -15,7 +15,7 @@
 
 @choice.choice_policies.register("near-first")
 class NearFirstChoice(choice.ChoicePolicy):
-    """Leaves the own failure domain only if it is clearly more loaded.
+    """Prefers the own failure domain unless it is clearly more loaded.
 
     A flow that stays within its domain continues while the domains are
     partitioned from each other.
--- a/persimmonhinge/policies/choice_round_robin.py
+++ b/persimmonhinge/policies/choice_round_robin.py
@@ -15,7 +15,7 @@
     def __init__(self, randomness: random.Random) -> None:
         """See `ChoicePolicy`."""
         super().__init__(randomness)
-        # A random start keeps hosts from all choosing the first upstream first.
+        # Hosts that all started with the first upstream would load it together.
         self._next = randomness.randrange(1_000_000)
 
     def choose(
--- a/persimmonhinge/policies/order.py
+++ b/persimmonhinge/policies/order.py
@@ -124,7 +124,7 @@
             ahead += [earlier.work for earlier in entries[:index]]
         return ahead
 
-    def count_waiting(self, call_class: ids.CallClassName) -> int:
+    def count_queued(self, call_class: ids.CallClassName) -> int:
         """Returns the number of queued requests of a call class."""
         return len(self._by_class.get(call_class, ()))
 
--- a/persimmonhinge/policies/order_priority.py
+++ b/persimmonhinge/policies/order_priority.py
@@ -40,7 +40,7 @@
     def discard(self, work: order.QueuedWork) -> None:
         """Removes work; a class whose queue is now empty loses its credit."""
         super().discard(work)
-        if not self.count_waiting(work.call_class):
+        if not self.count_queued(work.call_class):
             self._credit_s.pop(work.call_class, None)
 
     def _has_credit(self, head: order.QueuedWork) -> bool:
--- a/persimmonhinge/upstreams/slots.py
+++ b/persimmonhinge/upstreams/slots.py
@@ -228,7 +228,7 @@
             if self._queue.sort_key(last) < self._queue.sort_key(job):
                 return False
             kept = math.ceil(last.share * self._target.limits.queue)
-            if self._queue.count_waiting(last.call_class) <= kept:
+            if self._queue.count_queued(last.call_class) <= kept:
                 continue
             self._queue.discard(last)
             retry_s = admissions.choose_retry_delay_s(
--- a/tests/test_forwarding/scene.py
+++ b/tests/test_forwarding/scene.py
@@ -132,7 +132,12 @@
         self.set_state(1)
 
     def set_state(self, version: int, *ports: int) -> None:
-        """Applies a desired state with routes at the given ports or at both."""
+        """Applies a desired state with routes at some ports, or at both ports.
+
+        Args:
+            version: Version of the desired state.
+            *ports: Ports of the routes; `PORT` and `OTHER_PORT` if empty.
+        """
         services = {PORT: SERVICE, OTHER_PORT: OTHER_SERVICE}
         found = [
             make_route(port, services.get(port, SERVICE))
--- a/tests/test_forwarding/test_forwarding_candidates.py
+++ b/tests/test_forwarding/test_forwarding_candidates.py
@@ -83,10 +83,10 @@
         for n in range(remote_count)
     ]
     other = scenes.make_upstream(40, service=scenes.OTHER_SERVICE)
-    leaving = scenes.make_upstream(
+    draining = scenes.make_upstream(
         41, state=upstream_module.UpstreamState.DRAINING
     )
-    pool = make_pool([*known, other, leaving])
+    pool = make_pool([*known, other, draining])
     drawn = pool.draw(scenes.SERVICE, lambda u: u.number not in unusable)
     names = [upstream.id for upstream in drawn]
     assert len(set(names)) == len(names) <= 2 * candidates.SAMPLE_SIZE
@@ -97,16 +97,16 @@
 def test_draining_upstream_is_not_drawn() -> None:
     """Guards against new flows at an upstream that announced that it drains."""
     directory = directory_module.Directory(60.0)
-    leaving = scenes.make_upstream(1)
-    directory.put(leaving, 0.0)
+    draining = scenes.make_upstream(1)
+    directory.put(draining, 0.0)
     directory.put(scenes.make_upstream(2), 0.0)
     pool = candidates.CandidatePool(
         scenes.LOCAL_DOMAIN, directory, random.Random(_SEED)
     )
     assert len(pool.draw(scenes.SERVICE, lambda _: True)) == 2
-    directory.mark(leaving.id, upstream_module.UpstreamState.DRAINING)
-    (left,) = pool.draw(scenes.SERVICE, lambda _: True)
-    assert left.id != leaving.id
+    directory.mark(draining.id, upstream_module.UpstreamState.DRAINING)
+    (drawn,) = pool.draw(scenes.SERVICE, lambda _: True)
+    assert drawn.id != draining.id
 
 
 def test_flow_goes_to_the_one_good_upstream_among_many_suspected() -> None:
--- a/tests/test_forwarding/test_forwarding_clock.py
+++ b/tests/test_forwarding/test_forwarding_clock.py
@@ -12,8 +12,8 @@
 def test_no_decision_reads_the_time_of_day() -> None:
     """Guards against suspicion of all upstreams when a clock is corrected.
 
-    The time of day jumps by seconds. Durations that are differences of two
-    times of day would then be wrong.
+    The time of day jumps by seconds, and back again. Durations that are
+    differences of two times of day would then be wrong.
     """
     with (
         mock.patch("time.time", side_effect=AssertionError("time of day")),
--- a/tests/test_forwarding/test_forwarding_eligibility.py
+++ b/tests/test_forwarding/test_forwarding_eligibility.py
@@ -71,7 +71,10 @@
 
 
 def test_flow_is_refused_where_no_upstream_is_in_its_regions() -> None:
-    """Guards against use of other regions when the route's have no upstream."""
+    """Guards against flows that leave the regions of their route.
+
+    No upstream of the service is in a region of the route.
+    """
     scene = make_scene()
     set_route(scene, ids.RegionId("abroad"))
     scene.receive(scenes.make_packet(1000, scenes.SYN))
@@ -121,8 +124,8 @@
 ) -> None:
     """Guards against hosts that each keep to a limit but exceed it together.
 
-    All upstreams of the service are warming up, and each host does not know
-    about a tenth of the other hosts.
+    All upstreams of the service are warming up, and each host has not yet
+    discovered some of the other hosts, one in ten on average.
     """
     randomness = random.Random(seed)
     clock = scenes.Clock()
--- a/tests/test_forwarding/test_forwarding_import_pace.py
+++ b/tests/test_forwarding/test_forwarding_import_pace.py
@@ -37,10 +37,10 @@
 def test_burst_after_a_restart_gets_half_of_the_time() -> None:
     """Guards against late forwarding after a restart of all hosts.
 
-    Callers retransmit all open requests as soon as the hosts forward packets,
-    while the hosts still import most of their modules. If packets were only
-    read once between two imports, callers would wait although their packets
-    have arrived and upstreams are idle.
+    All hosts lose power. Callers retransmit all open requests as soon as the
+    hosts forward packets, while the hosts still import most of their modules.
+    If packets were only read once between two imports, callers would wait
+    although their packets have arrived and upstreams are idle.
     """
     imported_s, served_s = simulate_start(packets=5, imports=20)
     assert abs(served_s - imported_s) < 1e-9
--- a/tests/test_forwarding/test_forwarding_openings.py
+++ b/tests/test_forwarding/test_forwarding_openings.py
@@ -89,24 +89,24 @@
     assert scene.last_upstream() != chosen
 
 
-def test_dead_upstream_gets_few_openings_and_is_used_again() -> None:
+def test_failed_upstream_gets_few_openings_and_is_used_again() -> None:
     scene = scenes.Scene()
-    dead = scene.add(scenes.make_upstream(1))
+    failed = scene.add(scenes.make_upstream(1))
     live = scene.add(scenes.make_upstream(2))
-    sent_to_dead = 0
+    sent_to_failed = 0
     for port in range(1000, 1100):
         chosen = scene.open(port=port)
-        if chosen == dead:
-            sent_to_dead += 1
+        if chosen == failed:
+            sent_to_failed += 1
             scene.clock.sleep(answer_timeout.MIN_ANSWER_TIMEOUT_S)
             scene.handle_due_openings()
         scene.continue_flow(live, port=port)
         scene.continue_flow(live, port=port, acknowledged=1)
         scene.clock.sleep(0.02)
-    assert 1 <= sent_to_dead <= 5
+    assert 1 <= sent_to_failed <= 5
     scene.clock.sleep(2.0)
-    scene.continue_flow(dead, port=2000)
-    assert dead in {scene.open(port=port) for port in range(3000, 3010)}
+    scene.continue_flow(failed, port=2000)
+    assert failed in {scene.open(port=port) for port in range(3000, 3010)}
 
 
 def test_upstreams_whose_answers_take_longer_are_not_suspected() -> None:
@@ -134,7 +134,7 @@
 
 
 def test_openings_are_not_tripled_where_all_upstreams_answer_late() -> None:
-    """Guards against an overload that retries of openings keep up.
+    """Guards against an overload that is prolonged by retries of openings.
 
     All upstreams are so busy that they answer after 0.25 s, which is more than
     the maximum timeout. Without a budget for retries, each new flow would be
--- a/tests/test_forwarding/test_forwarding_reading.py
+++ b/tests/test_forwarding/test_forwarding_reading.py
@@ -164,7 +164,7 @@
     assert reader.state("1") is upstreams.UpstreamState.MISSING
     assert reader.knowledge.confirmed_at is not None
     reader.knowledge.settle(
-        reader.knowledge.confirmed_at + store_availability.ENTRY_RETURN_S
+        reader.knowledge.confirmed_at + store_availability.ENTRY_REWRITE_S
     )
     assert reader.state("1") is upstreams.UpstreamState.GONE
 
--- a/tests/test_forwarding/test_forwarding_report_lines.py
+++ b/tests/test_forwarding/test_forwarding_report_lines.py
@@ -45,4 +45,4 @@
     scene.add(scenes.make_upstream(2))
     scene.remove_upstream(scene.add(scenes.make_upstream(3)))
     assert list_lines(scene) == []
-    assert scene.loads.list_active() == []
+    assert scene.loads.list_used_upstreams() == []
--- a/tests/test_policies/test_policies_choice.py
+++ b/tests/test_policies/test_policies_choice.py
@@ -63,13 +63,14 @@
     min_load = min(candidate.relative_load for candidate in candidates)
     chosen = _make_policy("least-loaded", seed).choose(candidates)
     assert chosen.relative_load == min_load
-    first = min(candidate.slot_round for candidate in candidates)
+    min_round = min(candidate.slot_round for candidate in candidates)
     assert (
-        _make_policy("free-slot", seed).choose(candidates).slot_round == first
+        _make_policy("free-slot", seed).choose(candidates).slot_round
+        == min_round
     )
-    own = min((c.own_load + 1) / c.capacity for c in candidates)
+    min_own_load = min((c.own_load + 1) / c.capacity for c in candidates)
     chosen = _make_policy("least-connections", seed).choose(candidates)
-    assert (chosen.own_load + 1) / chosen.capacity == own
+    assert (chosen.own_load + 1) / chosen.capacity == min_own_load
 
 
 @hypothesis.given(candidates=draw_candidates(), seed=_SEEDS)
--- a/tests/test_policies/test_policies_order.py
+++ b/tests/test_policies/test_policies_order.py
@@ -54,8 +54,8 @@
 )
 def test_order_serves_all_in_its_order(works: list[Work], name: str) -> None:
     queue = order.order_policies.get(name)()
-    for waiting in works:
-        queue.push(waiting)
+    for work in works:
+        queue.push(work)
     keys = {
         "fifo": lambda w: w.sequence,
         "deadline": lambda w: (w.deadline, w.sequence),
@@ -73,12 +73,12 @@
     works: list[Work], discarded: set[int], name: str
 ) -> None:
     queue = order.order_policies.get(name)()
-    for waiting in works:
-        queue.push(waiting)
-    for waiting in works:
-        if waiting.sequence in discarded:
-            queue.discard(waiting)
-            queue.discard(waiting)
+    for work in works:
+        queue.push(work)
+    for work in works:
+        if work.sequence in discarded:
+            queue.discard(work)
+            queue.discard(work)
     remaining = [w for w in works if w.sequence not in discarded]
     assert len(queue) == len(remaining)
     assert sorted(w.sequence for w in queue) == [w.sequence for w in remaining]
@@ -89,8 +89,8 @@
     hypothesis.assume(works)
     queue = order.order_policies.get("priority")()
     new = works.pop()
-    for waiting in works:
-        queue.push(waiting)
+    for work in works:
+        queue.push(work)
     ahead = {w.sequence for w in queue.list_ahead(new)}
     queue.push(new)
     served_order = [w.sequence for w in pop_all(queue)]
