--- a/benchmarks/ablation/play.py
+++ b/benchmarks/ablation/play.py
@@ -13,7 +13,7 @@
 from persimmonhinge import ids
 from persimmonhinge import records
 from persimmonhinge.forwarding import upstream_load as load_lines
-from persimmonhinge.forwarding.decisions import told_loads
+from persimmonhinge.forwarding.decisions import report_lines
 from tests.test_forwarding import scene as scenes
 
 # The cleaning firm's dispatch: three failure domains with two hosts each, seven
@@ -186,7 +186,7 @@
 
     def _end(self, upstream: emulated_upstream.EmulatedUpstream) -> None:
         for host in self._hosts:
-            host.lose(upstream.described)
+            host.remove_upstream(upstream.described)
 
     def _end_all(self) -> None:
         for upstream in self._upstreams.values():
@@ -210,13 +210,13 @@
 
     def _check(self) -> None:
         for number, host in enumerate(self._hosts):
-            host.handle_due()
+            host.handle_due_openings()
             self._deliver(number)
         self._queue.after(_CHECK_S, self._check)
 
     def _confirm(self) -> None:
         for host in self._hosts:
-            host.confirm()
+            host.confirm_state()
         self._queue.after(_CONFIRM_S, self._confirm)
 
     def _deliver(self, number: int) -> None:
@@ -285,7 +285,7 @@
 
     def _report(self) -> None:
         for number, host in enumerate(self._hosts):
-            lines = told_loads.list_lines(
+            lines = report_lines.list_report_lines(
                 host.knowledge, host.loads, host.suspicions, host.clock.now
             )
             for other in self._hosts:
@@ -318,8 +318,8 @@
     host: scenes.Scene, lines: list[load_lines.UpstreamLoad], sign: int
 ) -> None:
     for token, in_flight, average, missed in lines:
-        host.loads.add_others(token, sign * in_flight, sign * average)
-        host.suspicions.add_others(token, sign * missed)
+        host.loads.add_reported(token, sign * in_flight, sign * average)
+        host.suspicions.add_reported_misses(token, sign * missed)
 
 
 def _go_dark(upstream: emulated_upstream.EmulatedUpstream) -> None:
--- a/persimmonhinge/flows/chooser.py
+++ b/persimmonhinge/flows/chooser.py
@@ -85,7 +85,9 @@
         self._recently_used_keepers.add(found.keeper)
         if kind is not contract.CallKind.REQUEST or len(reachable) < 2:
             return found
-        may_be_busy = policy.asks and _may_be_busy(found.upstream, chosen)
+        may_be_busy = policy.requires_free_slot and _may_be_busy(
+            found.upstream, chosen
+        )
         return dataclasses.replace(found, may_be_busy=may_be_busy)
 
     def pick_keepers(
@@ -266,8 +268,10 @@
             upstream_id,
             capacity=self._compute_capacity(entry, upstream, kind),
             load=self._load_tracker.estimate(service, upstream_id, kind, homes),
-            own=self._load_tracker.count_own(service, upstream_id, kind),
-            recent=self._load_tracker.count_recent(service, upstream_id, kind),
+            own_load=self._load_tracker.count_own(service, upstream_id, kind),
+            recent_load=self._load_tracker.count_recent(
+                service, upstream_id, kind
+            ),
         )
 
     def _compute_capacity(
@@ -292,10 +296,12 @@
     ) -> choice_module.ChoicePolicy:
         name = entry.contract.policies.choice
         if kind is contract.CallKind.FEED:
-            name = choice_module.choices.get(name).for_feeds or name
+            name = choice_module.choice_policies.get(name).feed_policy or name
         key = (f"{entry.contract.service}/{kind.value}", name)
         if key not in self._policies:
-            self._policies[key] = choice_module.choices.get(name)(self._random)
+            self._policies[key] = choice_module.choice_policies.get(name)(
+                self._random
+            )
         return self._policies[key]
 
 
--- a/persimmonhinge/forwarding/core.py
+++ b/persimmonhinge/forwarding/core.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from persimmonhinge import draws
 from persimmonhinge import ids
+from persimmonhinge import random_sampling
 from persimmonhinge.forwarding import flow
 from persimmonhinge.forwarding import flow_table
 from persimmonhinge.forwarding import forwarder
@@ -12,11 +12,11 @@
 from persimmonhinge.forwarding import sockets
 from persimmonhinge.forwarding import tracker
 from persimmonhinge.forwarding.decisions import chooser as chooser_module
-from persimmonhinge.forwarding.decisions import cold_shares
 from persimmonhinge.forwarding.decisions import eligibility
 from persimmonhinge.forwarding.decisions import loads
 from persimmonhinge.forwarding.decisions import openings
 from persimmonhinge.forwarding.decisions import suspicions
+from persimmonhinge.forwarding.decisions import warm_up_shares
 from persimmonhinge.forwarding.peers import book
 from persimmonhinge.light_typing import TYPE_CHECKING
 from persimmonhinge.metrics import counts
@@ -75,7 +75,7 @@
         self.entries = reading.Entries(reader, self.knowledge, self.counts)
         self.openings = openings.Openings()
         self.socket = sockets.PacketSocket(packet_socket, self.counts)
-        self.loads = loads.LoadBook()
+        self.loads = loads.LoadTable()
         self.suspicions = suspicions.Suspicions()
         self.tracker = tracker.FlowTracker(
             flow_table.FlowTable(_MAX_FLOWS), self.loads, self.counts
@@ -86,7 +86,7 @@
             self.suspicions,
         )
         # Only the method `random` is called, which `draws.source` has, too.
-        randomness: random.Random = draws.source  # type: ignore[assignment]
+        randomness: random.Random = random_sampling.generator  # type: ignore[assignment]
         chooser = chooser_module.UpstreamChooser(
             ids.DomainId(settings.domain),
             self.knowledge,
@@ -94,10 +94,12 @@
             eligibility.Eligibility(
                 self.knowledge,
                 self.suspicions,
-                cold_shares.ColdShares(settings.host, self.peers.list_hosts),
+                warm_up_shares.WarmUpShares(
+                    settings.host, self.peers.list_hosts
+                ),
                 settings.domain_regions(),
             ),
-            choice.choices.get(settings.choice)(randomness),
+            choice.choice_policies.get(settings.choice)(randomness),
             randomness,
         )
         self.forwarder = forwarder.Forwarder(
@@ -124,5 +126,5 @@
         """
         while self.receive_batch() == sockets.MAX_BATCH_DATAGRAMS:
             pass
-        for opening in self.openings.take_due():
+        for opening in self.openings.pop_due():
             self.forwarder.retry_opening(opening)
--- a/persimmonhinge/forwarding/decisions/chooser.py
+++ b/persimmonhinge/forwarding/decisions/chooser.py
@@ -1,4 +1,4 @@
-"""Chooses the upstream of a new flow."""
+"""Choice of the upstream for a new flow."""
 
 from __future__ import annotations
 
@@ -9,46 +9,49 @@
 
 from persimmonhinge import ids
 from persimmonhinge import records
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import route as routes
-from persimmonhinge.forwarding import upstream as upstreams
-from persimmonhinge.forwarding.decisions import candidates as candidate_pools
-from persimmonhinge.forwarding.decisions import eligibility as eligibilities
-from persimmonhinge.forwarding.decisions import loads as load_books
+from persimmonhinge.forwarding import flow as flow_module
+from persimmonhinge.forwarding import knowledge as knowledge_module
+from persimmonhinge.forwarding import route as route_module
+from persimmonhinge.forwarding import upstream as upstream_module
+from persimmonhinge.forwarding.decisions import candidates as candidates_module
+from persimmonhinge.forwarding.decisions import (
+    eligibility as eligibility_module,
+)
+from persimmonhinge.forwarding.decisions import loads as loads_module
 from persimmonhinge.light_typing import TYPE_CHECKING
 from persimmonhinge.policies import choice
 
 if TYPE_CHECKING:
     import random
 
-# Share of its slots that a cold upstream counts with, as it is slower.
-_COLD_ROOM = 0.6
+# Capacity of an upstream that is warming up, as a share of its slots. It is
+# slower then.
+_WARMING_UP_CAPACITY_SHARE = 0.6
 
 
-class Chosen(records.Record, frozen=True):
-    """An upstream that was chosen, and what decided.
+class ChosenUpstream(records.Record, frozen=True):
+    """An upstream that was chosen, with the input of the choice.
 
     Attributes:
         upstream: The upstream.
-        candidate: Its loads, as the policy saw them.
-        among: Number of upstreams that were compared.
+        candidate: Its load and capacity, as the policy received them.
+        candidate_count: Number of upstreams that were compared.
     """
 
-    upstream: upstreams.Upstream
+    upstream: upstream_module.Upstream
     candidate: choice.Candidate
-    among: int
+    candidate_count: int
 
 
 class UpstreamChooser:
-    """Chooses among the upstreams that may take a new flow."""
+    """Chooses one of the upstreams that may receive a new flow."""
 
     def __init__(
         self,
         domain: ids.DomainId,
-        knowledge: knowledge_parts.Knowledge,
-        loads: load_books.LoadBook,
-        eligibility: eligibilities.Eligibility,
+        knowledge: knowledge_module.Knowledge,
+        loads: loads_module.LoadTable,
+        eligibility: eligibility_module.Eligibility,
         policy: choice.ChoicePolicy,
         randomness: random.Random,
     ) -> None:
@@ -57,103 +60,118 @@
         self._loads = loads
         self._eligibility = eligibility
         self._policy = policy
-        self._pool = candidate_pools.CandidatePool(
+        self._pool = candidates_module.CandidatePool(
             domain, knowledge.directory, randomness
         )
 
     def choose(
         self,
-        route: routes.Route,
-        flow: flows.FlowId,
+        route: route_module.Route,
+        flow: flow_module.FlowId,
         now: float,
-        without: Collection[ids.UpstreamId] = (),
-    ) -> Chosen | None:
+        tried_upstreams: Collection[ids.UpstreamId] = (),
+    ) -> ChosenUpstream | None:
         """Returns the upstream for a new flow, None if there is none.
 
         Args:
-            route: The flow's route.
+            route: Route of the flow.
             flow: The flow.
-            now: The time.
-            without: Upstreams that have left an opening packet of this flow
-                unanswered; taken only where there is no other.
+            now: The current time, seconds.
+            tried_upstreams: Upstreams that left an opening packet of this flow
+                unanswered; chosen only if there is no other.
         """
-        wanted = eligibilities.NewFlow(
-            choose_share(route, flow),
-            self._eligibility.list_excluded(route),
-            without,
+        new_flow = eligibility_module.NewFlow(
+            choose_service(route, flow),
+            self._eligibility.list_excluded_domains(route),
+            tried_upstreams,
             now,
         )
-        usable = self._list_usable(wanted)
+        usable = self._list_usable(new_flow)
         if not usable:
             return None
-        found = {upstream.id: upstream for upstream in usable}
+        upstreams_by_id = {upstream.id: upstream for upstream in usable}
         candidates = [self._make_candidate(u, now) for u in usable]
         candidate = self._policy.choose(candidates)
-        upstream = found[candidate.upstream]
-        self._eligibility.record_opening(upstream, wanted)
-        return Chosen(upstream, candidate, len(candidates))
+        upstream = upstreams_by_id[candidate.upstream]
+        self._eligibility.record_opening(upstream, new_flow)
+        return ChosenUpstream(upstream, candidate, len(candidates))
 
     def _list_usable(
-        self, flow: eligibilities.NewFlow
-    ) -> Sequence[upstreams.Upstream]:
-        def is_usable(upstream: upstreams.Upstream) -> bool:
+        self, new_flow: eligibility_module.NewFlow
+    ) -> Sequence[upstream_module.Upstream]:
+        def is_usable(upstream: upstream_module.Upstream) -> bool:
             eligibility = self._eligibility
-            return eligibility.should_take(
-                upstream, flow
-            ) and eligibility.may_take(upstream, flow)
-
-        drawn = self._pool.draw(flow.service, is_usable, flow.excluded)
-        return drawn or self._list_all(flow)
-
-    def _list_all(
-        self, flow: eligibilities.NewFlow
-    ) -> Sequence[upstreams.Upstream]:
-        """Returns those that are the least bad where hardly any is usable."""
-        ready = self._list_allowed(flow, upstreams.UpstreamState.READY)
-        fresh = [u for u in ready if u.id not in flow.without]
-        good = [u for u in fresh if self._eligibility.should_take(u, flow)]
+            return eligibility.is_preferred(
+                upstream, new_flow
+            ) and eligibility.is_allowed(upstream, new_flow)
+
+        drawn = self._pool.draw(
+            new_flow.service, is_usable, new_flow.excluded_domains
+        )
+        return drawn or self._list_fallbacks(new_flow)
+
+    def _list_fallbacks(
+        self, new_flow: eligibility_module.NewFlow
+    ) -> Sequence[upstream_module.Upstream]:
+        """Returns upstreams to use if the sample has no usable one.
+
+        Conditions that are preferences are given up one after the other.
+        """
+        ready = self._list_allowed(
+            new_flow, upstream_module.UpstreamState.READY
+        )
+        not_tried = [u for u in ready if u.id not in new_flow.tried_upstreams]
+        preferred = [
+            u for u in not_tried if self._eligibility.is_preferred(u, new_flow)
+        ]
         return (
-            good
-            or fresh
+            preferred
+            or not_tried
             or ready
-            or self._list_allowed(flow, upstreams.UpstreamState.MISSING)
+            or self._list_allowed(
+                new_flow, upstream_module.UpstreamState.MISSING
+            )
         )
 
     def _list_allowed(
-        self, flow: eligibilities.NewFlow, state: upstreams.UpstreamState
-    ) -> list[upstreams.Upstream]:
-        """Returns those of a state that the flow may go to at all."""
-        found = self._knowledge.directory.select(flow.service, state)
-        return [u for u in found if self._eligibility.may_take(u, flow)]
+        self,
+        new_flow: eligibility_module.NewFlow,
+        state: upstream_module.UpstreamState,
+    ) -> list[upstream_module.Upstream]:
+        """Returns the upstreams in a state that the flow is allowed to use."""
+        found = self._knowledge.directory.select(new_flow.service, state)
+        return [u for u in found if self._eligibility.is_allowed(u, new_flow)]
 
     def _make_candidate(
-        self, upstream: upstreams.Upstream, now: float
+        self, upstream: upstream_module.Upstream, now: float
     ) -> choice.Candidate:
-        cold = self._knowledge.directory.is_cold(upstream.id, now)
-        room = _COLD_ROOM if cold else 1.0
+        is_warming_up = self._knowledge.directory.is_cold(upstream.id, now)
+        capacity_share = _WARMING_UP_CAPACITY_SHARE if is_warming_up else 1.0
         in_flight = self._loads.in_flight(upstream.id)
         return choice.Candidate(
             upstream=upstream.id,
-            capacity=upstream.slots * room,
-            load=in_flight + self._loads.others_in_flight(upstream.token),
-            own=in_flight,
-            recent=self._loads.average(upstream.id)
-            + self._loads.others_average(upstream.token),
-            near=upstream.domain == self._domain,
+            capacity=upstream.slots * capacity_share,
+            load=in_flight + self._loads.reported_in_flight(upstream.token),
+            own_load=in_flight,
+            recent_load=self._loads.average(upstream.id)
+            + self._loads.reported_average(upstream.token),
+            same_domain=upstream.domain == self._domain,
         )
 
 
-def choose_share(route: routes.Route, flow: flows.FlowId) -> ids.ServiceName:
+def choose_service(
+    route: route_module.Route, flow: flow_module.FlowId
+) -> ids.ServiceName:
     """Returns the service of a flow by the weights of its route.
 
-    It follows from the flow, so that copies of an opening packet go to one
-    service, whichever host they come to.
+    The service is a function of the flow, so that retransmissions of an
+    opening packet go to the same service whichever host receives them.
     """
     total = sum(share.weight for share in route.shares)
     text = ",".join(map(str, flow))
-    at = xxhash.xxh32_intdigest(text.encode()) / 2**32 * total
+    position = xxhash.xxh32_intdigest(text.encode()) / 2**32 * total
     for share in route.shares:
-        at -= share.weight
-        if at < 0:
+        position -= share.weight
+        if position < 0:
             return share.service
     return route.shares[-1].service
--- a/persimmonhinge/forwarding/decisions/eligibility.py
+++ b/persimmonhinge/forwarding/decisions/eligibility.py
@@ -1,4 +1,4 @@
-"""Which upstreams may take a new flow."""
+"""Conditions that an upstream has to meet to receive a new flow."""
 
 from __future__ import annotations
 
@@ -7,60 +7,67 @@
 
 from persimmonhinge import ids
 from persimmonhinge import records
-from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import route as routes
-from persimmonhinge.forwarding import upstream as upstreams
-from persimmonhinge.forwarding.decisions import cold_shares as cold_share_books
-from persimmonhinge.forwarding.decisions import suspicions as suspicion_lists
+from persimmonhinge.forwarding import knowledge as knowledge_module
+from persimmonhinge.forwarding import route as route_module
+from persimmonhinge.forwarding import upstream as upstream_module
+from persimmonhinge.forwarding.decisions import suspicions as suspicions_module
+from persimmonhinge.forwarding.decisions import (
+    warm_up_shares as warm_up_shares_module,
+)
 
 
 class NewFlow(records.Record, frozen=True):
-    """What decides which upstreams may take a flow.
+    """Properties of a new flow that decide which upstreams may receive it.
 
     Attributes:
-        service: The service of the flow.
-        excluded: Failure domains that must not get it.
-        without: Upstreams that have left an opening packet of it unanswered.
-        at: The time.
+        service: Service of the flow.
+        excluded_domains: Failure domains that must not receive the flow.
+        tried_upstreams: Upstreams that left an opening packet of the flow
+            unanswered.
+        now: The current time, seconds.
     """
 
     service: ids.ServiceName
-    excluded: frozenset[ids.DomainId]
-    without: Collection[ids.UpstreamId]
-    at: float
+    excluded_domains: frozenset[ids.DomainId]
+    tried_upstreams: Collection[ids.UpstreamId]
+    now: float
 
 
 class Eligibility:
-    """Conditions for new flows; all choices of an upstream ask here.
+    """Decides which upstreams may receive a new flow.
 
-    Some conditions always hold, so that a flow is refused where no upstream
-    meets them. The others give way where nothing else is left.
+    Each choice of an upstream applies these conditions. Some are mandatory: a
+    flow is refused if no upstream meets them. The others are preferences, and
+    are ignored if no upstream meets them.
     """
 
     def __init__(
         self,
-        knowledge: knowledge_parts.Knowledge,
-        suspicions: suspicion_lists.Suspicions,
-        cold_shares: cold_share_books.ColdShares,
+        knowledge: knowledge_module.Knowledge,
+        suspicions: suspicions_module.Suspicions,
+        warm_up_shares: warm_up_shares_module.WarmUpShares,
         regions: Mapping[ids.DomainId, ids.RegionId],
     ) -> None:
-        """Makes the conditions of one host.
+        """Creates the conditions of one host.
 
         Args:
-            knowledge: What it believes of the platform.
+            knowledge: The host's view of the platform.
             suspicions: Upstreams that left opening packets unanswered.
-            cold_shares: What it may send to upstreams that are cold.
-            regions: The region of each failure domain.
+            warm_up_shares: Shares of the host in the limits of upstreams that
+                are warming up.
+            regions: Region of each failure domain.
         """
         self._knowledge = knowledge
         self._suspicions = suspicions
-        self._cold_shares = cold_shares
+        self._warm_up_shares = warm_up_shares
         self._regions = regions
 
-    def list_excluded(self, route: routes.Route) -> frozenset[ids.DomainId]:
-        """Returns the failure domains that no new flow of a route may go to.
+    def list_excluded_domains(
+        self, route: route_module.Route
+    ) -> frozenset[ids.DomainId]:
+        """Returns the failure domains that a route's new flows must not use.
 
-        These are the evacuated ones and those outside the route's regions.
+        These are the evacuated domains and those outside the route's regions.
         """
         evacuated = self._knowledge.evacuated
         if not route.regions:
@@ -71,47 +78,55 @@
             if self._regions.get(domain) not in route.regions
         }
 
-    def may_take(self, upstream: upstreams.Upstream, flow: NewFlow) -> bool:
-        """Tells whether an upstream meets what always holds."""
+    def is_allowed(
+        self, upstream: upstream_module.Upstream, flow: NewFlow
+    ) -> bool:
+        """Returns whether an upstream meets the mandatory conditions."""
         return (
-            upstream.domain not in flow.excluded
+            upstream.domain not in flow.excluded_domains
             and self._knowledge.directory.is_unique(upstream)
-            and self._has_cold_share(upstream, flow)
+            and self._is_within_warm_up_limit(upstream, flow)
         )
 
-    def should_take(self, upstream: upstreams.Upstream, flow: NewFlow) -> bool:
-        """Tells whether an upstream also meets what may give way."""
+    def is_preferred(
+        self, upstream: upstream_module.Upstream, flow: NewFlow
+    ) -> bool:
+        """Returns whether an upstream meets the preferences."""
         return (
-            upstream.id not in flow.without
-            and not self._suspicions.holds(upstream.id, upstream.token, flow.at)
-            and self._find_cold_limit(upstream, flow) is None
+            upstream.id not in flow.tried_upstreams
+            and not self._suspicions.is_suspected(
+                upstream.id, upstream.token, flow.now
+            )
+            and self._find_warm_up_limit(upstream, flow) is None
         )
 
     def record_opening(
-        self, upstream: upstreams.Upstream, flow: NewFlow
+        self, upstream: upstream_module.Upstream, flow: NewFlow
     ) -> None:
-        """Records that a flow goes to an upstream."""
-        if self._find_cold_limit(upstream, flow) is not None:
-            self._cold_shares.record_opening(upstream.id, flow.at)
+        """Records that a flow was assigned to an upstream."""
+        if self._find_warm_up_limit(upstream, flow) is not None:
+            self._warm_up_shares.record_opening(upstream.id, flow.now)
 
-    def _has_cold_share(
-        self, upstream: upstreams.Upstream, flow: NewFlow
+    def _is_within_warm_up_limit(
+        self, upstream: upstream_module.Upstream, flow: NewFlow
     ) -> bool:
-        limit_per_s = self._find_cold_limit(upstream, flow)
+        limit_per_s = self._find_warm_up_limit(upstream, flow)
         if limit_per_s is None:
             return True
-        return self._cold_shares.has_room(upstream.id, limit_per_s, flow.at)
+        return self._warm_up_shares.may_open_flow(
+            upstream.id, limit_per_s, flow.now
+        )
 
-    def _find_cold_limit(
-        self, upstream: upstreams.Upstream, flow: NewFlow
+    def _find_warm_up_limit(
+        self, upstream: upstream_module.Upstream, flow: NewFlow
     ) -> float | None:
-        """Returns the requests a second that an upstream bears; None for any.
+        """Returns an upstream's limit in requests per second, or None.
 
-        It has a limit while it is cold, if its service has one.
+        It has a limit while it is warming up, if its service sets one.
         """
         state = self._knowledge.state
         limit_per_s = state.cold_limits.get(flow.service) if state else None
         if limit_per_s is None:
             return None
-        is_cold = self._knowledge.directory.is_cold(upstream.id, flow.at)
-        return limit_per_s if is_cold else None
+        is_warming_up = self._knowledge.directory.is_cold(upstream.id, flow.now)
+        return limit_per_s if is_warming_up else None
--- /dev/null
+++ b/persimmonhinge/forwarding/decisions/report_lines.py
@@ -0,0 +1,42 @@
+"""Lines of a load report, which a host sends to other hosts."""
+
+from __future__ import annotations
+
+from persimmonhinge.forwarding import knowledge as knowledge_module
+from persimmonhinge.forwarding import upstream_load
+from persimmonhinge.forwarding.decisions import loads as loads_module
+from persimmonhinge.forwarding.decisions import suspicions as suspicions_module
+
+
+def list_report_lines(
+    knowledge: knowledge_module.Knowledge,
+    loads: loads_module.LoadTable,
+    suspicions: suspicions_module.Suspicions,
+    now: float,
+) -> list[upstream_load.UpstreamLoad]:
+    """Returns a line for each upstream with load or misses of this host.
+
+    Loads and suspicions of upstreams that were removed are deleted.
+
+    Args:
+        knowledge: The host's view of the platform, for the known upstreams.
+        loads: Requests of this host's flows at each upstream.
+        suspicions: Opening packets of this host that were not answered.
+        now: The current time, seconds.
+    """
+    lines = []
+    for upstream in loads.list_used_upstreams():
+        known = knowledge.directory.get(upstream)
+        if known is None:
+            loads.remove_upstream(upstream)
+            suspicions.remove_upstream(upstream)
+            continue
+        line = upstream_load.UpstreamLoad(
+            known.token,
+            loads.in_flight(upstream),
+            round(loads.average(upstream) * 100),
+            suspicions.count_misses_to_report(upstream, now),
+        )
+        if line.in_flight or line.average or line.missed_openings:
+            lines.append(line)
+    return lines
--- a/persimmonhinge/forwarding/forwarder.py
+++ b/persimmonhinge/forwarding/forwarder.py
@@ -85,17 +85,17 @@
         the whole latency target of most requests.
         """
         now = self._clock()
-        self._suspicions.record_miss(opening.tried[-1], now)
-        if len(opening.tried) >= _MAX_UPSTREAMS_TRIED:
+        self._suspicions.record_miss(opening.tried_upstreams[-1], now)
+        if len(opening.tried_upstreams) >= _MAX_UPSTREAMS_TRIED:
             return
-        if not self._budget.take_try():
+        if not self._budget.spend_retry():
             self._counts.add("openings_not_retried_total")
             return
-        self._send_opening(opening.packet, opening.tried, now)
+        self._send_opening(opening.packet, opening.tried_upstreams, now)
 
     def _handle_opening(self, packet: packet_module.Packet) -> None:
         now = self._clock()
-        self._budget.add_opening()
+        self._budget.record_opening()
         record = self._tracker.get(packet.flow)
         if record is not None:
             self._handle_opening_copy(packet, record, now)
@@ -118,7 +118,7 @@
         the host started are read together, and the network duplicates some
         packets.
         """
-        if record.established or self._openings.find_waiting(packet.flow):
+        if record.established or self._openings.find_pending(packet.flow):
             upstream = self._knowledge.directory.get(record.upstream)
             if upstream is not None:
                 self._forward_packet(packet, upstream)
@@ -155,7 +155,7 @@
         this host has not read yet may serve the next copy.
         """
         knowledge = self._knowledge
-        if knowledge.is_current(now) and knowledge.trust.holds(now):
+        if knowledge.is_current(now) and knowledge.trust.confirms_absence(now):
             self._reset_flow(packet, "no-upstream")
         else:
             self._drop_packet(packet, "no-upstream-in-old-state")
@@ -234,7 +234,7 @@
         self,
         packet: packet_module.Packet,
         route: route_module.Route,
-        chosen: chooser_module.Chosen,
+        chosen: chooser_module.ChosenUpstream,
         tried: list[ids.UpstreamId],
     ) -> None:
         logger.info(
@@ -245,8 +245,8 @@
                 "route": route.name,
                 "upstream": chosen.upstream.id,
                 "in_flight": chosen.candidate.load,
-                "average": round(chosen.candidate.recent, 2),
-                "among": chosen.among,
+                "average": round(chosen.candidate.recent_load, 2),
+                "among": chosen.candidate_count,
                 "tried": tried,
                 **self._describe_knowledge(),
             },
--- a/persimmonhinge/forwarding/peers/book.py
+++ b/persimmonhinge/forwarding/peers/book.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterable
 import math
 
-from persimmonhinge import draws
 from persimmonhinge import early_logs
+from persimmonhinge import random_sampling
 from persimmonhinge import records
 from persimmonhinge.forwarding import flow as flows
 from persimmonhinge.forwarding.decisions import loads as load_books
@@ -72,7 +72,7 @@
     def __init__(
         self,
         own: flows.Endpoint,
-        loads: load_books.LoadBook,
+        loads: load_books.LoadTable,
         suspicions: suspicion_lists.Suspicions,
     ) -> None:
         """Makes an empty book.
@@ -136,8 +136,10 @@
         peer.domain = report.domain
         peer.heard_at = now
         for line in report.loads:
-            self._loads.add_others(line.token, line.in_flight, line.average)
-            self._suspicions.add_others(line.token, line.missed_openings)
+            self._loads.add_reported(line.token, line.in_flight, line.average)
+            self._suspicions.add_reported_misses(
+                line.token, line.missed_openings
+            )
         if former is None or _list_facts(former) != _list_facts(report):
             self._tell_listeners()
         return True
@@ -229,7 +231,7 @@
             for peer in self.heard()
             if domain in (None, peer.domain)
         ]
-        return tuple(draws.sample(heard, most))
+        return tuple(random_sampling.sample(heard, most))
 
     def _tell_listeners(self) -> None:
         for listener in self._listeners:
@@ -239,8 +241,10 @@
         if peer.report is None:
             return
         for line in peer.report.loads:
-            self._loads.add_others(line.token, -line.in_flight, -line.average)
-            self._suspicions.add_others(line.token, -line.missed_openings)
+            self._loads.add_reported(line.token, -line.in_flight, -line.average)
+            self._suspicions.add_reported_misses(
+                line.token, -line.missed_openings
+            )
 
 
 def _choose_newest(ahead: Iterable[tuple[int, Peer]]) -> Peer | None:
@@ -249,7 +253,9 @@
     if not found:
         return None
     newest = max(known for known, _ in found)
-    return draws.choose([peer for known, peer in found if known == newest])
+    return random_sampling.choose(
+        [peer for known, peer in found if known == newest]
+    )
 
 
 def _list_facts(report: messages.Report) -> tuple[object, ...]:
--- a/persimmonhinge/forwarding/startup.py
+++ b/persimmonhinge/forwarding/startup.py
@@ -48,8 +48,8 @@
         """Forwards received packets; returns None for the next finder."""
         packet_count = self._core.receive_batch()
         self._core.handle_due_openings()
-        self._forward_for(self._pace.end_import(packet_count))
-        self._pace.begin_import()
+        self._forward_for(self._pace.record_import_end(packet_count))
+        self._pace.record_import_start()
         return None
 
     def _forward_for(self, duration_s: float) -> None:
--- a/persimmonhinge/forwarding/tracker.py
+++ b/persimmonhinge/forwarding/tracker.py
@@ -24,7 +24,7 @@
     def __init__(
         self,
         flow_table: flow_table_module.FlowTable,
-        loads: loads_module.LoadBook,
+        loads: loads_module.LoadTable,
         counts: counts_module.Counts,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
@@ -147,9 +147,9 @@
     ) -> None:
         if record.request_started_at is None:
             record.request_started_at = now
-            self._loads.begin(record.upstream)
+            self._loads.record_request_start(record.upstream)
 
     def _finish_request(self, record: flow_table_module.FlowRecord) -> None:
         if record.request_started_at is not None:
             record.request_started_at = None
-            self._loads.end(record.upstream)
+            self._loads.record_request_end(record.upstream)
--- a/persimmonhinge/policies/choice_free_slot.py
+++ b/persimmonhinge/policies/choice_free_slot.py
@@ -1,4 +1,4 @@
-"""A candidate with a slot free, the one that had least of late."""
+"""Policy that prefers upstreams with a free slot."""
 
 from __future__ import annotations
 
@@ -7,22 +7,25 @@
 from persimmonhinge.policies import choice
 
 
-@choice.choices.register("free-slot")
+@choice.choice_policies.register("free-slot")
 class FreeSlotChoice(choice.ChoicePolicy):
-    """Takes what can run the work first, and asks its keeper for a slot.
+    """Chooses the upstream that can run the work first.
 
-    Guards against choice by reports that are older than a request runs for:
-    requests wait at one upstream while another one idles. The keeper alone
-    knows what is free, and says so at the cost of one message and only
-    where there was none.
+    A slot that is free now is then requested from the upstream's keeper.
 
-    Of those that can run it equally soon, the one that got least from this
-    host of late is taken. So work is spread more evenly than by chance also
-    where all are idle and no load tells them apart.
+    Load reports are older than most requests run for, so a choice by reports
+    alone lets requests wait at one upstream while another is idle. Only the
+    keeper has the current number of free slots. It refuses a request for
+    which no slot is free, and that refusal costs one message.
+
+    Among upstreams that can run the work equally soon, the one that received
+    least work from this host recently is chosen. This spreads work more
+    evenly than a random choice even if all upstreams are idle and their loads
+    are equal.
     """
 
-    asks = True
-    for_feeds = "least-loaded"
+    requires_free_slot = True
+    feed_policy = "least-loaded"
 
     def choose(
         self, candidates: Sequence[choice.Candidate]
@@ -31,8 +34,8 @@
         return min(
             candidates,
             key=lambda c: (
-                c.turn,
-                c.recent / c.capacity,
+                c.slot_round,
+                c.recent_load / c.capacity,
                 c.relative_load,
                 self._random.random(),
             ),
--- a/persimmonhinge/policies/choice_least_connections.py
+++ b/persimmonhinge/policies/choice_least_connections.py
@@ -1,4 +1,4 @@
-"""The candidate with least work of this host."""
+"""Policy that chooses the upstream with the least work of this host."""
 
 from __future__ import annotations
 
@@ -7,9 +7,12 @@
 from persimmonhinge.policies import choice
 
 
-@choice.choices.register("least-connections")
+@choice.choice_policies.register("least-connections")
 class LeastConnectionsChoice(choice.ChoicePolicy):
-    """Takes what has least of this host's own work: one host's sight."""
+    """Chooses by this host's own load alone, relative to capacity.
+
+    Work that other hosts send is ignored.
+    """
 
     def choose(
         self, candidates: Sequence[choice.Candidate]
@@ -17,5 +20,8 @@
         """Returns one of the candidates."""
         return min(
             candidates,
-            key=lambda c: ((c.own + 1) / c.capacity, self._random.random()),
+            key=lambda c: (
+                (c.own_load + 1) / c.capacity,
+                self._random.random(),
+            ),
         )
--- a/persimmonhinge/policies/choice_round_robin.py
+++ b/persimmonhinge/policies/choice_round_robin.py
@@ -1,4 +1,4 @@
-"""One candidate after the other."""
+"""Policy that chooses the upstreams in rotation."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from persimmonhinge.policies import choice
 
 
-@choice.choices.register("round-robin")
+@choice.choice_policies.register("round-robin")
 class RoundRobinChoice(choice.ChoicePolicy):
-    """Takes candidates in turn, blind to load."""
+    """Chooses the candidates in rotation and ignores load."""
 
     def __init__(self, randomness: random.Random) -> None:
         """See `ChoicePolicy`."""
         super().__init__(randomness)
-        # Hosts that all began with the first would load it together.
+        # Hosts that all started with the first upstream would load it together.
         self._next = randomness.randrange(1_000_000)
 
     def choose(
--- a/persimmonhinge/policies/order.py
+++ b/persimmonhinge/policies/order.py
@@ -1,4 +1,4 @@
-"""In which order a keeper serves its queue: what the policies share."""
+"""Common parts of the policies that order a keeper's queue."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 logger = logging.getLogger(__name__)
 
 
-class Waiting(Protocol):
-    """Work that waits for a slot, as the policies see it.
+class QueuedWork(Protocol):
+    """Work that waits for a slot.
 
     Attributes:
         call_class: Name of its call class.
-        priority: 0 goes first.
+        priority: Priority; 0 is the most urgent.
         deadline: Time of its deadline, seconds.
-        sequence: Number of its arrival.
-        share: Part of the slots that is kept for its class.
-        cost_s: How long it will hold a slot, as far as is known, seconds.
+        sequence: Sequence number in order of arrival.
+        share: Share of the slots that is reserved for its call class, 0 to 1.
+        cost_s: Estimated time for which it will hold a slot, seconds.
     """
 
     @property
@@ -51,101 +51,105 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
-class _Place:
+class _QueueEntry:
     key: SortKey
-    waiting: Any = dataclasses.field(compare=False)
+    work: Any = dataclasses.field(compare=False)
 
 
-class Order(abc.ABC):
+class OrderedQueue(abc.ABC):
     """A queue in the order of a policy.
 
-    Each call class has a sorted list of its own, so that a policy can look
-    at the first of each class; there are few classes and the lists are
-    short, because a contract limits its queue.
+    Each call class has its own sorted list, so that a policy can compare the
+    heads of the classes. Insertion into a list is cheap enough: there are few
+    classes, and the contract limits the length of the queue.
     """
 
     def __init__(self) -> None:
-        self._by_class: dict[ids.CallClassName, list[_Place]] = {}
+        self._by_class: dict[ids.CallClassName, list[_QueueEntry]] = {}
 
     def __len__(self) -> int:
-        return sum(len(places) for places in self._by_class.values())
+        return sum(len(entries) for entries in self._by_class.values())
 
-    def __iter__(self) -> Iterator[Waiting]:
-        for places in self._by_class.values():
-            for place in places:
-                yield place.waiting
+    def __iter__(self) -> Iterator[QueuedWork]:
+        for entries in self._by_class.values():
+            for entry in entries:
+                yield entry.work
 
     @abc.abstractmethod
-    def sort_key(self, waiting: Waiting) -> SortKey:
-        """Returns what decides between two; the lesser goes first.
+    def sort_key(self, work: QueuedWork) -> SortKey:
+        """Returns the key to sort work by; lower keys go first.
 
-        It is unique: it ends with the number of arrival.
+        Keys are unique, because each ends with the sequence number.
         """
 
-    def push(self, waiting: Waiting) -> None:
-        """Adds work."""
-        places = self._by_class.setdefault(waiting.call_class, [])
-        bisect.insort(places, _Place(self.sort_key(waiting), waiting))
+    def push(self, work: QueuedWork) -> None:
+        """Adds work to the queue."""
+        entries = self._by_class.setdefault(work.call_class, [])
+        bisect.insort(entries, _QueueEntry(self.sort_key(work), work))
 
-    def pop(self) -> Waiting:
+    def pop(self) -> QueuedWork:
         """Removes and returns the work that goes next.
 
         Raises:
-            IndexError: Nothing waits.
+            IndexError: The queue is empty.
         """
-        heads = [places[0] for places in self._by_class.values()]
+        heads = [entries[0] for entries in self._by_class.values()]
         if not heads:
-            raise IndexError("nothing waits")
-        chosen = self.choose([head.waiting for head in heads])
+            raise IndexError("pop from an empty queue")
+        chosen = self.choose_next([head.work for head in heads])
         self.discard(chosen)
         return chosen
 
-    def choose(self, heads: list[Waiting]) -> Waiting:
-        """Returns the one to go next of the first of each class."""
+    def choose_next(self, heads: list[QueuedWork]) -> QueuedWork:
+        """Returns the work that goes next, given the head of each class."""
         return min(heads, key=self.sort_key)
 
-    def discard(self, waiting: Waiting) -> None:
-        """Removes work; what does not wait here is passed over."""
-        places = self._by_class.get(waiting.call_class, [])
-        place = _Place(self.sort_key(waiting), waiting)
-        index = bisect.bisect_left(places, place)
-        if index == len(places) or places[index].waiting is not waiting:
+    def discard(self, work: QueuedWork) -> None:
+        """Removes work; does nothing if the work is not in the queue."""
+        entries = self._by_class.get(work.call_class, [])
+        entry = _QueueEntry(self.sort_key(work), work)
+        index = bisect.bisect_left(entries, entry)
+        if index == len(entries) or entries[index].work is not work:
             return
-        del places[index]
-        if not places:
-            del self._by_class[waiting.call_class]
-
-    def list_ahead(self, waiting: Waiting) -> list[Waiting]:
-        """Returns the work that would go before new work."""
-        place = _Place(self.sort_key(waiting), waiting)
-        ahead: list[Waiting] = []
-        for places in self._by_class.values():
-            index = bisect.bisect_left(places, place)
-            ahead += [p.waiting for p in places[:index]]
+        del entries[index]
+        if not entries:
+            del self._by_class[work.call_class]
+
+    def list_ahead(self, work: QueuedWork) -> list[QueuedWork]:
+        """Returns the queued work that would go before new work."""
+        entry = _QueueEntry(self.sort_key(work), work)
+        ahead: list[QueuedWork] = []
+        for entries in self._by_class.values():
+            index = bisect.bisect_left(entries, entry)
+            ahead += [earlier.work for earlier in entries[:index]]
         return ahead
 
-    def count(self, call_class: ids.CallClassName) -> int:
-        """Returns how much work of a class waits."""
+    def count_queued(self, call_class: ids.CallClassName) -> int:
+        """Returns the number of queued requests of a call class."""
         return len(self._by_class.get(call_class, ()))
 
-    def list_last(self) -> list[Waiting]:
-        """Returns the last of each class, the last of all first."""
-        tails = [places[-1] for places in self._by_class.values()]
-        return [place.waiting for place in sorted(tails, reverse=True)]
+    def list_tails(self) -> list[QueuedWork]:
+        """Returns the last work of each call class, least urgent first."""
+        tails = [entries[-1] for entries in self._by_class.values()]
+        return [entry.work for entry in sorted(tails, reverse=True)]
 
 
-orders: registry.Registry[type[Order]] = registry.Registry("order policy")
+order_policies: registry.Registry[type[OrderedQueue]] = registry.Registry(
+    "order policy"
+)
 
-_DEFAULT = "priority"
+_DEFAULT_POLICY = "priority"
 
 
-def make_order(name: str) -> Order:
-    """Returns an empty queue of a policy.
+def make_queue(name: str) -> OrderedQueue:
+    """Returns an empty queue of the named policy.
 
-    A contract may name a policy of a newer version; this host then serves by
-    the default rather than not at all.
+    A contract may name a policy that only a newer version has. This host then
+    uses the default policy, so that it still serves the contract.
     """
-    if name not in orders.names():
-        logger.warning("No order policy %r; %s is used.", name, _DEFAULT)
-        name = _DEFAULT
-    return orders.get(name)()
+    if name not in order_policies.names():
+        logger.warning(
+            "Unknown order policy %r; using %s.", name, _DEFAULT_POLICY
+        )
+        name = _DEFAULT_POLICY
+    return order_policies.get(name)()
--- a/persimmonhinge/policies/order_deadline.py
+++ b/persimmonhinge/policies/order_deadline.py
@@ -1,14 +1,14 @@
-"""Earliest deadline first."""
+"""Queue that serves the earliest deadline first."""
 
 from __future__ import annotations
 
 from persimmonhinge.policies import order
 
 
-@order.orders.register("deadline")
-class DeadlineOrder(order.Order):
-    """Serves in order of deadlines, whatever the priority."""
+@order.order_policies.register("deadline")
+class DeadlineQueue(order.OrderedQueue):
+    """Serves in order of deadlines and ignores priorities."""
 
-    def sort_key(self, waiting: order.Waiting) -> order.SortKey:
-        """Returns the deadline, then the number of arrival."""
-        return (waiting.deadline, waiting.sequence)
+    def sort_key(self, work: order.QueuedWork) -> order.SortKey:
+        """Returns the deadline and the sequence number."""
+        return (work.deadline, work.sequence)
--- a/tests/test_forwarding/scene.py
+++ b/tests/test_forwarding/scene.py
@@ -1,4 +1,4 @@
-"""A host that forwards packets, without sockets and with a clock by hand."""
+"""A forwarding host for tests, without sockets and with a manual clock."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 from persimmonhinge import ids
 from persimmonhinge import records
-from persimmonhinge.forwarding import desired_state as desired_states
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import flow_table as flow_tables
-from persimmonhinge.forwarding import forwarder as forwarders
-from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import route as routes
+from persimmonhinge.forwarding import desired_state
+from persimmonhinge.forwarding import flow
+from persimmonhinge.forwarding import flow_table
+from persimmonhinge.forwarding import forwarder
+from persimmonhinge.forwarding import knowledge
+from persimmonhinge.forwarding import route as route_module
 from persimmonhinge.forwarding import tokens
-from persimmonhinge.forwarding import tracker as trackers
-from persimmonhinge.forwarding import upstream as upstreams
-from persimmonhinge.forwarding.decisions import chooser as choosers
-from persimmonhinge.forwarding.decisions import cold_shares
+from persimmonhinge.forwarding import tracker
+from persimmonhinge.forwarding import upstream as upstream_module
+from persimmonhinge.forwarding.decisions import chooser
 from persimmonhinge.forwarding.decisions import eligibility
-from persimmonhinge.forwarding.decisions import loads as load_books
-from persimmonhinge.forwarding.decisions import openings as opening_lists
-from persimmonhinge.forwarding.decisions import suspicions as suspicion_lists
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.forwarding.decisions import loads
+from persimmonhinge.forwarding.decisions import openings
+from persimmonhinge.forwarding.decisions import suspicions
+from persimmonhinge.forwarding.decisions import warm_up_shares
+from persimmonhinge.metrics import counts
 from persimmonhinge.platform import adapter
 from persimmonhinge.platform import header
 from persimmonhinge.policies import choice_near_first
 
 SERVICE = ids.ServiceName("floor")
 OTHER_SERVICE = ids.ServiceName("intake")
-HERE = ids.DomainId("north")
-ELSEWHERE = ids.DomainId("south")
+LOCAL_DOMAIN = ids.DomainId("north")
+OTHER_DOMAIN = ids.DomainId("south")
 REGION = ids.RegionId("country")
 ADDRESS = 0xC6120001
 PORT = 443
@@ -44,28 +44,28 @@
 
 
 class Clock:
-    """A clock that stands still until it is moved."""
+    """A clock that only advances by `sleep`."""
 
     def __init__(self) -> None:
         self.now = 100.0
 
     def __call__(self) -> float:
-        """Returns the time."""
+        """Returns the current time, seconds."""
         return self.now
 
     def sleep(self, time_s: float) -> None:
-        """Moves it on."""
+        """Advances the clock."""
         self.now += time_s
 
 
 class Output:
-    """Keeps what was sent, the newest last."""
+    """Records the sent datagrams, the newest last."""
 
     def __init__(self) -> None:
-        self.to_upstreams: list[tuple[bytes, flows.Endpoint]] = []
+        self.to_upstreams: list[tuple[bytes, flow.Endpoint]] = []
         self.to_callers: list[tuple[bytes, int]] = []
 
-    def send_to_upstream(self, octets: bytes, address: flows.Endpoint) -> None:
+    def send_to_upstream(self, octets: bytes, address: flow.Endpoint) -> None:
         """See `forwarder.Output`."""
         self.to_upstreams.append((octets, address))
 
@@ -75,50 +75,50 @@
 
 
 class Scene:
-    """One host, with two services of which each has a route."""
+    """A host with two services that have one route each."""
 
     def __init__(
         self,
         clock: Clock | None = None,
-        domain: ids.DomainId = HERE,
+        domain: ids.DomainId = LOCAL_DOMAIN,
         randomness: random.Random | None = None,
         host: str = "host-0",
         others: Sequence[str] = (),
     ) -> None:
-        """Makes a host.
+        """Creates a host.
 
         Args:
-            clock: Its clock.
-            domain: Its failure domain.
-            randomness: Source of its random numbers.
-            host: Its name.
+            clock: Clock of the host.
+            domain: Failure domain of the host.
+            randomness: Source of random numbers.
+            host: Name of the host.
             others: Names of the other hosts.
         """
         self.clock = clock or Clock()
         self.randomness = randomness or random.Random(1)
         self.output = Output()
-        self.counts = host_counts.Counts()
-        self.knowledge = knowledge_parts.Knowledge(60.0, 2.2)
-        self.loads = load_books.LoadBook(self.clock)
-        self.suspicions = suspicion_lists.Suspicions()
-        self.openings = opening_lists.Openings(self.clock)
-        self.tracker = trackers.FlowTracker(
-            flow_tables.FlowTable(1000), self.loads, self.counts, self.clock
+        self.counts = counts.Counts()
+        self.knowledge = knowledge.Knowledge(60.0, 2.2)
+        self.loads = loads.LoadTable(self.clock)
+        self.suspicions = suspicions.Suspicions()
+        self.openings = openings.Openings(self.clock)
+        self.tracker = tracker.FlowTracker(
+            flow_table.FlowTable(1000), self.loads, self.counts, self.clock
         )
-        self.chooser = choosers.UpstreamChooser(
+        self.chooser = chooser.UpstreamChooser(
             domain,
             self.knowledge,
             self.loads,
             eligibility.Eligibility(
                 self.knowledge,
                 self.suspicions,
-                cold_shares.ColdShares(host, lambda: others),
-                {HERE: REGION},
+                warm_up_shares.WarmUpShares(host, lambda: others),
+                {LOCAL_DOMAIN: REGION},
             ),
             choice_near_first.NearFirstChoice(self.randomness),
             self.randomness,
         )
-        self.forwarder = forwarders.Forwarder(
+        self.forwarder = forwarder.Forwarder(
             adapter.PacketFormat(),
             self.output,
             self.knowledge,
@@ -132,87 +132,97 @@
         self.set_state(1)
 
     def set_state(self, version: int, *ports: int) -> None:
-        """Puts a desired state in force, with routes at the ports."""
+        """Applies a desired state with routes at some ports, or at both ports.
+
+        Args:
+            version: Version of the desired state.
+            *ports: Ports of the routes; `PORT` and `OTHER_PORT` if empty.
+        """
         services = {PORT: SERVICE, OTHER_PORT: OTHER_SERVICE}
         found = [
             make_route(port, services.get(port, SERVICE))
             for port in ports or services
         ]
-        state = desired_states.DesiredState(
+        state = desired_state.DesiredState(
             version, {route.virtual_address: route for route in found}, 15.0
         )
         self.knowledge.take_state(state, "test")
-        self.confirm()
+        self.confirm_state()
 
     def set_repetition(
-        self, version: int, repetition: routes.Repetition
+        self, version: int, repetition: route_module.Repetition
     ) -> None:
-        """Puts a version in force whose requests may all be so repeated."""
+        """Applies a desired state whose one route has a rule for repetition."""
         route = records.replace(
             make_route(PORT, SERVICE), repetition=repetition
         )
-        state = desired_states.DesiredState(
+        state = desired_state.DesiredState(
             version, {route.virtual_address: route}, 15.0
         )
         self.knowledge.take_state(state, "test")
 
-    def confirm(self) -> None:
-        """Has the store say that nothing is newer."""
+    def confirm_state(self) -> None:
+        """Confirms the current state, as an answer of the store does."""
         self.knowledge.confirmed_at = self.clock.now
         self.knowledge.trust.record_answer(self.clock.now)
 
-    def add(self, upstream: upstreams.Upstream) -> upstreams.Upstream:
-        """Adds an upstream."""
+    def add(
+        self, upstream: upstream_module.Upstream
+    ) -> upstream_module.Upstream:
+        """Adds the entry of an upstream."""
         self.knowledge.take_upstream(upstream, self.clock.now, "test")
         return upstream
 
-    def lose(self, upstream: upstreams.Upstream) -> None:
-        """Takes the entry of an upstream away."""
+    def remove_upstream(self, upstream: upstream_module.Upstream) -> None:
+        """Removes the entry of an upstream."""
         self.knowledge.miss_upstream(upstream.id, self.clock.now, "test")
 
     def receive(self, octets: bytes) -> None:
-        """Has a packet come from the fabric."""
+        """Receives a packet from the fabric."""
         self.forwarder.handle_datagram(octets)
 
-    def open(self, port: int = 1000, **fields: int) -> upstreams.Upstream:
-        """Opens a flow; returns where its first packet went."""
+    def open(self, port: int = 1000, **fields: int) -> upstream_module.Upstream:
+        """Sends an opening packet and returns the upstream that it went to."""
         self.receive(make_packet(port, SYN, **fields))
         return self.last_upstream()
 
-    def go_on(
-        self, upstream: upstreams.Upstream, port: int = 1000, **fields: int
+    def continue_flow(
+        self,
+        upstream: upstream_module.Upstream,
+        port: int = 1000,
+        **fields: int,
     ) -> None:
-        """Has the caller of a flow go on."""
+        """Sends the next packet of a flow from its caller."""
         self.receive(make_packet(port, ACK, token=upstream.token, **fields))
 
-    def handle_due(self) -> None:
-        """Handles the opening packets that were not answered."""
-        for opening in self.openings.take_due():
+    def handle_due_openings(self) -> None:
+        """Handles the opening packets that were not answered in time."""
+        for opening in self.openings.pop_due():
             self.forwarder.retry_opening(opening)
 
-    def last_upstream(self) -> upstreams.Upstream:
-        """Returns where the newest packet went."""
+    def last_upstream(self) -> upstream_module.Upstream:
+        """Returns the upstream that the newest packet went to."""
         octets, address = self.output.to_upstreams[-1]
         number = int.from_bytes(octets[:8])
         for upstream in self.knowledge.directory.all():
             if upstream.number == number:
                 assert upstream.address == address
                 return upstream
-        raise AssertionError("sent to no upstream that is known")
+        raise AssertionError("the newest packet went to an unknown upstream")
 
     def count_sent(self) -> tuple[int, int]:
-        """Returns how many packets went to upstreams and to callers."""
+        """Returns the numbers of packets to upstreams and to callers."""
         return len(self.output.to_upstreams), len(self.output.to_callers)
 
 
-def make_route(port: int, service: ids.ServiceName) -> routes.Route:
+def make_route(port: int, service: ids.ServiceName) -> route_module.Route:
     """Returns a route at a port."""
-    return routes.Route(
+    return route_module.Route(
         name=f"route-{port}",
-        virtual_address=routes.RouteAddress(ADDRESS, port),
-        shares=(routes.Share(service, 1.0),),
+        virtual_address=route_module.RouteAddress(ADDRESS, port),
+        shares=(route_module.Share(service, 1.0),),
         priority=1,
-        repetition=routes.Repetition.IDEMPOTENT,
+        repetition=route_module.Repetition.IDEMPOTENT,
     )
 
 
@@ -220,19 +230,19 @@
     number: int,
     *,
     service: ids.ServiceName = SERVICE,
-    domain: ids.DomainId = HERE,
-    state: upstreams.UpstreamState = upstreams.UpstreamState.READY,
+    domain: ids.DomainId = LOCAL_DOMAIN,
+    state: upstream_module.UpstreamState = upstream_module.UpstreamState.READY,
     token: int | None = None,
     slots: int = 2,
-) -> upstreams.Upstream:
+) -> upstream_module.Upstream:
     """Returns an upstream."""
     name = ids.UpstreamId(f"i-{number:010x}")
-    return upstreams.Upstream(
+    return upstream_module.Upstream(
         id=name,
         number=number,
         token=tokens.compute_token(name) if token is None else token,
         service=service,
-        address=flows.Endpoint(f"10.0.0.{number % 250}", 8000 + number),
+        address=flow.Endpoint(f"10.0.0.{number % 250}", 8000 + number),
         domain=domain,
         slots=slots,
         state=state,
@@ -249,7 +259,7 @@
     data: int = 0,
     service_port: int = PORT,
 ) -> bytes:
-    """Returns a packet of a caller, with so many octets of data."""
+    """Returns a packet of a caller with `data` octets of payload."""
     head = header.HEAD.pack(
         token,
         sequence,
@@ -273,7 +283,7 @@
 
 @contextlib.contextmanager
 def failing_store(scene: Scene) -> Iterator[None]:
-    """Has the store fail meanwhile; it answers afterwards."""
+    """Makes the store fail within the context and return after it."""
     scene.knowledge.trust.record_failure()
     yield
-    scene.confirm()
+    scene.confirm_state()
--- a/tests/test_forwarding/test_forwarding_clock.py
+++ b/tests/test_forwarding/test_forwarding_clock.py
@@ -1,19 +1,19 @@
-"""Tests that the time of day decides nothing."""
+"""Tests that decisions do not depend on the time of day."""
 
 from __future__ import annotations
 
 from unittest import mock
 
-from persimmonhinge.forwarding.decisions import answer_limit
+from persimmonhinge.forwarding.decisions import answer_timeout
 from tests.test_forwarding import scene as scenes
 from tests.test_forwarding import test_forwarding_reading as readers
 
 
 def test_no_decision_reads_the_time_of_day() -> None:
-    """Hosts take all upstreams for dead when their clocks are set right.
+    """Guards against suspicion of all upstreams when a clock is corrected.
 
-    The time of day jumps by seconds, and back again. Cause: durations that
-    are taken as differences of it.
+    The time of day jumps by seconds, and back again. Durations that are
+    differences of two times of day would then be wrong.
     """
     with (
         mock.patch("time.time", side_effect=AssertionError("time of day")),
@@ -23,9 +23,9 @@
         for number in range(1, 4):
             scene.add(scenes.make_upstream(number))
         chosen = scene.open()
-        scene.clock.sleep(answer_limit.ANSWER_S + 0.001)
-        scene.handle_due()
-        scene.go_on(chosen, data=5)
+        scene.clock.sleep(answer_timeout.MIN_ANSWER_TIMEOUT_S + 0.001)
+        scene.handle_due_openings()
+        scene.continue_flow(chosen, data=5)
         scene.tracker.remove_expired(15.0)
         reader = readers.Reader()
         reader.entries.take(readers.make_key("1"), readers.make_entry(), 5)
--- a/tests/test_forwarding/test_forwarding_forwarder.py
+++ b/tests/test_forwarding/test_forwarding_forwarder.py
@@ -33,14 +33,14 @@
         first.add(scene_module.make_upstream(number))
         second.add(scene_module.make_upstream(number))
     chosen = first.open()
-    second.go_on(chosen, data=100)
+    second.continue_flow(chosen, data=100)
     assert second.last_upstream() == chosen
 
 
 def test_packet_with_an_unknown_token_is_dropped() -> None:
     scene = scene_module.Scene()
     scene.add(scene_module.make_upstream(1))
-    scene.go_on(scene_module.make_upstream(7), data=10)
+    scene.continue_flow(scene_module.make_upstream(7), data=10)
     assert scene.count_sent() == (0, 0)
     assert (
         scene.counts.get("packets_dropped_total", reason="unknown-token") == 1
@@ -57,7 +57,7 @@
     scene = scene_module.Scene()
     first = scene.add(scene_module.make_upstream(1, token=9))
     scene.add(scene_module.make_upstream(2, token=9))
-    scene.go_on(first, data=10)
+    scene.continue_flow(first, data=10)
     assert scene.count_sent() == (0, 0)
     third = scene.add(scene_module.make_upstream(3, token=8))
     assert scene.open() == third
@@ -67,12 +67,12 @@
     scene = scene_module.Scene()
     draining = scene.add(scene_module.make_upstream(1))
     scene.open()
-    scene.go_on(draining, data=10)
+    scene.continue_flow(draining, data=10)
     state = upstream_module.UpstreamState.DRAINING
     scene.add(scene_module.make_upstream(1, state=state))
     ready = scene.add(scene_module.make_upstream(2))
     assert scene.open(port=1001) == ready
-    scene.go_on(draining, data=10, sequence=11)
+    scene.continue_flow(draining, data=10, sequence=11)
     assert scene.last_upstream().id == draining.id
     assert scene.count_sent()[1] == 0
 
@@ -86,8 +86,8 @@
     scene = scene_module.Scene()
     upstream = scene.add(scene_module.make_upstream(1))
     scene.open()
-    scene.lose(upstream)
-    scene.go_on(upstream, data=10, acknowledged=555)
+    scene.remove_upstream(upstream)
+    scene.continue_flow(upstream, data=10, acknowledged=555)
     octets, caller = scene.output.to_callers[0]
     assert caller == 0x64400007
     assert octets[12] == scene_module.RST
@@ -106,14 +106,14 @@
     scene.open()
     with scene_module.failing_store(scene):
         pass
-    scene.lose(upstream)
-    scene.go_on(upstream, data=10)
+    scene.remove_upstream(upstream)
+    scene.continue_flow(upstream, data=10)
     assert scene.count_sent() == (2, 0)
     assert scene.open(port=1001) == scene.last_upstream()
     scene.clock.sleep(3.0)
-    scene.confirm()
+    scene.confirm_state()
     scene.knowledge.settle(scene.clock.now)
-    scene.go_on(upstream, data=10, sequence=11)
+    scene.continue_flow(upstream, data=10, sequence=11)
     assert scene.count_sent()[1] == 1
 
 
@@ -155,7 +155,7 @@
     upstream = scene.add(scene_module.make_upstream(1))
     scene.open()
     scene.set_state(2, scene_module.OTHER_PORT)
-    scene.go_on(upstream, data=10)
+    scene.continue_flow(upstream, data=10)
     assert scene.count_sent() == (1, 1)
 
 
@@ -183,7 +183,7 @@
 def test_reset_of_a_caller_is_not_answered() -> None:
     scene = scene_module.Scene()
     upstream = scene.add(scene_module.make_upstream(1))
-    scene.lose(upstream)
+    scene.remove_upstream(upstream)
     packet = scene_module.make_packet(
         1000, scene_module.RST, token=upstream.token
     )
@@ -225,9 +225,9 @@
                 service=scene_module.SERVICE
                 if is_own
                 else scene_module.OTHER_SERVICE,
-                domain=scene_module.HERE
+                domain=scene_module.LOCAL_DOMAIN
                 if is_local
-                else scene_module.ELSEWHERE,
+                else scene_module.OTHER_DOMAIN,
             )
         )
     for number in missed:
@@ -262,7 +262,7 @@
     restarted = scene_module.Scene()
     for number in others:
         restarted.add(scene_module.make_upstream(number))
-    restarted.go_on(chosen, data=10)
+    restarted.continue_flow(chosen, data=10)
     assert restarted.last_upstream().id == chosen.id
 
 
@@ -273,7 +273,7 @@
     The caller waits if its opening packets are dropped without a reset.
     """
     scene = scene_module.Scene()
-    scene.lose(scene.add(scene_module.make_upstream(1)))
+    scene.remove_upstream(scene.add(scene_module.make_upstream(1)))
     scene.receive(scene_module.make_packet(1000, scene_module.SYN))
     assert scene.count_sent() == (0, 1)
     octets, _ = scene.output.to_callers[0]
--- a/tests/test_forwarding/test_forwarding_tracker.py
+++ b/tests/test_forwarding/test_forwarding_tracker.py
@@ -10,9 +10,9 @@
     upstream = scene.add(scene_module.make_upstream(1))
     scene.open(sequence=9)
     assert scene.loads.in_flight(upstream.id) == 1
-    scene.go_on(upstream, sequence=10, acknowledged=500, data=200)
+    scene.continue_flow(upstream, sequence=10, acknowledged=500, data=200)
     assert scene.loads.in_flight(upstream.id) == 1
-    scene.go_on(upstream, sequence=210, acknowledged=900)
+    scene.continue_flow(upstream, sequence=210, acknowledged=900)
     assert scene.loads.in_flight(upstream.id) == 0
 
 
@@ -21,9 +21,9 @@
     upstream = scene.add(scene_module.make_upstream(1))
     scene.open(sequence=9)
     for _ in range(5):
-        scene.go_on(upstream, sequence=10, acknowledged=500, data=200)
-    scene.go_on(upstream, sequence=210, acknowledged=900)
-    scene.go_on(upstream, sequence=10, acknowledged=500, data=200)
+        scene.continue_flow(upstream, sequence=10, acknowledged=500, data=200)
+    scene.continue_flow(upstream, sequence=210, acknowledged=900)
+    scene.continue_flow(upstream, sequence=10, acknowledged=500, data=200)
     assert scene.loads.in_flight(upstream.id) == 0
 
 
@@ -31,8 +31,8 @@
     scene = scene_module.Scene()
     upstream = scene.add(scene_module.make_upstream(1))
     scene.open(sequence=9)
-    scene.go_on(upstream, sequence=10, acknowledged=500, data=200)
-    scene.go_on(upstream, sequence=210, acknowledged=900, data=200)
+    scene.continue_flow(upstream, sequence=10, acknowledged=500, data=200)
+    scene.continue_flow(upstream, sequence=210, acknowledged=900, data=200)
     assert scene.loads.in_flight(upstream.id) == 1
 
 
@@ -41,19 +41,21 @@
     upstream = scene.add(scene_module.make_upstream(1))
     end = 2**32
     scene.open(sequence=end - 101)
-    scene.go_on(upstream, sequence=end - 100, acknowledged=end - 10, data=200)
-    scene.go_on(upstream, sequence=100, acknowledged=5)
+    scene.continue_flow(
+        upstream, sequence=end - 100, acknowledged=end - 10, data=200
+    )
+    scene.continue_flow(upstream, sequence=100, acknowledged=5)
     assert scene.loads.in_flight(upstream.id) == 0
-    scene.go_on(upstream, sequence=100, acknowledged=5, data=10)
+    scene.continue_flow(upstream, sequence=100, acknowledged=5, data=10)
     assert scene.loads.in_flight(upstream.id) == 1
 
 
 def test_flow_that_another_host_opened_is_counted_by_its_requests() -> None:
     scene = scene_module.Scene()
     upstream = scene.add(scene_module.make_upstream(1))
-    scene.go_on(upstream, sequence=10, acknowledged=500)
+    scene.continue_flow(upstream, sequence=10, acknowledged=500)
     assert scene.loads.in_flight(upstream.id) == 0
-    scene.go_on(upstream, sequence=10, acknowledged=500, data=5)
+    scene.continue_flow(upstream, sequence=10, acknowledged=500, data=5)
     assert scene.loads.in_flight(upstream.id) == 1
 
 
@@ -101,7 +103,7 @@
     scene = scene_module.Scene()
     local = scene.add(scene_module.make_upstream(1))
     remote = scene.add(
-        scene_module.make_upstream(2, domain=scene_module.ELSEWHERE)
+        scene_module.make_upstream(2, domain=scene_module.OTHER_DOMAIN)
     )
     chosen = [scene.open(port=port) for port in range(1000, 1006)]
     assert chosen[0] == local
@@ -112,7 +114,7 @@
     scene = scene_module.Scene()
     busy = scene.add(scene_module.make_upstream(1))
     idle = scene.add(scene_module.make_upstream(2))
-    scene.loads.add_others(busy.token, 5, 500)
+    scene.loads.add_reported(busy.token, 5, 500)
     assert {scene.open(port=port) for port in range(1000, 1004)} == {idle}
-    scene.loads.add_others(busy.token, -5, -500)
+    scene.loads.add_reported(busy.token, -5, -500)
     assert scene.open(port=1010) == busy
