--- a/benchmarks/ablation/play.py
+++ b/benchmarks/ablation/play.py
@@ -139,7 +139,7 @@
         number = len(self._upstreams) + 1
         described = records.replace(
             scenes.make_upstream(number, domain=_DOMAINS[domain]),
-            cold_s=cold_s,
+            warm_up_s=cold_s,
         )
         made = emulated_upstream.EmulatedUpstream(
             described, self._queue, self._random, _WORK_S
--- a/benchmarks/ablation/variants.py
+++ b/benchmarks/ablation/variants.py
@@ -48,7 +48,7 @@
 def ignore_cold(host: scenes.Scene) -> None:
     """Takes upstreams that have just started for warm."""
     directory = host.knowledge.directory
-    mechanism.replace(directory, "is_cold", mechanism.say_no)
+    mechanism.replace(directory, "is_warming_up", mechanism.say_no)
 
 
 @variants.register("learned limit")
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -96,7 +96,7 @@
 
     def give_work(self) -> None:
         """Has it have a request at each upstream."""
-        for upstream in self.core.knowledge.directory.all():
+        for upstream in self.core.knowledge.directory.list_all():
             self.core.loads.begin(upstream.id)
 
     async def follow(self, store: fleet_store.StoreWay) -> None:
--- a/benchmarks/fleet_store.py
+++ b/benchmarks/fleet_store.py
@@ -10,7 +10,7 @@
 
 from persimmonhinge import errors
 from persimmonhinge.store import port
-from tests.test_forwarding import test_forwarding_reading as readers
+from tests.test_forwarding import test_forwarding_entry_replica as readers
 
 _UPSTREAMS = 32
 # An answer of the store, seconds.
--- a/benchmarks/forwarding.py
+++ b/benchmarks/forwarding.py
@@ -17,11 +17,11 @@
 
 import msgspec
 
+from persimmonhinge.forwarding import entry_replica
 from persimmonhinge.forwarding import flow as flows
 from persimmonhinge.forwarding import flow_table as flow_tables
 from persimmonhinge.forwarding import knowledge as knowledge_parts
 from persimmonhinge.forwarding import load_line as load_lines
-from persimmonhinge.forwarding import reading
 from persimmonhinge.forwarding import tracker as trackers
 from persimmonhinge.forwarding import upstream as upstreams
 from persimmonhinge.forwarding.peers import book as books
@@ -30,7 +30,7 @@
 from persimmonhinge.platform import adapter
 from persimmonhinge.platform import entries
 from tests.test_forwarding import scene as scenes
-from tests.test_forwarding import test_forwarding_reading as readers
+from tests.test_forwarding import test_forwarding_entry_replica as readers
 
 _REPEATS = 2000
 _FLOWS = 20_000
@@ -66,7 +66,7 @@
 def measure_packets(count: int) -> dict[str, float]:
     """Returns the cost of an opening and of a later packet."""
     scene = make_scene(count)
-    known: list[upstreams.Upstream] = list(scene.knowledge.directory.all())
+    known: list[upstreams.Upstream] = list(scene.knowledge.directory.list_all())
     opening = measure_us(
         lambda n: scene.receive(scenes.make_packet(n % 60_000, scenes.SYN))
     )
@@ -141,13 +141,13 @@
 def measure_entry_octets() -> float:
     """Returns the memory of an upstream that is known, octets."""
     knowledge = knowledge_parts.Knowledge(60.0, 2.2)
-    reader = reading.Entries(
+    reader = entry_replica.EntryReplica(
         adapter.EntryFormat(), knowledge, host_counts.Counts()
     )
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for number in range(_ENTRIES):
-        reader.take(
+        reader.apply(
             readers.make_key(f"{number:010x}"),
             readers.make_entry(),
             number + 1,
--- a/benchmarks/long_state.py
+++ b/benchmarks/long_state.py
@@ -39,8 +39,8 @@
 from persimmonhinge.forwarding.peers import snapshot_server
 from persimmonhinge.store import port
 from tests.support import trios
+from tests.test_forwarding import test_forwarding_entry_replica as readers
 from tests.test_forwarding import test_forwarding_peers_early_pull as hosts
-from tests.test_forwarding import test_forwarding_reading as readers
 
 _PORT = 7721
 _PACKET_OCTETS = 1_400
@@ -122,7 +122,7 @@
         state = self.core.knowledge.state
         if state is not None and state.version > 1:
             self.knew_at.setdefault("state", trio.current_time())
-        for upstream in self.core.knowledge.directory.all():
+        for upstream in self.core.knowledge.directory.list_all():
             if upstream.state is upstreams.UpstreamState.DRAINING:
                 self.knew_at.setdefault("drain", trio.current_time())
 
@@ -165,7 +165,7 @@
             octets, type=messages.Report | messages.News
         )
         if isinstance(message, messages.News):
-            core.entries.take_news(message, sender.address)
+            core.entries.apply_update(message, sender.address)
         else:
             core.peers.take(sender.endpoint, message, trio.current_time())
 
@@ -220,7 +220,7 @@
             port.WatchEvent("op/config", readers.make_state(1), 10),
             port.WatchEvent(_KEY, readers.make_entry(), 20),
         ):
-            core.entries.take_batch([event])
+            core.entries.apply_batch([event])
         role = following.Following(
             core.settings.host, "north", core.peers, core.knowledge, 3.2, 0.0
         )
@@ -234,7 +234,7 @@
     ) -> None:
         entries = first.core.entries
         before = entries.revision
-        entries.take_batch([port.WatchEvent(key, value, revision)])
+        entries.apply_batch([port.WatchEvent(key, value, revision)])
         first.look()
         lines = [line for line in entries.make_snapshot(before, ()).entries]
         for news in news_packs.split_news(before, True, lines):
--- a/benchmarks/reports.py
+++ b/benchmarks/reports.py
@@ -198,7 +198,7 @@
     """Has one host miss openings; returns when its domain holds back."""
     first, *_ = fleet.hosts
     near = [h for h in fleet.hosts[1:] if h.domain == first.domain]
-    upstream = next(iter(first.core.knowledge.directory.all()))
+    upstream = next(iter(first.core.knowledge.directory.list_all()))
     began_at = trio.current_time()
     for _ in range(_MOST_MISSED):
         first.core.suspicions.record_miss(upstream.id, began_at)
--- a/persimmonhinge/forwarding/application.py
+++ b/persimmonhinge/forwarding/application.py
@@ -7,11 +7,11 @@
 
 import trio
 
+from persimmonhinge.forwarding import auto_reset_event
 from persimmonhinge.forwarding import core as cores
 from persimmonhinge.forwarding import follower as followers
 from persimmonhinge.forwarding import gauges
 from persimmonhinge.forwarding import settings as forward_settings
-from persimmonhinge.forwarding import wake_up
 from persimmonhinge.forwarding.peers import following as following_parts
 from persimmonhinge.forwarding.peers import service as peer_services
 from persimmonhinge.metrics import host_pages
@@ -46,7 +46,7 @@
         self._settings = core.settings
         self._stopping = trio.Event()
         self._received_at = 0.0
-        self._packets_came = wake_up.WakeUp()
+        self._packets_came = auto_reset_event.AutoResetEvent()
         self._following = following_parts.Following(
             self._settings.host,
             self._settings.domain,
@@ -144,7 +144,7 @@
     async def _sweep(self) -> None:
         while True:
             await trio.sleep(_SWEEP_S)
-            self._core.knowledge.settle(time.monotonic())
+            self._core.knowledge.remove_missing_upstreams(time.monotonic())
             state = self._core.knowledge.state
             idle_s = self._settings.flow_life_s
             if state is not None:
--- a/persimmonhinge/forwarding/completeness.py
+++ b/persimmonhinge/forwarding/completeness.py
@@ -21,17 +21,17 @@
     def __init__(self) -> None:
         self.revision = 0
         self.upstreams_revision = 0
-        self.tell_lack: Callable[[], None] | None = None
+        self.on_state_missing: Callable[[], None] | None = None
         # A desired state may be missing up to this revision.
-        self._lacking_to = 0
+        self._missing_state_revision = 0
 
-    def lacks_state(self) -> bool:
+    def is_state_missing(self) -> bool:
         """Tells whether a desired state is missing that others may have."""
-        return self.revision < self._lacking_to
+        return self.revision < self._missing_state_revision
 
-    def find_missing_state(self) -> int:
+    def find_missing_state_revision(self) -> int:
         """Returns up to which revision one is missing, 0 if none is."""
-        return self._lacking_to if self.lacks_state() else 0
+        return self._missing_state_revision if self.is_state_missing() else 0
 
     def advance(self, revision: int) -> None:
         """Takes in that all entries are known up to a revision."""
@@ -44,11 +44,13 @@
         Where no desired state is missing, this holds for all entries.
         """
         self.upstreams_revision = max(self.upstreams_revision, revision)
-        if not self.lacks_state():
+        if not self.is_state_missing():
             self.revision = self.upstreams_revision
 
-    def lack_state(self, revision: int) -> None:
+    def record_missing_state(self, revision: int) -> None:
         """Takes in that a desired state was left out up to a revision."""
-        self._lacking_to = max(self._lacking_to, revision)
-        if self.tell_lack is not None and self.lacks_state():
-            self.tell_lack()
+        self._missing_state_revision = max(
+            self._missing_state_revision, revision
+        )
+        if self.on_state_missing is not None and self.is_state_missing():
+            self.on_state_missing()
--- a/persimmonhinge/forwarding/core.py
+++ b/persimmonhinge/forwarding/core.py
@@ -4,11 +4,11 @@
 
 from persimmonhinge import draws
 from persimmonhinge import ids
+from persimmonhinge.forwarding import entry_replica
 from persimmonhinge.forwarding import flow as flows
 from persimmonhinge.forwarding import flow_table as flow_tables
 from persimmonhinge.forwarding import forwarder as forwarders
 from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import reading
 from persimmonhinge.forwarding import sockets
 from persimmonhinge.forwarding import tracker as trackers
 from persimmonhinge.forwarding.decisions import chooser as choosers
@@ -71,7 +71,9 @@
         self.knowledge = knowledge_parts.Knowledge(
             settings.flow_life_s, settings.current_s
         )
-        self.entries = reading.Entries(reader, self.knowledge, self.counts)
+        self.entries = entry_replica.EntryReplica(
+            reader, self.knowledge, self.counts
+        )
         self.openings = opening_lists.Openings()
         self.socket = sockets.PacketSocket(bound, self.counts)
         self.loads = load_books.LoadBook()
--- a/persimmonhinge/forwarding/decisions/chooser.py
+++ b/persimmonhinge/forwarding/decisions/chooser.py
@@ -123,13 +123,13 @@
         self, flow: eligibilities.NewFlow, state: upstreams.UpstreamState
     ) -> list[upstreams.Upstream]:
         """Returns those of a state that the flow may go to at all."""
-        found = self._knowledge.directory.select(flow.service, state)
+        found = self._knowledge.directory.list_in_state(flow.service, state)
         return [u for u in found if self._eligibility.may_take(u, flow)]
 
     def _make_candidate(
         self, upstream: upstreams.Upstream, now: float
     ) -> choice.Candidate:
-        cold = self._knowledge.directory.is_cold(upstream.id, now)
+        cold = self._knowledge.directory.is_warming_up(upstream.id, now)
         room = _COLD_ROOM if cold else 1.0
         in_flight = self._loads.in_flight(upstream.id)
         return choice.Candidate(
--- a/persimmonhinge/forwarding/decisions/eligibility.py
+++ b/persimmonhinge/forwarding/decisions/eligibility.py
@@ -75,7 +75,7 @@
         """Tells whether an upstream meets what always holds."""
         return (
             upstream.domain not in flow.excluded
-            and self._knowledge.directory.is_unique(upstream)
+            and self._knowledge.directory.has_unique_token(upstream)
             and self._has_cold_share(upstream, flow)
         )
 
@@ -110,8 +110,8 @@
         It has a limit while it is cold, if its service has one.
         """
         state = self._knowledge.state
-        limit_per_s = state.cold_limits.get(flow.service) if state else None
+        limit_per_s = state.warm_up_limits.get(flow.service) if state else None
         if limit_per_s is None:
             return None
-        is_cold = self._knowledge.directory.is_cold(upstream.id, flow.at)
+        is_cold = self._knowledge.directory.is_warming_up(upstream.id, flow.at)
         return limit_per_s if is_cold else None
--- a/persimmonhinge/forwarding/desired_state.py
+++ b/persimmonhinge/forwarding/desired_state.py
@@ -25,4 +25,4 @@
     version: int
     routes: dict[routes.RouteAddress, routes.Route]
     idle_timeout_s: float
-    cold_limits: Mapping[ids.ServiceName, float] = MappingProxyType({})
+    warm_up_limits: Mapping[ids.ServiceName, float] = MappingProxyType({})
--- a/persimmonhinge/forwarding/entry_effects.py
+++ b/persimmonhinge/forwarding/entry_effects.py
@@ -13,14 +13,14 @@
 
 if TYPE_CHECKING:
     from persimmonhinge import ids
-    from persimmonhinge.forwarding import entry_line as entry_lines
     from persimmonhinge.forwarding import entry_reader
+    from persimmonhinge.forwarding import store_entry as entry_lines
 
 logger = early_logs.get_logger(__name__)
 
 # Least time between two lines about entries that can't be read, seconds; the
 # counter counts them all.
-_TELL_UNREADABLE_S = 1.0
+_MIN_UNREADABLE_LOG_INTERVAL_S = 1.0
 
 
 class EntryEffects:
@@ -36,17 +36,17 @@
         self._knowledge = knowledge
         self._counts = counts
         # Incarnation that the newest entry of each key was of.
-        self._named: dict[str, ids.UpstreamId] = {}
-        self._told_unreadable_at = -math.inf
+        self._incarnations: dict[str, ids.UpstreamId] = {}
+        self._unreadable_logged_at = -math.inf
 
-    def is_used(self, key: str) -> bool:
+    def is_relevant(self, key: str) -> bool:
         """Tells whether entries of a key change anything."""
         reader = self._reader
         return key == reader.state_key or key.startswith(
             (reader.upstreams_prefix, reader.evacuations_prefix)
         )
 
-    def apply(self, line: entry_lines.EntryLine, source: str) -> None:
+    def apply(self, entry: entry_lines.StoreEntry, source: str) -> None:
         """Applies a change; one that can't be read is used for nothing.
 
         Args:
@@ -54,9 +54,9 @@
             source: Who told it, for the log.
         """
         try:
-            self._apply(line.key, line.value, source)
+            self._apply(entry.key, entry.value, source)
         except errors.UnreadableEntryError as error:
-            self._skip_unreadable(line.key, error, source)
+            self._reject_unreadable(entry.key, error, source)
 
     def _apply(self, key: str, value: bytes | None, source: str) -> None:
         reader = self._reader
@@ -65,24 +65,24 @@
         elif key.startswith(reader.evacuations_prefix):
             self._apply_evacuation(key, value, source)
         elif value is not None:
-            self._knowledge.take_state(reader.read_state(value), source)
+            self._knowledge.apply_state(reader.read_state(value), source)
 
     def _apply_upstream(
         self, key: str, value: bytes | None, source: str
     ) -> None:
         now = time.monotonic()
-        former = self._named.get(key)
+        former = self._incarnations.get(key)
         if value is None:
             if former is not None:
-                self._knowledge.miss_upstream(former, now, source)
-            if former is not None and self._knowledge.is_gone(former):
-                del self._named[key]
+                self._knowledge.record_missing_entry(former, now, source)
+            if former is not None and self._knowledge.has_ended(former):
+                del self._incarnations[key]
             return
         upstream = self._reader.read_upstream(key, value)
         if former is not None and former != upstream.id:
-            self._knowledge.end_upstream(former, now, source)
-        self._named[key] = upstream.id
-        self._knowledge.take_upstream(upstream, now, source)
+            self._knowledge.remove_upstream(former, now, source)
+        self._incarnations[key] = upstream.id
+        self._knowledge.apply_upstream(upstream, now, source)
 
     def _apply_evacuation(
         self, key: str, value: bytes | None, source: str
@@ -93,7 +93,7 @@
         else:
             self._knowledge.evacuate(domain, source)
 
-    def _skip_unreadable(
+    def _reject_unreadable(
         self, key: str, error: errors.UnreadableEntryError, source: str
     ) -> None:
         """Uses an entry that can't be read for nothing.
@@ -105,10 +105,10 @@
         thousands of keys.
         """
         self._counts.add("unreadable_entries_total")
-        known = self._named.get(key)
+        known = self._incarnations.get(key)
         if known is not None:
-            self._knowledge.withhold_upstream(known, source)
+            self._knowledge.stop_new_flows(known, source)
         now = time.monotonic()
-        if now - self._told_unreadable_at >= _TELL_UNREADABLE_S:
-            self._told_unreadable_at = now
+        if now - self._unreadable_logged_at >= _MIN_UNREADABLE_LOG_INTERVAL_S:
+            self._unreadable_logged_at = now
             logger.error("Can't use an entry: %s.", error)
--- a/persimmonhinge/forwarding/reading.py
+++ b/persimmonhinge/forwarding/entry_replica.py
@@ -10,9 +10,9 @@
 from persimmonhinge import errors
 from persimmonhinge.forwarding import completeness as completenesses
 from persimmonhinge.forwarding import entry_effects
-from persimmonhinge.forwarding import entry_line as entry_lines
 from persimmonhinge.forwarding import entry_table
 from persimmonhinge.forwarding import knowledge as knowledge_parts
+from persimmonhinge.forwarding import store_entry as entry_lines
 from persimmonhinge.light_typing import TYPE_CHECKING
 from persimmonhinge.metrics import counts as host_counts
 
@@ -24,17 +24,17 @@
 
 logger = early_logs.get_logger(__name__)
 
-_SOURCE = "store"
-_EVERYTHING = ""
+_STORE_SOURCE = "store"
+_ALL_KEYS_PREFIX = ""
 # A desired state of more octets is passed on by itself, after all else: a link
 # of 5 Mbit/s carries so much in 0.03 s.
 _LONG_STATE_OCTETS = 16_384
 
 # Takes the revision before some changes, and the changes.
-Tell = Callable[[int, list[entry_lines.EntryLine]], None]
+ChangesCallback = Callable[[int, list[entry_lines.StoreEntry]], None]
 
 
-class Entries:
+class EntryReplica:
     """Takes entries of the store into the knowledge of a host.
 
     Attributes:
@@ -56,7 +56,7 @@
         self._table = entry_table.EntryTable()
         self._effects = entry_effects.EntryEffects(reader, knowledge, counts)
         self.completeness = completenesses.Completeness()
-        self.tell: Tell | None = None
+        self.on_changes: ChangesCallback | None = None
 
     @property
     def revision(self) -> int:
@@ -82,19 +82,21 @@
         Raises:
             PlatformError: The store gave no answer or a refusal.
         """
-        found = await store.get_prefix(_EVERYTHING)
+        found = await store.get_prefix(_ALL_KEYS_PREFIX)
         self.record_answer()
         for pair in found.values:
-            self.take(pair.key, pair.value, pair.mod_revision)
-        self._miss_others({pair.key for pair in found.values}, found.revision)
+            self.apply(pair.key, pair.value, pair.mod_revision)
+        self._delete_absent_entries(
+            {pair.key for pair in found.values}, found.revision
+        )
         before = self.revision
         complete_to = found.revision
         claimed = (e.revision for e in self._table if e.revision <= complete_to)
         self._advance(max(claimed, default=0))
-        self._tell_since(before)
+        self._report_changes_since(before)
         return complete_to
 
-    def take_batch(self, batch: Sequence[port.WatchEvent]) -> None:
+    def apply_batch(self, batch: Sequence[port.WatchEvent]) -> None:
         """Takes in changes that the store told, in their order.
 
         A reading may have brought some of them already, but they were not
@@ -103,19 +105,19 @@
         after = self.revision
         told = []
         for event in batch:
-            line = entry_lines.EntryLine(
+            line = entry_lines.StoreEntry(
                 event.key, event.value, event.mod_revision
             )
-            is_newer = self._take_line(line, _SOURCE)
+            is_newer = self._apply_entry(line, _STORE_SOURCE)
             if is_newer or (
-                line.revision > after and self._effects.is_used(line.key)
+                line.revision > after and self._effects.is_relevant(line.key)
             ):
                 told.append(line)
                 self._advance(line.revision)
-        if told and self.tell is not None:
-            self.tell(after, told)
+        if told and self.on_changes is not None:
+            self.on_changes(after, told)
 
-    def _tell_since(self, before: int) -> None:
+    def _report_changes_since(self, previous_revision: int) -> None:
         """Tells others what a reading after the first one brought.
 
         Guards against a watch that went silent: what the new reading brings
@@ -125,57 +127,59 @@
         lines = [
             line
             for line in self._table
-            if before < line.revision <= self.revision
+            if previous_revision < line.revision <= self.revision
         ]
-        if before and lines and self.tell is not None:
-            self.tell(before, sorted(lines, key=lambda line: line.revision))
+        if previous_revision and lines and self.on_changes is not None:
+            self.on_changes(
+                previous_revision, sorted(lines, key=lambda line: line.revision)
+            )
 
-    def tell_nothing_newer(self) -> None:
+    def report_no_changes(self) -> None:
         """Tells others that the store has nothing newer than is known here."""
-        if self.tell is not None:
-            self.tell(self.revision, [])
+        if self.on_changes is not None:
+            self.on_changes(self.revision, [])
 
-    def is_read(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Tells whether the store has answered this host or another one."""
         return self._knowledge.confirmed_at is not None
 
-    def is_settled(self) -> bool:
+    def is_absence_final(self) -> bool:
         """Tells whether entries that are not there are gone."""
-        return self._knowledge.trust.holds(time.monotonic())
+        return self._knowledge.store_trust.holds(time.monotonic())
 
-    def take_news(self, news: messages.News, source: str) -> None:
+    def apply_update(self, update: messages.News, source: str) -> None:
         """Takes in changes that another host was told by the store.
 
         Guards against a gap: news are datagrams, and one that is lost must
         not be taken for known because a later one has come.
         """
-        if news.entries:
-            self._take_lines(news.entries, source, settled=news.settled)
-        if news.after <= self.revision:
-            self._advance(news.upto)
-        if news.after <= self.completeness.upstreams_revision:
-            self.completeness.lack_state(news.upstreams_upto)
+        if update.entries:
+            self._apply_entries(update.entries, source, settled=update.settled)
+        if update.after <= self.revision:
+            self._advance(update.upto)
+        if update.after <= self.completeness.upstreams_revision:
+            self.completeness.record_missing_state(update.upstreams_upto)
             self.completeness.advance_upstreams(
-                max(news.upto, news.upstreams_upto)
+                max(update.upto, update.upstreams_upto)
             )
-        if self._knows_all(news):
+        if self._covers_update(update):
             self._knowledge.confirm(time.monotonic())
 
-    def _knows_all(self, news: messages.News) -> bool:
+    def _covers_update(self, update: messages.News) -> bool:
         """Tells whether the sender of news knows nothing more."""
         known = self.completeness
-        upstreams_upto = max(news.upto, news.upstreams_upto)
+        upstreams_upto = max(update.upto, update.upstreams_upto)
         return (
-            0 < news.upto <= known.revision
+            0 < update.upto <= known.revision
             and upstreams_upto <= known.upstreams_revision
         )
 
-    def take(
+    def apply(
         self,
         key: str,
         value: bytes | None,
         revision: int,
-        source: str = _SOURCE,
+        source: str = _STORE_SOURCE,
     ) -> bool:
         """Takes in an entry, or that it was deleted, if it is newer.
 
@@ -188,8 +192,8 @@
         Returns:
             True if it is newer than what was known.
         """
-        line = entry_lines.EntryLine(key, value, revision)
-        return self._take_line(line, source)
+        line = entry_lines.StoreEntry(key, value, revision)
+        return self._apply_entry(line, source)
 
     def has_long_state_since(self, revision: int) -> bool:
         """Tells whether a long desired state came after a revision."""
@@ -201,7 +205,7 @@
         )
 
     def make_short_snapshot(
-        self, since: int, peers: tuple[flows.Endpoint, ...]
+        self, since_revision: int, peers: tuple[flows.Endpoint, ...]
     ) -> messages.Snapshot:
         """Returns what changed after a revision but a long desired state.
 
@@ -211,10 +215,10 @@
         """
         from persimmonhinge.forwarding.peers import messages
 
-        snapshot = self.make_snapshot(since, peers)
+        snapshot = self.make_snapshot(since_revision, peers)
         entries = snapshot.entries
-        state_revision = self.completeness.find_missing_state()
-        if self.has_long_state_since(0 if snapshot.whole else since):
+        state_revision = self.completeness.find_missing_state_revision()
+        if self.has_long_state_since(0 if snapshot.whole else since_revision):
             state_key = self._reader.state_key
             entries = tuple(e for e in entries if e.key != state_key)
             state_revision = max(state_revision, self._find_state_revision())
@@ -228,43 +232,43 @@
         )
 
     def make_snapshot(
-        self, since: int, peers: tuple[flows.Endpoint, ...]
+        self, since_revision: int, peers: tuple[flows.Endpoint, ...]
     ) -> messages.Snapshot:
         """Returns the entries that changed after a revision, or all."""
         # Not needed before the first packet, and drawn in by what asks here.
         from persimmonhinge.forwarding.peers import messages
 
-        whole = not self._table.has_all_since(since)
-        entries = self._table.changes_since(0 if whole else since)
+        whole = not self._table.has_all_deletions_since(since_revision)
+        entries = self._table.list_changes_since(0 if whole else since_revision)
         return messages.Snapshot(
-            self.revision, self.is_settled(), entries, peers, whole
+            self.revision, self.is_absence_final(), entries, peers, whole
         )
 
-    def take_snapshot(self, snapshot: messages.Snapshot, source: str) -> None:
+    def apply_snapshot(self, snapshot: messages.Snapshot, source: str) -> None:
         """Takes in all that another host knows beyond this host's revision."""
-        self._take_changes(snapshot, source)
+        self._apply_snapshot_entries(snapshot, source)
         self._advance(snapshot.revision)
 
-    def take_short_snapshot(
+    def apply_short_snapshot(
         self, snapshot: messages.Snapshot, source: str
     ) -> None:
         """Takes in what another host knows beyond `upstreams_revision`."""
-        self._take_changes(snapshot, source)
+        self._apply_snapshot_entries(snapshot, source)
         if snapshot.state_revision > self._find_state_revision():
-            self.completeness.lack_state(snapshot.state_revision)
+            self.completeness.record_missing_state(snapshot.state_revision)
         self.completeness.advance_upstreams(snapshot.revision)
 
     def record_answer(self) -> None:
         """Records that the store answered."""
         now = time.monotonic()
         self._knowledge.confirm(now)
-        self._knowledge.settle(now)
-        if self._knowledge.trust.record_answer(now):
+        self._knowledge.remove_missing_upstreams(now)
+        if self._knowledge.store_trust.record_answer(now):
             logger.warning("Store is back.", extra={"dependency": "store"})
 
     def record_failure(self, error: errors.PlatformError) -> None:
         """Records that the store failed to answer."""
-        trust = self._knowledge.trust
+        trust = self._knowledge.store_trust
         self._counts.add("store_failures_total")
         if not trust.failing:
             logger.warning(
@@ -273,63 +277,65 @@
             )
         trust.record_failure()
 
-    def doubt(self) -> None:
+    def record_reported_outage(self) -> None:
         """Takes entries that are not there for missing, for some time.
 
         Guards against taking upstreams for dead whose entries expired in an
         outage that only another host has seen: the one that follows the
         store, or the one that did until a moment ago.
         """
-        self._knowledge.trust.doubt(time.monotonic())
+        self._knowledge.store_trust.doubt(time.monotonic())
 
-    def _take_changes(self, snapshot: messages.Snapshot, source: str) -> None:
-        self._take_lines(snapshot.entries, source, settled=snapshot.settled)
+    def _apply_snapshot_entries(
+        self, snapshot: messages.Snapshot, source: str
+    ) -> None:
+        self._apply_entries(snapshot.entries, source, settled=snapshot.settled)
         if snapshot.whole:
             keys = {line.key for line in snapshot.entries}
-            self._miss_others(keys, snapshot.revision, source)
+            self._delete_absent_entries(keys, snapshot.revision, source)
 
-    def _take_lines(
+    def _apply_entries(
         self,
-        lines: Sequence[entry_lines.EntryLine],
+        entries: Sequence[entry_lines.StoreEntry],
         source: str,
         *,
         settled: bool,
     ) -> None:
         if not settled:
-            self.doubt()
-        for line in lines:
-            self._take_line(line, source)
+            self.record_reported_outage()
+        for line in entries:
+            self._apply_entry(line, source)
 
-    def _take_line(self, line: entry_lines.EntryLine, source: str) -> bool:
+    def _apply_entry(self, entry: entry_lines.StoreEntry, source: str) -> bool:
         """Takes in an entry if it is newer; see `take`.
 
         Guards against going back: a peer that was cut off, or an answer that
         comes late, brings an entry as it was before.
         """
-        if not self._effects.is_used(line.key):
+        if not self._effects.is_relevant(entry.key):
             return False
-        if not self._table.put(line):
+        if not self._table.put(entry):
             return False
-        self._effects.apply(line, source)
+        self._effects.apply(entry, source)
         return True
 
     def _advance(self, revision: int) -> None:
         self.completeness.advance(revision)
-        self._table.forget_deletions(self.revision)
+        self._table.prune_deletions(self.revision)
 
     def _find_state_revision(self) -> int:
         line = self._table.get(self._reader.state_key)
         return line.revision if line is not None else 0
 
-    def _miss_others(
-        self, keys: set[str], revision: int, source: str = _SOURCE
+    def _delete_absent_entries(
+        self, present_keys: set[str], revision: int, source: str = _STORE_SOURCE
     ) -> None:
         """Takes all entries for deleted that a reading does not show.
 
         The desired state is never deleted: it stays as it was.
         """
         for entry in self._table:
-            if entry.key in keys or entry.value is None:
+            if entry.key in present_keys or entry.value is None:
                 continue
             if entry.key != self._reader.state_key:
-                self.take(entry.key, None, revision, source)
+                self.apply(entry.key, None, revision, source)
--- a/persimmonhinge/forwarding/entry_table.py
+++ b/persimmonhinge/forwarding/entry_table.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Iterator
 
-from persimmonhinge.forwarding import entry_line as entry_lines
+from persimmonhinge.forwarding import store_entry as entry_lines
 
 # Deletions that are kept for hosts that lag behind.
-_MOST_DELETIONS = 1000
+_MAX_DELETIONS = 1000
 
 
 class EntryTable:
@@ -19,62 +19,64 @@
     """
 
     def __init__(self) -> None:
-        self._lines: dict[str, entry_lines.EntryLine] = {}
-        self._deletions = 0
-        self._forgotten = 0
+        self._entries: dict[str, entry_lines.StoreEntry] = {}
+        self._deletion_count = 0
+        self._pruned_revision = 0
 
-    def __iter__(self) -> Iterator[entry_lines.EntryLine]:
+    def __iter__(self) -> Iterator[entry_lines.StoreEntry]:
         """Gives the newest change of each key."""
-        return iter(tuple(self._lines.values()))
+        return iter(tuple(self._entries.values()))
 
-    def get(self, key: str) -> entry_lines.EntryLine | None:
+    def get(self, key: str) -> entry_lines.StoreEntry | None:
         """Returns the newest change of a key, None if it is not known."""
-        return self._lines.get(key)
+        return self._entries.get(key)
 
-    def put(self, line: entry_lines.EntryLine) -> bool:
+    def put(self, entry: entry_lines.StoreEntry) -> bool:
         """Keeps a change if it is newer than what is known of its key.
 
         Returns:
             True if it is.
         """
-        known = self._lines.get(line.key)
-        newest = self._forgotten if known is None else known.revision
-        if line.revision <= newest:
+        known = self._entries.get(entry.key)
+        newest = self._pruned_revision if known is None else known.revision
+        if entry.revision <= newest:
             return False
-        self._lines[line.key] = line
-        self._deletions += _is_deletion(line) - _is_deletion(known)
+        self._entries[entry.key] = entry
+        self._deletion_count += _is_deletion(entry) - _is_deletion(known)
         return True
 
-    def forget_deletions(self, complete_to: int) -> None:
+    def prune_deletions(self, complete_revision: int) -> None:
         """Forgets the older half of the deletions once there are too many.
 
         Args:
             complete_to: Revision up to which all changes are known; a later
                 deletion is kept, as an earlier change may still come.
         """
-        if self._deletions <= _MOST_DELETIONS:
+        if self._deletion_count <= _MAX_DELETIONS:
             return
         deleted = sorted(
             line.revision
-            for line in self._lines.values()
-            if line.value is None and line.revision <= complete_to
+            for line in self._entries.values()
+            if line.value is None and line.revision <= complete_revision
         )
         if not deleted:
             return
-        self._forgotten = deleted[(len(deleted) - 1) // 2]
+        self._pruned_revision = deleted[(len(deleted) - 1) // 2]
         for line in self:
-            if line.value is None and line.revision <= self._forgotten:
-                del self._lines[line.key]
-                self._deletions -= 1
+            if line.value is None and line.revision <= self._pruned_revision:
+                del self._entries[line.key]
+                self._deletion_count -= 1
 
-    def has_all_since(self, revision: int) -> bool:
+    def has_all_deletions_since(self, revision: int) -> bool:
         """Tells whether all deletions after a revision are kept."""
-        return revision >= self._forgotten
+        return revision >= self._pruned_revision
 
-    def changes_since(self, revision: int) -> tuple[entry_lines.EntryLine, ...]:
+    def list_changes_since(
+        self, revision: int
+    ) -> tuple[entry_lines.StoreEntry, ...]:
         """Returns the changes after a revision, as far as they are kept."""
         return tuple(line for line in self if line.revision > revision)
 
 
-def _is_deletion(line: entry_lines.EntryLine | None) -> bool:
-    return line is not None and line.value is None
+def _is_deletion(entry: entry_lines.StoreEntry | None) -> bool:
+    return entry is not None and entry.value is None
--- a/persimmonhinge/forwarding/follower.py
+++ b/persimmonhinge/forwarding/follower.py
@@ -10,7 +10,7 @@
 import trio
 
 from persimmonhinge import errors
-from persimmonhinge.forwarding import reading
+from persimmonhinge.forwarding import entry_replica
 from persimmonhinge.forwarding.peers import following as following_parts
 from persimmonhinge.store import port
 
@@ -18,22 +18,22 @@
 
 # Longest wait after a call that failed, seconds, and how often the first wait
 # doubles until then.
-_LAST_RETRY_S = 0.4
-_DOUBLINGS = 3
+_MAX_RETRY_INTERVAL_S = 0.4
+_RETRY_DOUBLINGS = 3
 # The hosts of a failure domain together ask once in so long, seconds, while
 # the store answers none of them. The first that is answered tells the others.
-_SHARED_RETRY_S = 0.1
+_DOMAIN_RETRY_INTERVAL_S = 0.1
 # A host that has just started hears in this time, seconds, whether another one
 # of its failure domain follows; all entries were read just before.
-_HEAR_S = 0.8
-_CHECK_S = 0.1
+_DISCOVERY_DELAY_S = 0.8
+_POLL_INTERVAL_S = 0.1
 # How long a host goes on following after another one is there, seconds, so
 # that a short silence does not make both begin and end in turn.
-_STAND_DOWN_S = 1.0
+_HANDOVER_DELAY_S = 1.0
 # Time between questions of a host that the store refused while another one
 # follows, seconds.
-_ASK_AGAIN_S = 2.0
-_EVERYTHING = ""
+_PROBE_INTERVAL_S = 2.0
+_ALL_KEYS_PREFIX = ""
 
 
 class Follower:
@@ -51,9 +51,9 @@
     def __init__(
         self,
         store: port.PlatformReader,
-        entries: reading.Entries,
+        entries: entry_replica.EntryReplica,
         following: following_parts.Following,
-        gather_s: float,
+        min_call_interval_s: float,
     ) -> None:
         """Makes the part; nothing is read before `run`.
 
@@ -67,23 +67,23 @@
         self._store = store
         self._entries = entries
         self._following = following
-        self._gather_s = gather_s
+        self._min_call_interval_s = min_call_interval_s
         self._failures = 0
         self._read_at = -math.inf
 
     async def run(self) -> None:
         """Follows while it is this host's turn, until cancelled."""
-        if not self._entries.is_read():
+        if not self._entries.is_confirmed():
             await self._read_once()
-        await trio.sleep(_HEAR_S)
+        await trio.sleep(_DISCOVERY_DELAY_S)
         while True:
             if not self._following.is_due(time.monotonic()):
                 await self._wait_for_turn()
                 continue
             logger.info("Follows the store.")
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._follow_always)
-                await self._wait_until_relieved()
+                nursery.start_soon(self._follow_with_retries)
+                await self._wait_until_not_due()
                 nursery.cancel_scope.cancel()
             logger.info("Another host follows the store.")
 
@@ -106,9 +106,9 @@
         if self._following.reaches_store:
             await self._following.wait_for_change(time.monotonic())
             return
-        with trio.move_on_after(_ASK_AGAIN_S):
+        with trio.move_on_after(_PROBE_INTERVAL_S):
             while not self._following.is_due(time.monotonic()):
-                await trio.sleep(_CHECK_S)
+                await trio.sleep(_POLL_INTERVAL_S)
             return
         try:
             await self._store.get_prefix(self._entries.state_key)
@@ -117,28 +117,32 @@
         else:
             self._record_answer()
 
-    async def _wait_until_relieved(self) -> None:
+    async def _wait_until_not_due(self) -> None:
         due_at = time.monotonic()
-        while time.monotonic() - due_at < _STAND_DOWN_S:
-            await trio.sleep(_CHECK_S)
+        while time.monotonic() - due_at < _HANDOVER_DELAY_S:
+            await trio.sleep(_POLL_INTERVAL_S)
             if self._following.is_due(time.monotonic()):
                 due_at = time.monotonic()
 
-    async def _follow_always(self) -> None:
+    async def _follow_with_retries(self) -> None:
         while True:
             try:
-                await self._follow()
+                await self._read_and_watch()
             except errors.PlatformHistoryGoneError as error:
                 logger.warning("Reads all entries again: %s.", error)
-                await trio.sleep_until(self._read_at + self._gather_s)
+                await trio.sleep_until(
+                    self._read_at + self._min_call_interval_s
+                )
             except errors.PlatformError as error:
                 failed_at = time.monotonic()
                 self._entries.record_failure(error)
                 self._following.reaches_store = False
-                await trio.sleep(self._next_retry() * random.uniform(0.5, 1.0))
-                await self._wait_while_told(failed_at)
+                await trio.sleep(
+                    self._next_retry_interval() * random.uniform(0.5, 1.0)
+                )
+                await self._wait_while_another_follows(failed_at)
 
-    async def _wait_while_told(self, failed_at: float) -> None:
+    async def _wait_while_another_follows(self, failed_at: float) -> None:
         """Waits while another host has reached the store since a failure.
 
         Guards against calls of all hosts of a domain when the store returns:
@@ -148,32 +152,32 @@
         if self._following.is_told_since(failed_at, time.monotonic()):
             logger.info("Does not call the store: another host reached it.")
         while self._following.is_told_since(failed_at, time.monotonic()):
-            await trio.sleep(_CHECK_S)
+            await trio.sleep(_POLL_INTERVAL_S)
 
-    async def _follow(self) -> None:
+    async def _read_and_watch(self) -> None:
         self._read_at = trio.current_time()
         revision = await self._entries.read_all(self._store)
         self._record_answer()
-        async with self._store.watch(_EVERYTHING, revision + 1) as batches:
+        async with self._store.watch(_ALL_KEYS_PREFIX, revision + 1) as batches:
             async for batch in batches:
                 self._record_answer()
-                self._entries.take_batch(batch)
+                self._entries.apply_batch(batch)
                 if batch:
-                    await trio.sleep(self._gather_s)
+                    await trio.sleep(self._min_call_interval_s)
                 else:
-                    self._entries.tell_nothing_newer()
+                    self._entries.report_no_changes()
 
-    def _next_retry(self) -> float:
+    def _next_retry_interval(self) -> float:
         """Returns the longest wait after this failure in a row, seconds.
 
         Guards against a store that is kept down by the calls of all hosts: the
         more there are in a failure domain, the longer each of them waits.
         """
-        shared_s = self._following.count_domain() * _SHARED_RETRY_S
-        longest_s = max(_LAST_RETRY_S, shared_s)
-        doublings = min(self._failures, _DOUBLINGS)
+        shared_s = self._following.count_domain() * _DOMAIN_RETRY_INTERVAL_S
+        longest_s = max(_MAX_RETRY_INTERVAL_S, shared_s)
+        doublings = min(self._failures, _RETRY_DOUBLINGS)
         self._failures += 1
-        return longest_s * 2.0 ** (doublings - _DOUBLINGS)
+        return longest_s * 2.0 ** (doublings - _RETRY_DOUBLINGS)
 
     def _record_answer(self) -> None:
         self._entries.record_answer()
--- a/persimmonhinge/forwarding/forwarder.py
+++ b/persimmonhinge/forwarding/forwarder.py
@@ -150,7 +150,7 @@
         whose entry this host has not read yet may serve the next copy.
         """
         knowledge = self._knowledge
-        if knowledge.is_current(now) and knowledge.trust.holds(now):
+        if knowledge.is_current(now) and knowledge.store_trust.holds(now):
             self._reset(packet, "no-upstream")
         else:
             self._drop(packet, "no-upstream-in-old-state")
@@ -166,15 +166,15 @@
         return None
 
     def _continue(self, packet: packets.Packet) -> None:
-        if self._knowledge.is_dropped(packet.flow):
+        if self._knowledge.is_route_removed(packet.flow):
             self._reset(packet, "route-dropped")
             self._tracker.forget(packet.flow)
             return
-        upstream = self._knowledge.directory.find(packet.token)
+        upstream = self._knowledge.directory.find_by_token(packet.token)
         if upstream is None:
             self._drop(packet, "unknown-token")
             return
-        if upstream.state is upstreams.UpstreamState.GONE:
+        if upstream.state is upstreams.UpstreamState.ENDED:
             self._reset(packet, "upstream-gone")
             self._tracker.forget(packet.flow)
             return
--- a/persimmonhinge/forwarding/knowledge.py
+++ b/persimmonhinge/forwarding/knowledge.py
@@ -28,7 +28,7 @@
             if it never did.
     """
 
-    def __init__(self, flow_life_s: float, current_s: float) -> None:
+    def __init__(self, flow_life_s: float, max_age_s: float) -> None:
         """Makes the knowledge of a host that has just started.
 
         Args:
@@ -36,14 +36,14 @@
                 seconds.
             current_s: Age up to which it is current, seconds.
         """
-        self._current_s = current_s
+        self._max_age_s = max_age_s
         self.directory = directories.Directory(flow_life_s)
-        self.trust = trusts.StoreTrust()
+        self.store_trust = trusts.StoreTrust()
         self.evacuated: frozenset[ids.DomainId] = frozenset()
-        self.tell_state: Callable[[], None] | None = None
+        self.on_state_change: Callable[[], None] | None = None
         self.confirmed_at: float | None = None
         self._state: desired_states.DesiredState | None = None
-        self._dropped: set[routes.RouteAddress] = set()
+        self._removed_routes: set[routes.RouteAddress] = set()
 
     @property
     def state(self) -> desired_states.DesiredState | None:
@@ -57,7 +57,7 @@
         at = routes.RouteAddress(flow.service, flow.service_port)
         return self._state.routes.get(at)
 
-    def is_dropped(self, flow: flows.FlowId) -> bool:
+    def is_route_removed(self, flow: flows.FlowId) -> bool:
         """Tells whether a version that is in force took the flow's route away.
 
         A route that this host never heard of is another matter: one that was
@@ -65,7 +65,7 @@
         here yet.
         """
         at = routes.RouteAddress(flow.service, flow.service_port)
-        return at in self._dropped
+        return at in self._removed_routes
 
     def is_current(self, now: float) -> bool:
         """Tells whether what is not known here does not exist.
@@ -77,12 +77,12 @@
         confirmed_at = self.confirmed_at
         if self._state is None or confirmed_at is None:
             return False
-        return now - confirmed_at < self._current_s
+        return now - confirmed_at < self._max_age_s
 
-    def confirm(self, at: float) -> None:
+    def confirm(self, answered_at: float) -> None:
         """Takes in that the store said at a time that nothing is newer."""
-        if self.confirmed_at is None or at > self.confirmed_at:
-            self.confirmed_at = at
+        if self.confirmed_at is None or answered_at > self.confirmed_at:
+            self.confirmed_at = answered_at
 
     def compute_age_ms(self, now: float) -> int:
         """Returns how long ago the store confirmed this, -1 if never."""
@@ -94,7 +94,7 @@
         """Tells whether this host knows enough to serve."""
         return self._state is not None and len(self.directory) > 0
 
-    def take_state(
+    def apply_state(
         self, state: desired_states.DesiredState, source: str
     ) -> bool:
         """Puts a version in force if it is newer.
@@ -110,8 +110,8 @@
         if former is not None and former >= state.version:
             return False
         if self._state is not None:
-            self._dropped |= self._state.routes.keys()
-        self._dropped -= state.routes.keys()
+            self._removed_routes |= self._state.routes.keys()
+        self._removed_routes -= state.routes.keys()
         self._state = state
         logger.info(
             "Desired state in force.",
@@ -122,8 +122,8 @@
                 "source": source,
             },
         )
-        if self.tell_state is not None:
-            self.tell_state()
+        if self.on_state_change is not None:
+            self.on_state_change()
         return True
 
     def evacuate(self, domain: ids.DomainId, source: str) -> None:
@@ -152,7 +152,7 @@
             },
         )
 
-    def take_upstream(
+    def apply_upstream(
         self, upstream: upstreams.Upstream, now: float, source: str
     ) -> None:
         """Takes in the entry of an upstream."""
@@ -171,7 +171,7 @@
             },
         )
 
-    def miss_upstream(
+    def record_missing_entry(
         self, upstream: ids.UpstreamId, now: float, source: str
     ) -> None:
         """Takes in that the entry of an upstream is not there.
@@ -180,13 +180,13 @@
         store in which their entries expired: while the store can't be relied
         on, they are kept as missing, and judged later by `settle`.
         """
-        known = self._find_present(upstream)
+        known = self._find_not_ended(upstream)
         if known is None:
             return
-        if self.trust.holds(now):
+        if self.store_trust.holds(now):
             self.directory.remove(upstream, now)
         else:
-            self.directory.mark(upstream, upstreams.UpstreamState.MISSING)
+            self.directory.set_state(upstream, upstreams.UpstreamState.MISSING)
         present = self.directory.get(upstream)
         logger.info(
             "Entry of an upstream ended.",
@@ -198,7 +198,7 @@
             },
         )
 
-    def end_upstream(
+    def remove_upstream(
         self, upstream: ids.UpstreamId, now: float, source: str
     ) -> None:
         """Takes in that an incarnation of an upstream has surely ended.
@@ -207,7 +207,7 @@
         has the same address and does not know them: their callers hear a
         reset at once, whatever the store's state.
         """
-        known = self._find_present(upstream)
+        known = self._find_not_ended(upstream)
         if known is None:
             return
         self.directory.remove(upstream, now)
@@ -220,16 +220,16 @@
             },
         )
 
-    def is_gone(self, upstream: ids.UpstreamId) -> bool:
+    def has_ended(self, upstream: ids.UpstreamId) -> bool:
         """Tells whether an upstream has ended, or was never heard of."""
-        return self._find_present(upstream) is None
+        return self._find_not_ended(upstream) is None
 
-    def withhold_upstream(self, upstream: ids.UpstreamId, source: str) -> None:
+    def stop_new_flows(self, upstream: ids.UpstreamId, source: str) -> None:
         """Gives an upstream no new flows until its next entry."""
-        known = self._find_present(upstream)
+        known = self._find_not_ended(upstream)
         if known is None:
             return
-        self.directory.mark(upstream, upstreams.UpstreamState.DRAINING)
+        self.directory.set_state(upstream, upstreams.UpstreamState.DRAINING)
         logger.warning(
             "Withholds new flows from an upstream.",
             extra={
@@ -239,19 +239,19 @@
             },
         )
 
-    def settle(self, now: float) -> None:
+    def remove_missing_upstreams(self, now: float) -> None:
         """Takes missing upstreams for gone once the store can be relied on."""
-        if not self.trust.holds(now):
+        if not self.store_trust.holds(now):
             return
-        for upstream in self.directory.all():
+        for upstream in self.directory.list_all():
             if upstream.state is upstreams.UpstreamState.MISSING:
-                self.miss_upstream(upstream.id, now, "settle")
+                self.record_missing_entry(upstream.id, now, "settle")
 
-    def _find_present(
+    def _find_not_ended(
         self, upstream: ids.UpstreamId
     ) -> upstreams.Upstream | None:
         """Returns an upstream that is known and has not ended."""
         known = self.directory.get(upstream)
-        if known is None or known.state is upstreams.UpstreamState.GONE:
+        if known is None or known.state is upstreams.UpstreamState.ENDED:
             return None
         return known
--- a/persimmonhinge/forwarding/peers/following.py
+++ b/persimmonhinge/forwarding/peers/following.py
@@ -4,8 +4,8 @@
 
 import xxhash
 
+from persimmonhinge.forwarding import auto_reset_event
 from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import wake_up
 from persimmonhinge.forwarding.peers import book as books
 
 # How much later than its turn may come a host looks, seconds.
@@ -50,7 +50,7 @@
         self._knowledge = knowledge
         self._current_s = current_s
         self._started_at = now
-        self._changed = wake_up.WakeUp()
+        self._changed = auto_reset_event.AutoResetEvent()
         book.listen(self._changed.set)
         self.reaches_store = True
         self.leaving = False
--- a/persimmonhinge/forwarding/peers/messages.py
+++ b/persimmonhinge/forwarding/peers/messages.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from persimmonhinge.forwarding import entry_line as entry_lines
 from persimmonhinge.forwarding import flow as flows
 from persimmonhinge.forwarding import load_line as load_lines
+from persimmonhinge.forwarding import store_entry as entry_lines
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, tag="report"):
@@ -66,7 +66,7 @@
     after: int
     upto: int
     settled: bool
-    entries: tuple[entry_lines.EntryLine, ...]
+    entries: tuple[entry_lines.StoreEntry, ...]
     upstreams_upto: int = 0
 
 
@@ -115,7 +115,7 @@
 
     revision: int
     settled: bool
-    entries: tuple[entry_lines.EntryLine, ...]
+    entries: tuple[entry_lines.StoreEntry, ...]
     peers: tuple[flows.Endpoint, ...]
     whole: bool = False
     state_revision: int = 0
--- a/persimmonhinge/forwarding/peers/news.py
+++ b/persimmonhinge/forwarding/peers/news.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from persimmonhinge.forwarding import entry_line as entry_lines
+from persimmonhinge.forwarding import store_entry as entry_lines
 from persimmonhinge.forwarding.peers import messages
 
 # Entries in a datagram: an upstream takes about 250 octets.
@@ -28,7 +28,7 @@
 
 
 def split_news(
-    after: int, settled: bool, entries: Sequence[entry_lines.EntryLine]
+    after: int, settled: bool, entries: Sequence[entry_lines.StoreEntry]
 ) -> list[messages.News]:
     """Returns news in which each names the one before by its revision.
 
--- a/persimmonhinge/forwarding/peers/pull_attempt.py
+++ b/persimmonhinge/forwarding/peers/pull_attempt.py
@@ -34,12 +34,12 @@
     def take(self, snapshot: messages.Snapshot) -> None:
         """Takes in a whole snapshot that came."""
         self._record(snapshot)
-        self._core.entries.take_snapshot(snapshot, self.host)
+        self._core.entries.apply_snapshot(snapshot, self.host)
 
     def take_short(self, snapshot: messages.Snapshot) -> None:
         """Takes in a short snapshot that came."""
         self._record(snapshot)
-        self._core.entries.take_short_snapshot(snapshot, self.host)
+        self._core.entries.apply_short_snapshot(snapshot, self.host)
 
     def _record(self, snapshot: messages.Snapshot) -> None:
         self._core.counts.observe("snapshot_seconds", self._compute_time_s())
--- a/persimmonhinge/forwarding/peers/pulls.py
+++ b/persimmonhinge/forwarding/peers/pulls.py
@@ -8,9 +8,9 @@
 import msgspec
 import trio
 
+from persimmonhinge.forwarding import auto_reset_event
 from persimmonhinge.forwarding import core as cores
 from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import wake_up
 from persimmonhinge.forwarding.peers import book as books
 from persimmonhinge.forwarding.peers import codec as codecs
 from persimmonhinge.forwarding.peers import messages
@@ -45,10 +45,10 @@
         self._book = core.peers
         self._port = core.settings.snapshot_port
         self._behind_since: float | None = None
-        self._may_be_behind = wake_up.WakeUp()
-        self._may_lack_state = wake_up.WakeUp()
+        self._may_be_behind = auto_reset_event.AutoResetEvent()
+        self._may_lack_state = auto_reset_event.AutoResetEvent()
         core.peers.listen(self._look)
-        core.entries.completeness.tell_lack = self._may_lack_state.set
+        core.entries.completeness.on_state_missing = self._may_lack_state.set
         self._avoided_until: dict[flows.Endpoint, float] = {}
 
     async def run(self) -> None:
@@ -98,7 +98,7 @@
         entries = self._core.entries
         while True:
             await trio.sleep(_AHEAD_CHECK_S * random.uniform(0.5, 1.5))
-            if not entries.completeness.lacks_state():
+            if not entries.completeness.is_state_missing():
                 await self._may_lack_state.wait()
                 continue
             ahead = self._book.find_ahead(
--- a/persimmonhinge/forwarding/peers/reporter.py
+++ b/persimmonhinge/forwarding/peers/reporter.py
@@ -10,9 +10,9 @@
 import trio
 
 from persimmonhinge import ids
+from persimmonhinge.forwarding import auto_reset_event
 from persimmonhinge.forwarding import core as cores
 from persimmonhinge.forwarding import load_line as load_lines
-from persimmonhinge.forwarding import wake_up
 from persimmonhinge.forwarding.decisions import report_pace
 from persimmonhinge.forwarding.decisions import told_loads
 from persimmonhinge.forwarding.peers import audience as audiences
@@ -53,9 +53,9 @@
         self._following = following
         self._incarnation = random.getrandbits(63)
         self._sequence = 0
-        self._state_came = wake_up.WakeUp()
-        self._hosts_changed = wake_up.WakeUp()
-        core.knowledge.tell_state = self._state_came.set
+        self._state_came = auto_reset_event.AutoResetEvent()
+        self._hosts_changed = auto_reset_event.AutoResetEvent()
+        core.knowledge.on_state_change = self._state_came.set
         core.peers.listen(self._hosts_changed.set)
         self._far = audiences.FarAudience(
             core.peers, ids.DomainId(core.settings.domain)
--- a/persimmonhinge/forwarding/peers/service.py
+++ b/persimmonhinge/forwarding/peers/service.py
@@ -9,10 +9,10 @@
 import msgspec
 import trio
 
+from persimmonhinge.forwarding import auto_reset_event
 from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding import entry_line as entry_lines
 from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import wake_up
+from persimmonhinge.forwarding import store_entry as entry_lines
 from persimmonhinge.forwarding.peers import channel as channels
 from persimmonhinge.forwarding.peers import codec as codecs
 from persimmonhinge.forwarding.peers import following as following_parts
@@ -52,8 +52,8 @@
             codecs.MessageCodec(messages.Report | messages.News)
         )
         self._untold: list[messages.News] = []
-        self._news = wake_up.WakeUp()
-        core.entries.tell = self._note_news
+        self._news = auto_reset_event.AutoResetEvent()
+        core.entries.on_changes = self._note_news
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -81,9 +81,9 @@
             task_status.started()
 
     def _note_news(
-        self, after: int, entries: list[entry_lines.EntryLine]
+        self, after: int, entries: list[entry_lines.StoreEntry]
     ) -> None:
-        settled = self._core.entries.is_settled()
+        settled = self._core.entries.is_absence_final()
         self._untold.extend(news_packs.split_news(after, settled, entries))
         self._news.set()
 
@@ -140,7 +140,7 @@
             logger.warning("Dropped a report: %s.", error)
             return
         if isinstance(message, messages.News):
-            self._core.entries.take_news(message, source.host)
+            self._core.entries.apply_update(message, source.host)
         else:
             self.take_report(message, source)
 
@@ -153,7 +153,7 @@
         if not self._book.take(address, report, now):
             return
         if reached_store and not report.reaches_store:
-            self._core.entries.doubt()
+            self._core.entries.record_reported_outage()
         for named in report.peers:
             self._book.add(named, now)
         entries = self._core.entries
--- a/persimmonhinge/forwarding/entry_line.py
+++ b/persimmonhinge/forwarding/store_entry.py
@@ -5,7 +5,7 @@
 from persimmonhinge.light_typing import NamedTuple
 
 
-class EntryLine(NamedTuple):
+class StoreEntry(NamedTuple):
     """An entry of the store; an array in messages.
 
     Attributes:
--- a/persimmonhinge/forwarding/upstream.py
+++ b/persimmonhinge/forwarding/upstream.py
@@ -23,7 +23,7 @@
     READY = "ready"
     DRAINING = "draining"
     MISSING = "missing"
-    GONE = "gone"
+    ENDED = "gone"
 
 
 class Upstream(records.Record, frozen=True):
@@ -50,4 +50,4 @@
     domain: ids.DomainId
     slots: int
     state: UpstreamState
-    cold_s: float = 0.0
+    warm_up_s: float = 0.0
--- a/persimmonhinge/platform/entries.py
+++ b/persimmonhinge/platform/entries.py
@@ -87,7 +87,7 @@
         version=read(entry, "Version", int),
         routes={route.at: route for route in found},
         idle_timeout_s=idle_ms / 1000,
-        cold_limits=_read_cold_limits(entry),
+        warm_up_limits=_read_cold_limits(entry),
     )
 
 
@@ -170,7 +170,7 @@
         domain=ids.DomainId(read(entry, "Zone", str)),
         slots=slots,
         state=_STATES[word],
-        cold_s=cold_left_ms / 1000,
+        warm_up_s=cold_left_ms / 1000,
     )
 
 
--- a/tests/test_forwarding/scene.py
+++ b/tests/test_forwarding/scene.py
@@ -141,7 +141,7 @@
         state = desired_states.DesiredState(
             version, {route.at: route for route in found}, 15.0
         )
-        self.knowledge.take_state(state, "test")
+        self.knowledge.apply_state(state, "test")
         self.confirm()
 
     def set_repetition(
@@ -152,21 +152,21 @@
             make_route(PORT, SERVICE), repetition=repetition
         )
         state = desired_states.DesiredState(version, {route.at: route}, 15.0)
-        self.knowledge.take_state(state, "test")
+        self.knowledge.apply_state(state, "test")
 
     def confirm(self) -> None:
         """Has the store say that nothing is newer."""
         self.knowledge.confirmed_at = self.clock.now
-        self.knowledge.trust.record_answer(self.clock.now)
+        self.knowledge.store_trust.record_answer(self.clock.now)
 
     def add(self, upstream: upstreams.Upstream) -> upstreams.Upstream:
         """Adds an upstream."""
-        self.knowledge.take_upstream(upstream, self.clock.now, "test")
+        self.knowledge.apply_upstream(upstream, self.clock.now, "test")
         return upstream
 
     def lose(self, upstream: upstreams.Upstream) -> None:
         """Takes the entry of an upstream away."""
-        self.knowledge.miss_upstream(upstream.id, self.clock.now, "test")
+        self.knowledge.record_missing_entry(upstream.id, self.clock.now, "test")
 
     def receive(self, octets: bytes) -> None:
         """Has a packet come from the fabric."""
@@ -192,7 +192,7 @@
         """Returns where the newest packet went."""
         octets, address = self.output.to_upstreams[-1]
         number = int.from_bytes(octets[:8])
-        for upstream in self.knowledge.directory.all():
+        for upstream in self.knowledge.directory.list_all():
             if upstream.number == number:
                 assert upstream.address == address
                 return upstream
@@ -272,6 +272,6 @@
 @contextlib.contextmanager
 def failing_store(scene: Scene) -> Iterator[None]:
     """Has the store fail meanwhile; it answers afterwards."""
-    scene.knowledge.trust.record_failure()
+    scene.knowledge.store_trust.record_failure()
     yield
     scene.confirm()
--- a/tests/test_forwarding/test_forwarding_after_ack.py
+++ b/tests/test_forwarding/test_forwarding_after_ack.py
@@ -4,7 +4,7 @@
 
 from benchmarks import fleet as fleets
 from persimmonhinge.forwarding import upstream as upstreams
-from tests.test_forwarding import lost_hosts
+from tests.test_forwarding import failed_hosts
 
 
 def knows_all(fleet: fleets.Fleet, host: fleets.Host) -> bool:
@@ -12,7 +12,7 @@
     state = host.core.knowledge.state
     leaving = [
         upstream
-        for upstream in host.core.knowledge.directory.all()
+        for upstream in host.core.knowledge.directory.list_all()
         if upstream.state is upstreams.UpstreamState.DRAINING
     ]
     return (
@@ -30,21 +30,27 @@
 
 def test_change_is_known_though_the_host_that_follows_loses_power() -> None:
     """Guards against a drain that only the dead host had heard of."""
-    assert lost_hosts.play(lost_hosts.lose_follower, change, knows_all) == 0
+    assert (
+        failed_hosts.run_scenario(failed_hosts.fail_follower, change, knows_all)
+        == 0
+    )
 
 
 def test_change_is_known_though_the_host_lost_power_just_before() -> None:
     """Guards against a domain that waits for a host that is gone."""
     assert (
-        lost_hosts.play(lost_hosts.lose_follower_before, change, knows_all) == 0
+        failed_hosts.run_scenario(
+            failed_hosts.fail_follower_before_change, change, knows_all
+        )
+        == 0
     )
 
 
 def test_change_that_some_hosts_have_heard_of_reaches_the_others() -> None:
     """Guards against news that stop half way."""
     assert (
-        lost_hosts.play(
-            lost_hosts.lose_follower_a_moment_later, change, knows_all
+        failed_hosts.run_scenario(
+            failed_hosts.fail_follower_after_delay, change, knows_all
         )
         == 0
     )
@@ -52,19 +58,29 @@
 
 def test_change_is_known_though_two_domains_lose_their_follower() -> None:
     """Guards against a fleet that is told by two dead hosts."""
-    assert lost_hosts.play(lost_hosts.lose_two, change, knows_all) == 0
+    assert (
+        failed_hosts.run_scenario(
+            failed_hosts.fail_two_followers, change, knows_all
+        )
+        == 0
+    )
 
 
 def test_host_that_lost_power_comes_back_with_the_change() -> None:
     """Guards against a restart that brings the version before."""
-    assert lost_hosts.play(lost_hosts.lose_and_restart, change, knows_all) == 0
+    assert (
+        failed_hosts.run_scenario(
+            failed_hosts.fail_and_restart_follower, change, knows_all
+        )
+        == 0
+    )
 
 
 def test_change_right_after_an_outage_is_known() -> None:
     """Guards against a change that hides behind a store that returns."""
     assert (
-        lost_hosts.play(
-            lost_hosts.lose_while_the_store_returns, change, knows_all
+        failed_hosts.run_scenario(
+            failed_hosts.fail_follower_after_store_outage, change, knows_all
         )
         == 0
     )
@@ -73,8 +89,8 @@
 def test_domain_that_was_cut_off_knows_the_change_when_it_is_back() -> None:
     """Guards against a cut domain that goes on with its version."""
     assert (
-        lost_hosts.play(
-            lost_hosts.lose_while_a_domain_is_cut, change, knows_all
+        failed_hosts.run_scenario(
+            failed_hosts.fail_follower_of_partitioned_domain, change, knows_all
         )
         == 0
     )
--- a/tests/test_forwarding/test_forwarding_wake_up.py
+++ b/tests/test_forwarding/test_forwarding_auto_reset_event.py
@@ -5,33 +5,33 @@
 import trio
 
 from benchmarks import host_cost
-from persimmonhinge.forwarding import wake_up
+from persimmonhinge.forwarding import auto_reset_event
 from tests.support import trios
 
-_LENGTH_S = 3.0
-_LONG_S = 5.0
+_RUN_DURATION_S = 3.0
+_WAIT_LIMIT_S = 5.0
 
 
 @trios.clock_test
 async def test_task_that_is_woken_while_it_does_not_wait_looks_again() -> None:
     """Guards against a change between a look and the wait that is missed."""
-    woken = wake_up.WakeUp()
+    woken = auto_reset_event.AutoResetEvent()
     woken.set()
     await woken.wait()
     began_at = trio.current_time()
-    await woken.wait(_LONG_S)
-    assert trio.current_time() - began_at >= _LONG_S
+    await woken.wait(_WAIT_LIMIT_S)
+    assert trio.current_time() - began_at >= _WAIT_LIMIT_S
 
 
 @trios.clock_test
 async def test_wait_that_is_over_by_then_ends_no_host() -> None:
     """Guards against a time limit below zero, which ends the process."""
-    await wake_up.WakeUp().wait(-0.01)
+    await auto_reset_event.AutoResetEvent().wait(-0.01)
 
 
 def test_host_of_a_quiet_fleet_wakes_up_for_messages_at_most() -> None:
     """Guards against small hosts that spend their processor on looking."""
-    parts = host_cost.run(24, 3, _LENGTH_S)
+    parts = host_cost.run(24, 3, _RUN_DURATION_S)
     heard = parts.pop(host_cost.HEARD)["wake_ups"]
     woken = sum(part["wake_ups"] for part in parts.values())
     assert woken < heard, parts
--- a/tests/test_forwarding/test_forwarding_candidates.py
+++ b/tests/test_forwarding/test_forwarding_candidates.py
@@ -101,7 +101,7 @@
         scenes.HERE, directory, random.Random(_SEED)
     )
     assert len(pool.draw(scenes.SERVICE, lambda _: True)) == 2
-    directory.mark(leaving.id, upstreams.UpstreamState.DRAINING)
+    directory.set_state(leaving.id, upstreams.UpstreamState.DRAINING)
     (left,) = pool.draw(scenes.SERVICE, lambda _: True)
     assert left.id != leaving.id
 
@@ -112,7 +112,7 @@
     for number in range(60):
         scene.add(scenes.make_upstream(number))
     good = scene.add(scenes.make_upstream(60))
-    for upstream in scene.knowledge.directory.all():
+    for upstream in scene.knowledge.directory.list_all():
         if upstream.id != good.id:
             scene.suspicions.record_miss(upstream.id, scene.clock.now)
     assert scene.open().id == good.id
--- a/tests/test_forwarding/test_forwarding_clock.py
+++ b/tests/test_forwarding/test_forwarding_clock.py
@@ -6,7 +6,7 @@
 
 from persimmonhinge.forwarding.decisions import answer_limit
 from tests.test_forwarding import scene as scenes
-from tests.test_forwarding import test_forwarding_reading as readers
+from tests.test_forwarding import test_forwarding_entry_replica as readers
 
 
 def test_no_decision_reads_the_time_of_day() -> None:
@@ -27,7 +27,7 @@
         scene.handle_due()
         scene.go_on(chosen, data=5)
         scene.tracker.sweep(15.0)
-        reader = readers.Reader()
-        reader.entries.take(readers.make_key("1"), readers.make_entry(), 5)
+        reader = readers.HostReplica()
+        reader.entries.apply(readers.make_key("1"), readers.make_entry(), 5)
         reader.entries.record_answer()
-        reader.entries.take(readers.make_key("1"), None, 6)
+        reader.entries.apply(readers.make_key("1"), None, 6)
--- a/tests/test_forwarding/test_forwarding_eligibility.py
+++ b/tests/test_forwarding/test_forwarding_eligibility.py
@@ -39,12 +39,12 @@
     )
     limits = {scenes.SERVICE: cold_per_s} if cold_per_s else {}
     state = desired_states.DesiredState(2, {route.at: route}, 15.0, limits)
-    scene.knowledge.take_state(state, "test")
+    scene.knowledge.apply_state(state, "test")
 
 
 def add_cold(scene: scenes.Scene, number: int) -> upstreams.Upstream:
     """Adds an upstream that has just started."""
-    cold = records.replace(scenes.make_upstream(number), cold_s=_COLD_S)
+    cold = records.replace(scenes.make_upstream(number), warm_up_s=_COLD_S)
     return scene.add(cold)
 
 
--- a/tests/test_forwarding/test_forwarding_readings.py
+++ b/tests/test_forwarding/test_forwarding_entry_replica_reads.py
@@ -5,7 +5,7 @@
 from persimmonhinge.forwarding import upstream as upstreams
 from persimmonhinge.store import blocking_transport
 from persimmonhinge.store import port
-from tests.test_forwarding import test_forwarding_reading as readers
+from tests.test_forwarding import test_forwarding_entry_replica as readers
 
 
 class ChangingStore:
@@ -51,7 +51,7 @@
 def test_one_call_reads_all_entries() -> None:
     """Guards against calls to the store that a start could do without."""
     store = ChangingStore()
-    reader = readers.Reader()
+    reader = readers.HostReplica()
     blocking_transport.run(
         reader.entries.read_all(store)  # type: ignore[arg-type]
     )
@@ -65,10 +65,10 @@
     upstreams, of which one enters itself after that change. It has the newest
     revision of all, so it never asked others for what it lacks.
     """
-    reader = readers.Reader()
+    reader = readers.HostReplica()
     read = reader.entries.read_all(ChangingStore())  # type: ignore[arg-type]
     blocking_transport.run(read)
-    assert reader.state("1") is upstreams.UpstreamState.READY
+    assert reader.find_upstream_state("1") is upstreams.UpstreamState.READY
     assert reader.entries.revision < 5
 
 
@@ -78,23 +78,23 @@
     It came between two readings, so the second one brought it, and the watch
     that goes on from the first tells nothing new.
     """
-    reader = readers.Reader()
+    reader = readers.HostReplica()
     store = ChangingStore()
     blocking_transport.run(
         reader.entries.read_all(store)  # type: ignore[arg-type]
     )
     told: list[int] = []
-    reader.entries.tell = lambda after, lines: told.extend(
+    reader.entries.on_changes = lambda after, lines: told.extend(
         line.revision for line in lines
     )
     events = [
         port.WatchEvent("op/config", readers.make_state(2), 5),
         port.WatchEvent(readers.make_key("1"), readers.make_entry(), 6),
     ]
-    reader.entries.take_batch(events)
+    reader.entries.apply_batch(events)
     assert told == [5, 6]
     assert reader.entries.revision == 6
-    reader.entries.take_batch(events)
+    reader.entries.apply_batch(events)
     assert told == [5, 6]
 
 
@@ -105,10 +105,10 @@
     all entries anew. The others of its domain hear of the drain only after
     its next report, which comes the later the more hosts there are.
     """
-    reader = readers.Reader()
+    reader = readers.HostReplica()
     store = ChangingStore()
     told: list[tuple[int, list[int]]] = []
-    reader.entries.tell = lambda after, lines: told.append(
+    reader.entries.on_changes = lambda after, lines: told.append(
         (after, [line.revision for line in lines])
     )
     for _ in range(3):
--- a/tests/test_forwarding/test_forwarding_evacuation.py
+++ b/tests/test_forwarding/test_forwarding_evacuation.py
@@ -6,24 +6,24 @@
 
 from benchmarks import fleet as fleets
 from persimmonhinge import ids
-from persimmonhinge.forwarding import entry_line as entry_lines
+from persimmonhinge.forwarding import store_entry as entry_lines
 from persimmonhinge.forwarding import upstream as upstreams
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.store import port
 from tests.support import trios
-from tests.test_forwarding import lost_hosts
+from tests.test_forwarding import failed_hosts
 from tests.test_forwarding import scene as scenes
-from tests.test_forwarding import test_forwarding_reading as readers
+from tests.test_forwarding import test_forwarding_entry_replica as readers
 
-_KEY = f"op/evacuate/{scenes.HERE}"
+_EVACUATION_KEY = f"op/evacuate/{scenes.HERE}"
 _DOMAIN = "domain-1"
-_LIMIT_S = 5.0
-_HEARD_S = 6.0
+_PROPAGATION_LIMIT_S = 5.0
+_DISCOVERY_S = 6.0
 _SEED = 4
 _FLOWS = 40
 
 
-class Pages:
+class FixedStore:
     """A store that shows some entries in one reading."""
 
     def __init__(self, state: port.PrefixState) -> None:
@@ -36,9 +36,11 @@
         return self._state
 
 
-def read(reader: readers.Reader, revision: int, *values: port.KeyValue) -> None:
+def read_store(
+    reader: readers.HostReplica, revision: int, *values: port.KeyValue
+) -> None:
     """Has a host read all entries of a store."""
-    pages = Pages(port.PrefixState(revision, values))
+    pages = FixedStore(port.PrefixState(revision, values))
     trio.run(reader.entries.read_all, pages)  # type: ignore[arg-type]
 
 
@@ -52,7 +54,7 @@
     return scene
 
 
-def list_domains(
+def list_new_flow_domains(
     scene: scenes.Scene, first_port: int = 1000
 ) -> set[ids.DomainId]:
     """Returns the failure domains that new flows go to, one at a time."""
@@ -74,31 +76,31 @@
     fleet.store.evacuate(_DOMAIN)
 
 
-def knows_evacuation(fleet: fleets.Fleet, host: fleets.Host) -> bool:
+def has_evacuation(fleet: fleets.Fleet, host: fleets.Host) -> bool:
     """Tells whether a host keeps new flows away from the domain."""
     return host.core.knowledge.evacuated == {_DOMAIN}
 
 
-def knows_end(fleet: fleets.Fleet, host: fleets.Host) -> bool:
+def has_no_evacuation(fleet: fleets.Fleet, host: fleets.Host) -> bool:
     """Tells whether a host evacuates no domain."""
     return not host.core.knowledge.evacuated
 
 
-async def evacuate_all(fleet: fleets.Fleet) -> None:
+async def evacuate_and_wait(fleet: fleets.Fleet) -> None:
     """Evacuates a domain and waits until all hosts know."""
     evacuate(fleet)
-    await trio.sleep(_LIMIT_S)
-    assert all(knows_evacuation(fleet, host) for host in fleet.hosts)
+    await trio.sleep(_PROPAGATION_LIMIT_S)
+    assert all(has_evacuation(fleet, host) for host in fleet.hosts)
 
 
 def test_new_flows_leave_an_evacuated_domain() -> None:
     """Guards against new flows at upstreams that are to get nothing."""
     scene = make_scene()
-    assert list_domains(scene) == {scenes.HERE}
+    assert list_new_flow_domains(scene) == {scenes.HERE}
     scene.knowledge.evacuate(scenes.HERE, "test")
-    assert list_domains(scene, 2000) == {scenes.ELSEWHERE}
+    assert list_new_flow_domains(scene, 2000) == {scenes.ELSEWHERE}
     scene.knowledge.end_evacuation(scenes.HERE, "test")
-    assert list_domains(scene, 3000) == {scenes.HERE}
+    assert list_new_flow_domains(scene, 3000) == {scenes.HERE}
 
 
 def test_flow_is_refused_at_once_where_all_domains_are_evacuated() -> None:
@@ -119,7 +121,7 @@
     """Guards against a copy at an evacuated domain while others are silent."""
     scene = make_scene()
     scene.knowledge.evacuate(scenes.HERE, "test")
-    for upstream in scene.knowledge.directory.all():
+    for upstream in scene.knowledge.directory.list_all():
         if upstream.domain == scenes.ELSEWHERE:
             scene.suspicions.record_miss(upstream.id, scene.clock.now)
     for copy in range(3):
@@ -130,7 +132,7 @@
     places = {address for _, address in scene.output.to_upstreams}
     assert places <= {
         upstream.address
-        for upstream in scene.knowledge.directory.all()
+        for upstream in scene.knowledge.directory.list_all()
         if upstream.domain == scenes.ELSEWHERE
     }
 
@@ -148,83 +150,83 @@
 
 def test_older_news_bring_no_evacuation_back() -> None:
     """Guards against a host that was cut off and tells of what has ended."""
-    reader = readers.Reader()
-    reader.entries.take(_KEY, b"{}", 10)
+    reader = readers.HostReplica()
+    reader.entries.apply(_EVACUATION_KEY, b"{}", 10)
     assert reader.knowledge.evacuated == {scenes.HERE}
-    reader.entries.take(_KEY, None, 12, "peer")
-    reader.entries.take(_KEY, b"{}", 11, "peer")
+    reader.entries.apply(_EVACUATION_KEY, None, 12, "peer")
+    reader.entries.apply(_EVACUATION_KEY, b"{}", 11, "peer")
     assert not reader.knowledge.evacuated
-    reader.entries.take(_KEY, b"{}", 13)
-    reader.entries.take(_KEY, None, 12, "peer")
+    reader.entries.apply(_EVACUATION_KEY, b"{}", 13)
+    reader.entries.apply(_EVACUATION_KEY, None, 12, "peer")
     assert reader.knowledge.evacuated == {scenes.HERE}
 
 
 def test_reading_that_shows_no_evacuation_ends_it() -> None:
     """Guards against an evacuation whose end was in the dropped history."""
-    reader = readers.Reader()
-    shown = port.KeyValue(_KEY, b"{}", 10)
+    reader = readers.HostReplica()
+    shown = port.KeyValue(_EVACUATION_KEY, b"{}", 10)
     state = port.KeyValue("op/config", readers.make_state(1), 9)
-    read(reader, 10, state, shown)
+    read_store(reader, 10, state, shown)
     assert reader.knowledge.evacuated == {scenes.HERE}
-    read(reader, 14, state)
+    read_store(reader, 14, state)
     assert not reader.knowledge.evacuated
     assert reader.knowledge.state is not None
 
 
 def test_evacuation_stays_while_the_store_is_away() -> None:
     """Guards against new flows there since the store does not answer."""
-    reader = readers.Reader()
-    reader.entries.take(_KEY, b"{}", 10)
-    reader.knowledge.trust.record_failure()
+    reader = readers.HostReplica()
+    reader.entries.apply(_EVACUATION_KEY, b"{}", 10)
+    reader.knowledge.store_trust.record_failure()
     assert reader.knowledge.evacuated == {scenes.HERE}
 
 
 def test_short_snapshot_and_news_hold_evacuations() -> None:
     """Guards against an evacuation that waits for a long desired state."""
-    teller = readers.Reader()
-    teller.entries.take("op/config", b"[" + b" " * 20_000, 9)
-    teller.entries.take(_KEY, b"{}", 10)
+    teller = readers.HostReplica()
+    teller.entries.apply("op/config", b"[" + b" " * 20_000, 9)
+    teller.entries.apply(_EVACUATION_KEY, b"{}", 10)
     snapshot = teller.entries.make_short_snapshot(0, ())
-    assert [line.key for line in snapshot.entries] == [_KEY]
-    hearer = readers.Reader()
-    hearer.entries.take_short_snapshot(snapshot, "peer")
+    assert [line.key for line in snapshot.entries] == [_EVACUATION_KEY]
+    hearer = readers.HostReplica()
+    hearer.entries.apply_short_snapshot(snapshot, "peer")
     assert hearer.knowledge.evacuated == {scenes.HERE}
-    line = entry_lines.EntryLine(_KEY, None, 11)
+    line = entry_lines.StoreEntry(_EVACUATION_KEY, None, 11)
     news = messages.News(10, 11, True, (line,))
-    hearer.entries.take_news(news, "peer")
+    hearer.entries.apply_update(news, "peer")
     assert not hearer.knowledge.evacuated
 
 
 def test_evacuations_that_name_nothing_of_ours_harm_nothing() -> None:
     """Guards against keys of former writers that stop new flows."""
-    reader = readers.Reader()
+    reader = readers.HostReplica()
     for revision, key in enumerate(
         ("op/evacuate/", "op/evacuate/a/b", "op/evacuation", "op/evacuate/old"),
         start=10,
     ):
-        reader.entries.take(key, b"\xff", revision)
+        reader.entries.apply(key, b"\xff", revision)
     assert reader.knowledge.evacuated == {"old"}
     assert reader.counts.sum("unreadable_entries_total") == 2
     scene = make_scene()
     scene.knowledge.evacuate(ids.DomainId("old"), "test")
-    assert list_domains(scene) == {scenes.HERE}
+    assert list_new_flow_domains(scene) == {scenes.HERE}
 
 
 def test_evacuation_is_known_though_hosts_lose_power() -> None:
     """Guards against an evacuation that only dead hosts had heard of."""
-    for lose in lost_hosts.WAYS:
-        late = lost_hosts.play(lose, evacuate, knows_evacuation)
+    for lose in failed_hosts.SCENARIOS:
+        late = failed_hosts.run_scenario(lose, evacuate, has_evacuation)
         assert late == 0, lose.__name__
 
 
 def test_end_of_an_evacuation_is_known_in_time() -> None:
     """Guards against a domain without new flows after its evacuation."""
-    assert play_end(lambda _: None) == 0
+    assert run_evacuation_end(lambda _: None) == 0
 
 
 def test_end_of_an_evacuation_is_known_without_history() -> None:
     """Guards against an end that the store's dropped history held."""
-    assert play_end(lambda f: f.store.forget_history()) == 0
+    assert run_evacuation_end(lambda f: f.store.forget_history()) == 0
 
 
 def test_host_that_starts_later_knows_an_evacuation() -> None:
@@ -233,51 +235,51 @@
     async def run() -> None:
         fleet = fleets.Fleet(6, 3, _SEED)
         async with fleets.run_fleet(fleet):
-            await trio.sleep(_HEARD_S)
-            await evacuate_all(fleet)
+            await trio.sleep(_DISCOVERY_S)
+            await evacuate_and_wait(fleet)
             fleet.store.go_down()
             fleet.stop(fleet.hosts[0])
             started = fleet.restart(fleet.hosts[0])
-            await trio.sleep(_LIMIT_S)
-            assert knows_evacuation(fleet, started)
+            await trio.sleep(_PROPAGATION_LIMIT_S)
+            assert has_evacuation(fleet, started)
 
     trios.run_in_order(_SEED, run)
 
 
-def play_end(disturb: lost_hosts.Change) -> int:
+def run_evacuation_end(disturb: failed_hosts.Change) -> int:
     """Plays the end of an evacuation on a mock clock."""
     late: list[int] = []
 
     async def run() -> None:
-        late.append(await _count_late_ends(disturb))
+        late.append(await _count_late_hosts(disturb))
 
     trios.run_in_order(_SEED, run)
     return late[0]
 
 
-async def _count_late_ends(disturb: lost_hosts.Change) -> int:
+async def _count_late_hosts(disturb: failed_hosts.Change) -> int:
     """Takes an evacuation back; returns the hosts that know it too late."""
     fleet = fleets.Fleet(12, 3, _SEED)
     async with fleets.run_fleet(fleet):
-        await trio.sleep(_HEARD_S)
-        await evacuate_all(fleet)
+        await trio.sleep(_DISCOVERY_S)
+        await evacuate_and_wait(fleet)
         fleet.store.end_evacuation(_DOMAIN)
         disturb(fleet)
-        await trio.sleep(_LIMIT_S)
-        return sum(not knows_end(fleet, host) for host in fleet.hosts)
+        await trio.sleep(_PROPAGATION_LIMIT_S)
+        return sum(not has_no_evacuation(fleet, host) for host in fleet.hosts)
 
 
 def test_domains_one_after_the_other_are_kept_apart() -> None:
     """Guards against one evacuation that ends or hides another one."""
-    reader = readers.Reader()
+    reader = readers.HostReplica()
     other = f"op/evacuate/{scenes.ELSEWHERE}"
-    reader.entries.take(_KEY, b"{}", 10)
-    reader.entries.take(other, b"{}", 11)
+    reader.entries.apply(_EVACUATION_KEY, b"{}", 10)
+    reader.entries.apply(other, b"{}", 11)
     assert reader.knowledge.evacuated == {scenes.HERE, scenes.ELSEWHERE}
-    reader.entries.take(_KEY, None, 12)
+    reader.entries.apply(_EVACUATION_KEY, None, 12)
     assert reader.knowledge.evacuated == {scenes.ELSEWHERE}
-    reader.entries.take(_KEY, b"{}", 13)
-    reader.entries.take(other, None, 14)
+    reader.entries.apply(_EVACUATION_KEY, b"{}", 13)
+    reader.entries.apply(other, None, 14)
     assert reader.knowledge.evacuated == {scenes.HERE}
 
 
--- a/tests/test_forwarding/test_forwarding_follower.py
+++ b/tests/test_forwarding/test_forwarding_follower.py
@@ -10,21 +10,21 @@
 import trio
 
 from persimmonhinge import errors
+from persimmonhinge.forwarding import entry_replica
 from persimmonhinge.forwarding import follower
 from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import reading
 from persimmonhinge.metrics import counts as host_counts
 from persimmonhinge.platform import adapter
 from persimmonhinge.store import port
 from tests.support import trios
-from tests.test_forwarding import test_forwarding_reading as readers
+from tests.test_forwarding import test_forwarding_entry_replica as readers
 
 _ANSWER_S = 0.004
 # A host that has just started follows by then, seconds.
-_BEGIN_S = 2.0
-_WATCH_S = 1.5
-_GATHER_S = 0.25
-_POLL_S = 0.1
+_FOLLOWING_AT_S = 2.0
+_WATCH_LIMIT_S = 1.5
+_MIN_CALL_INTERVAL_S = 0.25
+_POLL_INTERVAL_S = 0.1
 
 
 class EmptyStore:
@@ -44,7 +44,7 @@
         return port.PrefixState(1, ())
 
 
-class ForgetfulStore(EmptyStore):
+class HistoryDroppingStore(EmptyStore):
     """A store that has dropped the history whenever a watch begins."""
 
     @contextlib.asynccontextmanager
@@ -59,7 +59,7 @@
         yield
 
 
-class DownStore:
+class UnavailableStore:
     """A store that is down."""
 
     def __init__(self) -> None:
@@ -90,7 +90,7 @@
 
     async def wait_for_change(self, now: float) -> None:
         """Waits a moment."""
-        await trio.sleep(_POLL_S)
+        await trio.sleep(_POLL_INTERVAL_S)
 
     def is_told_since(self, moment: float, now: float) -> bool:
         """Returns false: no other host follows."""
@@ -104,19 +104,19 @@
 def make_follower(store: object, hosts: int = 1) -> follower.Follower:
     """Returns the follower of a host in a domain of some hosts."""
     following = AlwaysDue(hosts)
-    return make_follower_of(store, make_entries(), following)
+    return make_follower_with(store, make_entries(), following)
 
 
-def make_follower_of(
-    store: object, entries: reading.Entries, following: AlwaysDue
+def make_follower_with(
+    store: object, entries: entry_replica.EntryReplica, following: AlwaysDue
 ) -> follower.Follower:
     """Returns the follower of a host that has its entries."""
-    return follower.Follower(store, entries, following, _GATHER_S)  # type: ignore[arg-type]
+    return follower.Follower(store, entries, following, _MIN_CALL_INTERVAL_S)  # type: ignore[arg-type]
 
 
-def make_entries() -> reading.Entries:
+def make_entries() -> entry_replica.EntryReplica:
     """Returns the entries of a host that has just started."""
-    return reading.Entries(
+    return entry_replica.EntryReplica(
         adapter.EntryFormat(),
         knowledge_parts.Knowledge(60.0, 2.2),
         host_counts.Counts(),
@@ -131,7 +131,7 @@
     all entries anew at once, 80 times a second. Cause: no wait between two
     readings.
     """
-    store = ForgetfulStore()
+    store = HistoryDroppingStore()
     with trio.move_on_after(11.0):
         await make_follower(store).run()
     assert 20 < store.reads < 100
@@ -149,7 +149,7 @@
     """
     calls = {}
     for hosts in (2, 24):
-        store = DownStore()
+        store = UnavailableStore()
         with trio.move_on_after(10.0):
             await make_follower(store, hosts).run()
         calls[hosts] = store.calls * hosts
@@ -167,7 +167,7 @@
     def __init__(self, changes: int, gap_s: float) -> None:
         super().__init__()
         self.watches = 0
-        self._changes_at = [_BEGIN_S + n * gap_s for n in range(changes)]
+        self._changes_at = [_FOLLOWING_AT_S + n * gap_s for n in range(changes)]
 
     @contextlib.asynccontextmanager
     async def watch(
@@ -195,10 +195,12 @@
     return port.WatchEvent(key, readers.make_entry(), number + 2)
 
 
-async def follow(store: object, time_s: float) -> reading.Entries:
+async def run_follower(
+    store: object, time_s: float
+) -> entry_replica.EntryReplica:
     """Has a host follow a store for some time; returns what it read."""
     entries = make_entries()
-    following = make_follower_of(store, entries, AlwaysDue())
+    following = make_follower_with(store, entries, AlwaysDue())
     with trio.move_on_after(time_s):
         await following.run()
     return entries
@@ -208,7 +210,7 @@
 async def test_changes_in_quick_succession_are_read_together() -> None:
     """Guards against a call for each upstream of a service that is replaced."""
     store = BusyStore(changes=147, gap_s=0.02)
-    entries = await follow(store, _BEGIN_S + 5.0)
+    entries = await run_follower(store, _FOLLOWING_AT_S + 5.0)
     assert entries.revision == 148
     assert store.watches <= 20
 
@@ -216,11 +218,13 @@
 @trios.clock_test
 async def test_change_that_comes_alone_is_read_at_once() -> None:
     """Guards against a drain that waits for others to come."""
-    entries = await follow(BusyStore(changes=1, gap_s=1.0), _BEGIN_S + 0.05)
+    entries = await run_follower(
+        BusyStore(changes=1, gap_s=1.0), _FOLLOWING_AT_S + 0.05
+    )
     assert entries.revision == 2
 
 
-class QuietStore(BusyStore):
+class UnchangedStore(BusyStore):
     """A store in which nothing changes; a watch is answered at its limit."""
 
     def __init__(self) -> None:
@@ -228,7 +232,7 @@
 
     async def _answer(self) -> AsyncIterator[tuple[port.WatchEvent, ...]]:
         while True:
-            await trio.sleep(_WATCH_S)
+            await trio.sleep(_WATCH_LIMIT_S)
             yield ()
 
 
@@ -241,19 +245,19 @@
     """
     entries = make_entries()
     told: list[int] = []
-    entries.tell = lambda _, lines: told.append(len(lines))
-    following = make_follower_of(QuietStore(), entries, AlwaysDue())
-    with trio.move_on_after(_BEGIN_S + 4 * _WATCH_S):
+    entries.on_changes = lambda _, lines: told.append(len(lines))
+    following = make_follower_with(UnchangedStore(), entries, AlwaysDue())
+    with trio.move_on_after(_FOLLOWING_AT_S + 4 * _WATCH_LIMIT_S):
         await following.run()
     assert told.count(0) >= 3
 
 
-_RETURNS_AT_S = 10.0
-_CURRENT_S = 2.2
-_DOMAIN = 24
+_AVAILABLE_AT_S = 10.0
+_MAX_AGE_S = 2.2
+_DOMAIN_HOSTS = 24
 
 
-class ReturningStore(EmptyStore):
+class RecoveringStore(EmptyStore):
     """A store that is down for a while, and then answers.
 
     Attributes:
@@ -267,7 +271,7 @@
     async def get_prefix(self, prefix: str, limit: int = 0) -> port.PrefixState:
         """Fails, or returns nothing."""
         await trio.sleep(_ANSWER_S)
-        if trio.current_time() < _RETURNS_AT_S:
+        if trio.current_time() < _AVAILABLE_AT_S:
             raise errors.PlatformUnavailableError(
                 "down", step="get", peer="store"
             )
@@ -284,22 +288,22 @@
 
     async def _answer(self) -> AsyncIterator[tuple[port.WatchEvent, ...]]:
         while True:
-            await trio.sleep(_WATCH_S)
+            await trio.sleep(_WATCH_LIMIT_S)
             self.answered_at = trio.current_time()
             yield ()
 
 
-class ToldWhenAnswered(AlwaysDue):
+class SharedFollowing(AlwaysDue):
     """Says whose turn it is in a domain that is told of each answer."""
 
-    def __init__(self, store: ReturningStore, number: int) -> None:
-        super().__init__(_DOMAIN)
+    def __init__(self, store: RecoveringStore, number: int) -> None:
+        super().__init__(_DOMAIN_HOSTS)
         self._store = store
         self._is_first = number == 0
 
     def is_due(self, now: float) -> bool:
         """Returns true for the first host, and where nobody was answered."""
-        return self._is_first or now - self._store.answered_at > _CURRENT_S
+        return self._is_first or now - self._store.answered_at > _MAX_AGE_S
 
     def is_next(self) -> bool:
         """Returns true for the first host."""
@@ -315,13 +319,13 @@
     None
 ):
     """Guards against a store that goes down again as it returns."""
-    store = ReturningStore()
+    store = RecoveringStore()
     clock = types.SimpleNamespace(monotonic=trio.current_time)
     with mock.patch.object(follower, "time", clock):
-        with trio.move_on_after(_RETURNS_AT_S + 5.0):
+        with trio.move_on_after(_AVAILABLE_AT_S + 5.0):
             async with trio.open_nursery() as nursery:
-                for number in range(_DOMAIN):
-                    following = ToldWhenAnswered(store, number)
-                    part = make_follower_of(store, make_entries(), following)
+                for number in range(_DOMAIN_HOSTS):
+                    following = SharedFollowing(store, number)
+                    part = make_follower_with(store, make_entries(), following)
                     nursery.start_soon(part.run)
     assert 0 < store.reads <= 3, store.reads
--- a/tests/test_forwarding/test_forwarding_forwarder.py
+++ b/tests/test_forwarding/test_forwarding_forwarder.py
@@ -113,7 +113,7 @@
     assert scene.open(port=1001) == scene.last_upstream()
     scene.clock.sleep(3.0)
     scene.confirm()
-    scene.knowledge.settle(scene.clock.now)
+    scene.knowledge.remove_missing_upstreams(scene.clock.now)
     scene.go_on(upstream, data=10, sequence=11)
     assert scene.count_sent()[1] == 1
 
@@ -219,9 +219,9 @@
         name = scenes.make_upstream(number).id
         scene.suspicions.record_miss(name, scene.clock.now)
     scene.receive(scenes.make_packet(1000, scenes.SYN))
-    usable = scene.knowledge.directory.select(
+    usable = scene.knowledge.directory.list_in_state(
         scenes.SERVICE, upstreams.UpstreamState.READY
-    ) or scene.knowledge.directory.select(
+    ) or scene.knowledge.directory.list_in_state(
         scenes.SERVICE, upstreams.UpstreamState.MISSING
     )
     if usable:
--- a/tests/test_forwarding/test_forwarding_state_left_out.py
+++ b/tests/test_forwarding/test_forwarding_omitted_state.py
@@ -9,19 +9,19 @@
 from hypothesis import strategies
 import msgspec
 
-from persimmonhinge.forwarding import entry_line as entry_lines
+from persimmonhinge.forwarding import store_entry as entry_lines
 from persimmonhinge.forwarding import upstream as upstreams
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.forwarding.peers import news as news_packs
 from persimmonhinge.store import port
-from tests.test_forwarding import test_forwarding_reading as readers
+from tests.test_forwarding import test_forwarding_entry_replica as readers
 
-_STATE = "op/config"
+_STATE_KEY = "op/config"
 _LONG_OCTETS = 20_000
-_READERS = 4
+_HOSTS = 4
 _SOURCE = "peer"
 # Share of news that do not arrive.
-_LOST = 0.4
+_LOSS_PROBABILITY = 0.4
 
 
 def make_long_state(version: int) -> bytes:
@@ -30,41 +30,46 @@
     return msgspec.json.encode(document)
 
 
-def tell_first(
-    reader: readers.Reader, key: str, value: bytes | None, revision: int
+def apply_store_change(
+    reader: readers.HostReplica, key: str, value: bytes | None, revision: int
 ) -> list[messages.News]:
     """Has the store tell a host of a change; returns the news of it."""
     told: list[messages.News] = []
 
-    def note(after: int, entries: list[entry_lines.EntryLine]) -> None:
+    def note(after: int, entries: list[entry_lines.StoreEntry]) -> None:
         told.extend(news_packs.split_news(after, True, entries))
 
-    reader.entries.tell = note
-    reader.entries.take_batch([port.WatchEvent(key, value, revision)])
-    return [leave_long_out(news) for news in told]
+    reader.entries.on_changes = note
+    reader.entries.apply_batch([port.WatchEvent(key, value, revision)])
+    return [omit_long_state(news) for news in told]
 
 
-def leave_long_out(news: messages.News) -> messages.News:
+def omit_long_state(news: messages.News) -> messages.News:
     """Returns news as they are sent: without a long desired state."""
     octets = sum(len(line.value or b"") for line in news.entries)
     if octets < _LONG_OCTETS:
         return news
-    return news_packs.leave_state_out(news, _STATE)
+    return news_packs.leave_state_out(news, _STATE_KEY)
 
 
-def pull(asking: readers.Reader, asked: readers.Reader, *, short: bool) -> None:
+def pull(
+    requester: readers.HostReplica,
+    provider: readers.HostReplica,
+    *,
+    short: bool,
+) -> None:
     """Has a host pull from another one."""
-    entries = asking.entries
+    entries = requester.entries
     if short:
         since = entries.completeness.upstreams_revision
-        snapshot = asked.entries.make_short_snapshot(since, ())
-        entries.take_short_snapshot(snapshot, _SOURCE)
+        snapshot = provider.entries.make_short_snapshot(since, ())
+        entries.apply_short_snapshot(snapshot, _SOURCE)
     else:
-        snapshot = asked.entries.make_snapshot(entries.revision, ())
-        entries.take_snapshot(snapshot, _SOURCE)
+        snapshot = provider.entries.make_snapshot(entries.revision, ())
+        entries.apply_snapshot(snapshot, _SOURCE)
 
 
-def find_version(reader: readers.Reader) -> int:
+def find_version(reader: readers.HostReplica) -> int:
     """Returns the version that is in force, 0 without one."""
     state = reader.knowledge.state
     return state.version if state is not None else 0
@@ -76,26 +81,26 @@
     The store tells of a drain and of a long desired state in one answer. Both
     stood in one datagram, which was too long and so was not sent.
     """
-    ahead, behind = readers.Reader(), readers.Reader()
+    ahead, behind = readers.HostReplica(), readers.HostReplica()
     for reader in (ahead, behind):
-        reader.entries.take_batch(
+        reader.entries.apply_batch(
             [port.WatchEvent(readers.make_key("1"), readers.make_entry(), 5)]
         )
     sent: list[messages.News] = []
-    ahead.entries.tell = lambda after, lines: sent.extend(
+    ahead.entries.on_changes = lambda after, lines: sent.extend(
         news_packs.split_news(after, True, lines)
     )
     drain = readers.make_entry("draining")
-    ahead.entries.take_batch(
+    ahead.entries.apply_batch(
         [
             port.WatchEvent(readers.make_key("1"), drain, 6),
-            port.WatchEvent(_STATE, make_long_state(2), 7),
+            port.WatchEvent(_STATE_KEY, make_long_state(2), 7),
         ]
     )
     for news in sent:
-        behind.entries.take_news(leave_long_out(news), _SOURCE)
-    assert behind.state("1") is upstreams.UpstreamState.DRAINING
-    assert behind.entries.completeness.lacks_state()
+        behind.entries.apply_update(omit_long_state(news), _SOURCE)
+    assert behind.find_upstream_state("1") is upstreams.UpstreamState.DRAINING
+    assert behind.entries.completeness.is_state_missing()
 
 
 def test_host_without_the_new_state_is_not_taken_for_complete() -> None:
@@ -104,11 +109,11 @@
     They have all entries of upstreams, and so the highest revision, but not
     the desired state that came between.
     """
-    ahead, behind = readers.Reader(), readers.Reader()
-    tell_first(ahead, _STATE, make_long_state(2), 5)
-    tell_first(ahead, readers.make_key("1"), readers.make_entry(), 6)
+    ahead, behind = readers.HostReplica(), readers.HostReplica()
+    apply_store_change(ahead, _STATE_KEY, make_long_state(2), 5)
+    apply_store_change(ahead, readers.make_key("1"), readers.make_entry(), 6)
     pull(behind, ahead, short=True)
-    assert behind.state("1") is upstreams.UpstreamState.READY
+    assert behind.find_upstream_state("1") is upstreams.UpstreamState.READY
     assert behind.entries.completeness.upstreams_revision == 6
     assert behind.entries.revision == 0
     pull(behind, ahead, short=False)
@@ -122,23 +127,25 @@
     It knows no news without it, and would take itself for complete; so the
     field that it reads names what it had before.
     """
-    state = entry_lines.EntryLine(_STATE, make_long_state(2), 7)
-    drain = entry_lines.EntryLine(readers.make_key("1"), b"", 6)
+    state = entry_lines.StoreEntry(_STATE_KEY, make_long_state(2), 7)
+    drain = entry_lines.StoreEntry(readers.make_key("1"), b"", 6)
     news = messages.News(5, 7, True, (drain, state))
-    assert news_packs.leave_state_out(news, _STATE).upto == 5
+    assert news_packs.leave_state_out(news, _STATE_KEY).upto == 5
 
 
 def test_news_after_a_state_left_out_go_on_for_upstreams() -> None:
-    ahead, behind = readers.Reader(), readers.Reader()
+    ahead, behind = readers.HostReplica(), readers.HostReplica()
     changes = [
-        tell_first(ahead, _STATE, make_long_state(2), 5),
-        tell_first(ahead, readers.make_key("1"), readers.make_entry(), 6),
+        apply_store_change(ahead, _STATE_KEY, make_long_state(2), 5),
+        apply_store_change(
+            ahead, readers.make_key("1"), readers.make_entry(), 6
+        ),
     ]
     for told in changes:
         for news in told:
-            behind.entries.take_news(news, _SOURCE)
+            behind.entries.apply_update(news, _SOURCE)
     assert behind.entries.completeness.upstreams_revision == 6
-    assert behind.entries.completeness.lacks_state()
+    assert behind.entries.completeness.is_state_missing()
 
 
 class Change(NamedTuple):
@@ -152,11 +159,11 @@
     upstream: int
     full: bool
 
-    def make(self, revision: int) -> port.WatchEvent:
+    def make_event(self, revision: int) -> port.WatchEvent:
         """Returns the change as the store tells it."""
         if self.upstream == 0:
             make_state = make_long_state if self.full else readers.make_state
-            return port.WatchEvent(_STATE, make_state(revision), revision)
+            return port.WatchEvent(_STATE_KEY, make_state(revision), revision)
         key = readers.make_key(str(self.upstream))
         value = readers.make_entry() if self.full else None
         return port.WatchEvent(key, value, revision)
@@ -171,8 +178,8 @@
         short: Whether a long desired state is left out.
     """
 
-    asking: int
-    asked: int
+    requester: int
+    provider: int
     short: bool
 
 
@@ -181,8 +188,8 @@
 )
 _PULLS = strategies.builds(
     Pull,
-    strategies.integers(1, _READERS - 1),
-    strategies.integers(0, _READERS - 1),
+    strategies.integers(1, _HOSTS - 1),
+    strategies.integers(0, _HOSTS - 1),
     strategies.booleans(),
 )
 
@@ -195,32 +202,36 @@
     steps: list[Change | Pull], luck: random.Random
 ) -> None:
     """Hosts pull from each other in any order, and news are lost."""
-    hosts = [readers.Reader() for _ in range(_READERS)]
+    hosts = [readers.HostReplica() for _ in range(_HOSTS)]
     changes: dict[str, list[int]] = {}
     for revision, step in enumerate(steps, 1):
         if isinstance(step, Pull):
-            pull(hosts[step.asking], hosts[step.asked], short=step.short)
+            pull(hosts[step.requester], hosts[step.provider], short=step.short)
         else:
-            event = step.make(revision)
+            event = step.make_event(revision)
             changes.setdefault(event.key, []).append(revision)
-            tell_all(hosts, event, luck)
+            distribute_change(hosts, event, luck)
         for host in hosts:
-            check_claims(host, changes)
+            check_revisions(host, changes)
 
 
-def tell_all(
-    hosts: list[readers.Reader], event: port.WatchEvent, luck: random.Random
+def distribute_change(
+    hosts: list[readers.HostReplica],
+    event: port.WatchEvent,
+    luck: random.Random,
 ) -> None:
     """Has the store tell the first host, and that one the others."""
     first, *others = hosts
-    told = tell_first(first, event.key, event.value, event.mod_revision)
+    told = apply_store_change(first, event.key, event.value, event.mod_revision)
     for news in told:
         for host in others:
-            if luck.random() >= _LOST:
-                host.entries.take_news(news, _SOURCE)
+            if luck.random() >= _LOSS_PROBABILITY:
+                host.entries.apply_update(news, _SOURCE)
 
 
-def check_claims(host: readers.Reader, changes: dict[str, list[int]]) -> None:
+def check_revisions(
+    host: readers.HostReplica, changes: dict[str, list[int]]
+) -> None:
     """Checks that a host knows all changes up to its revisions."""
     known = {
         line.key: line.revision
@@ -228,7 +239,7 @@
     }
     for key, revisions in changes.items():
         claimed = host.entries.completeness.upstreams_revision
-        if key == _STATE:
+        if key == _STATE_KEY:
             claimed = host.entries.revision
         due = [revision for revision in revisions if revision <= claimed]
         assert known.get(key, 0) >= max(due, default=0)
@@ -240,7 +251,7 @@
     after: int
     upto: int
     settled: bool
-    entries: tuple[entry_lines.EntryLine, ...]
+    entries: tuple[entry_lines.StoreEntry, ...]
 
 
 class FormerRequest(msgspec.Struct, frozen=True, array_like=True, tag="pull"):
@@ -252,7 +263,7 @@
 
 def test_hosts_of_an_earlier_release_read_what_they_are_sent() -> None:
     """In the middle of an upgrade, hosts drop what others tell them."""
-    drain = entry_lines.EntryLine(readers.make_key("1"), b"", 6)
+    drain = entry_lines.StoreEntry(readers.make_key("1"), b"", 6)
     news = messages.News(5, 5, True, (drain,), upstreams_upto=7)
     former = msgspec.msgpack.decode(
         msgspec.msgpack.encode(news), type=FormerNews
--- a/tests/test_forwarding/test_forwarding_peers_codec.py
+++ b/tests/test_forwarding/test_forwarding_peers_codec.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies
 import msgspec
 
-from persimmonhinge.forwarding import entry_line as entry_lines
+from persimmonhinge.forwarding import store_entry as entry_lines
 from persimmonhinge.forwarding.peers import codec as codecs
 from persimmonhinge.forwarding.peers import messages
 
@@ -32,7 +32,7 @@
 
 
 def make_news(value: bytes) -> messages.News:
-    line = entry_lines.EntryLine("routes/state", value, 7)
+    line = entry_lines.StoreEntry("routes/state", value, 7)
     return messages.News(6, 7, True, (line,))
 
 
--- a/tests/test_forwarding/test_forwarding_peers_early_pull.py
+++ b/tests/test_forwarding/test_forwarding_peers_early_pull.py
@@ -11,14 +11,14 @@
 
 from persimmonhinge import errors
 from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding import entry_line as entry_lines
 from persimmonhinge.forwarding import settings as forward_settings
 from persimmonhinge.forwarding import startup
+from persimmonhinge.forwarding import store_entry as entry_lines
 from persimmonhinge.forwarding.peers import codec as codecs
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.platform import adapter
 from persimmonhinge.store import port
-from tests.test_forwarding import test_forwarding_reading as readers
+from tests.test_forwarding import test_forwarding_entry_replica as readers
 
 _ADDRESS = "127.0.0.1"
 _LIMIT_S = 5.0
@@ -27,8 +27,8 @@
     revision=9,
     settled=False,
     entries=(
-        entry_lines.EntryLine("op/config", readers.make_state(3), 8),
-        entry_lines.EntryLine(readers.make_key("1"), readers.make_entry(), 9),
+        entry_lines.StoreEntry("op/config", readers.make_state(3), 8),
+        entry_lines.StoreEntry(readers.make_key("1"), readers.make_entry(), 9),
     ),
     peers=(),
 )
@@ -114,7 +114,7 @@
         core = make_core(snapshot_port)
         assert start(core)
     assert core.entries.revision == 9
-    assert not core.entries.is_settled()
+    assert not core.entries.is_absence_final()
 
 
 def test_host_that_starts_without_a_store_takes_a_compressed_snapshot() -> None:
@@ -124,7 +124,7 @@
     it to some starting hosts in turn.
     """
     state = {"Version": 3, "Routes": [], "Notes": "x" * _LONG_OCTETS}
-    line = entry_lines.EntryLine("op/config", msgspec.json.encode(state), 8)
+    line = entry_lines.StoreEntry("op/config", msgspec.json.encode(state), 8)
     entries = (line, *_SNAPSHOT.entries[1:])
     snapshot = messages.Snapshot(9, False, entries, ())
     asked: list[bytes] = []
--- a/tests/test_forwarding/test_forwarding_peers_large_state.py
+++ b/tests/test_forwarding/test_forwarding_peers_large_state.py
@@ -18,8 +18,8 @@
 from persimmonhinge.store import port as port_parts
 from tests.standins import ports
 from tests.support import trios
+from tests.test_forwarding import test_forwarding_entry_replica as readers
 from tests.test_forwarding import test_forwarding_peers_early_pull as hosts
-from tests.test_forwarding import test_forwarding_reading as readers
 
 _ROUTES = 1_000
 _AHEAD = "127.0.0.9"
@@ -75,7 +75,7 @@
     core: cores.ForwardCore, key: str, value: bytes, revision: int
 ) -> None:
     """Has the store tell a host of a change."""
-    core.entries.take_batch([port_parts.WatchEvent(key, value, revision)])
+    core.entries.apply_batch([port_parts.WatchEvent(key, value, revision)])
 
 
 def make_hosts(port: int) -> tuple[cores.ForwardCore, cores.ForwardCore]:
--- a/tests/test_forwarding/test_forwarding_peers_pulls.py
+++ b/tests/test_forwarding/test_forwarding_peers_pulls.py
@@ -13,8 +13,8 @@
 from persimmonhinge.forwarding.peers import snapshot_server
 from tests.standins import ports
 from tests.support import trios
+from tests.test_forwarding import test_forwarding_entry_replica as readers
 from tests.test_forwarding import test_forwarding_peers_early_pull as hosts
-from tests.test_forwarding import test_forwarding_reading as readers
 
 _HOST = "127.0.0.9"
 _BEHIND = "127.0.0.7"
@@ -46,7 +46,7 @@
     core = hosts.make_core(port)
     for number in range(_UPSTREAMS):
         key = readers.make_key(f"{number:x}")
-        core.entries.take(key, readers.make_entry(), number + 1)
+        core.entries.apply(key, readers.make_entry(), number + 1)
     async with trio.open_nursery() as nursery:
         await nursery.start(snapshot_server.SnapshotServer(core).run)
         plain = await pull(port, messages.PullRequest(0))
@@ -70,7 +70,7 @@
     ahead = hosts.make_core(port, _HOST)
     behind = hosts.make_core(port, _BEHIND)
     key = readers.make_key("1")
-    ahead.entries.take(key, readers.make_entry("draining"), 5)
+    ahead.entries.apply(key, readers.make_entry("draining"), 5)
     for revision, host in ((5, _HOST), (6, _DEAD)):
         report = messages.Report(
             f"h-{revision}",
--- a/tests/test_forwarding/test_forwarding_peers_reporter.py
+++ b/tests/test_forwarding/test_forwarding_peers_reporter.py
@@ -18,9 +18,9 @@
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.forwarding.peers import reporter
 from tests.support import trios
+from tests.test_forwarding import test_forwarding_entry_replica as readers
 from tests.test_forwarding import test_forwarding_peers_early_pull as hosts
 from tests.test_forwarding import test_forwarding_peers_large_state as states
-from tests.test_forwarding import test_forwarding_reading as readers
 
 _PORT = 7721
 _NEAR_HOSTS = 60
--- a/tests/test_forwarding/test_forwarding_peers_service.py
+++ b/tests/test_forwarding/test_forwarding_peers_service.py
@@ -14,7 +14,7 @@
 from persimmonhinge.forwarding.peers import service as services
 from persimmonhinge.platform import adapter
 from tests.support import trios
-from tests.test_forwarding import test_forwarding_reading as readers
+from tests.test_forwarding import test_forwarding_entry_replica as readers
 
 PEER = flows.Endpoint("10.0.0.2", 7720)
 
@@ -74,11 +74,11 @@
     """
     listener = Listener()
     key = readers.make_key("1")
-    listener.core.entries.take(key, readers.make_entry(), 5)
+    listener.core.entries.apply(key, readers.make_entry(), 5)
     listener.hear(reaches_store=True)
     listener.hear(reaches_store=False)
-    listener.core.entries.take(key, None, 6)
-    (known,) = listener.core.knowledge.directory.all()
+    listener.core.entries.apply(key, None, 6)
+    (known,) = listener.core.knowledge.directory.list_all()
     assert known.state is upstreams.UpstreamState.MISSING
 
 
--- a/tests/test_forwarding/test_forwarding_peers_snapshot_server.py
+++ b/tests/test_forwarding/test_forwarding_peers_snapshot_server.py
@@ -10,9 +10,9 @@
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.forwarding.peers import snapshot_server
 from tests.support import trios
+from tests.test_forwarding import test_forwarding_entry_replica as readers
 from tests.test_forwarding import test_forwarding_peers_early_pull as hosts
 from tests.test_forwarding import test_forwarding_peers_large_state as states
-from tests.test_forwarding import test_forwarding_reading as readers
 
 _PORT = 7721
 _PEER = "10.0.0.2"
--- a/tests/test_light_typing.py
+++ b/tests/test_light_typing.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from persimmonhinge.forwarding import entry_line as entry_lines
 from persimmonhinge.forwarding import flow as flows
 from persimmonhinge.forwarding import load_line as load_lines
+from persimmonhinge.forwarding import store_entry as entry_lines
 
 
 def test_named_tuples_have_fields_defaults_and_methods() -> None:
@@ -17,14 +17,14 @@
 
 
 def test_named_tuples_are_arrays_in_messages() -> None:
-    line = entry_lines.EntryLine("servers/1", None, 5)
+    line = entry_lines.StoreEntry("servers/1", None, 5)
     octets = msgspec.msgpack.encode(line)
     assert msgspec.msgpack.decode(octets) == ["servers/1", None, 5]
-    read = msgspec.msgpack.decode(octets, type=entry_lines.EntryLine)
+    read = msgspec.msgpack.decode(octets, type=entry_lines.StoreEntry)
     assert read == line
     wrong = msgspec.msgpack.encode(["servers/1", None, "5"])
     try:
-        msgspec.msgpack.decode(wrong, type=entry_lines.EntryLine)
+        msgspec.msgpack.decode(wrong, type=entry_lines.StoreEntry)
     except msgspec.ValidationError:
         return
     raise AssertionError("a revision that is no number was taken")
--- a/tests/test_platform/test_platform_entries.py
+++ b/tests/test_platform/test_platform_entries.py
@@ -62,7 +62,7 @@
     state = entries.decode_desired_state(msgspec.json.encode(document))
     (route,) = state.routes.values()
     assert route.regions == {"coast", "hills"}
-    assert state.cold_limits == {"a": 4.0}
+    assert state.warm_up_limits == {"a": 4.0}
 
 
 def test_evacuated_domain_is_read_from_its_key() -> None:
@@ -175,7 +175,7 @@
     assert upstream.number == 0x7F3A91C2
     assert upstream.address == flows.Endpoint("10.128.0.9", 8080)
     assert upstream.state is upstreams.UpstreamState.DRAINING
-    assert upstream.cold_s == 1.5
+    assert upstream.warm_up_s == 1.5
 
 
 def test_what_is_no_entry_is_refused_with_its_key() -> None:
