--- a/persimmonhinge/forwarding/completeness.py
+++ b/persimmonhinge/forwarding/completeness.py
@@ -1,4 +1,4 @@
-"""Up to which revisions of the store a host knows all entries."""
+"""Revisions of the store up to which a host has all entries."""
 
 from __future__ import annotations
 
@@ -6,49 +6,51 @@
 
 
 class Completeness:
-    """Two revisions: one for all entries, one for those of upstreams alone.
+    """Tracks two revisions: one for all entries, one for upstream entries.
 
-    They differ while a long desired state is on its way, which is passed on
-    by itself so that no change of an upstream waits for it.
+    The two differ while a long desired state is being transferred. It is sent
+    separately so that changes of upstreams do not wait for it.
 
     Attributes:
-        revision: All changes of entries up to this revision are known. It is
-            always that of an entry, so hosts that know the same have the same.
-        upstreams_revision: The same for the entries of upstreams.
-        tell_lack: Called when a desired state turns out to be missing.
+        revision: Revision up to which all changes of entries are known. It is
+            always the revision of an entry, so that hosts with the same
+            entries report the same revision.
+        upstreams_revision: Revision up to which all changes of upstream
+            entries are known.
+        on_state_missing: Called when a desired state is found to be missing.
     """
 
     def __init__(self) -> None:
         self.revision = 0
         self.upstreams_revision = 0
         self.on_state_missing: Callable[[], None] | None = None
-        # A desired state may be missing up to this revision.
+        # Newest revision at which a desired state may be missing.
         self._missing_state_revision = 0
 
     def is_state_missing(self) -> bool:
-        """Tells whether a desired state is missing that others may have."""
+        """Returns whether other hosts may have a desired state missing here."""
         return self.revision < self._missing_state_revision
 
     def find_missing_state_revision(self) -> int:
-        """Returns up to which revision one is missing, 0 if none is."""
+        """Returns the newest revision of a missing state, 0 without one."""
         return self._missing_state_revision if self.is_state_missing() else 0
 
     def advance(self, revision: int) -> None:
-        """Takes in that all entries are known up to a revision."""
+        """Records that all entries are known up to a revision."""
         self.revision = max(self.revision, revision)
         self.advance_upstreams(revision)
 
     def advance_upstreams(self, revision: int) -> None:
-        """Takes in that upstreams are known up to a revision.
+        """Records that all upstream entries are known up to a revision.
 
-        Where no desired state is missing, this holds for all entries.
+        If no desired state is missing, all other entries are known, too.
         """
         self.upstreams_revision = max(self.upstreams_revision, revision)
         if not self.is_state_missing():
             self.revision = self.upstreams_revision
 
     def record_missing_state(self, revision: int) -> None:
-        """Takes in that a desired state was left out up to a revision."""
+        """Records that a desired state up to a revision was omitted."""
         self._missing_state_revision = max(
             self._missing_state_revision, revision
         )
--- a/persimmonhinge/forwarding/entry_effects.py
+++ b/persimmonhinge/forwarding/entry_effects.py
@@ -1,4 +1,4 @@
-"""What entries of the store change in the knowledge of a host."""
+"""Applies changes of store entries to the knowledge of a host."""
 
 from __future__ import annotations
 
@@ -7,51 +7,52 @@
 
 from persimmonhinge import early_logs
 from persimmonhinge import errors
-from persimmonhinge.forwarding import knowledge as knowledge_parts
+from persimmonhinge.forwarding import knowledge as knowledge_module
 from persimmonhinge.light_typing import TYPE_CHECKING
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.metrics import counts as counts_module
 
 if TYPE_CHECKING:
     from persimmonhinge import ids
     from persimmonhinge.forwarding import entry_reader
-    from persimmonhinge.forwarding import store_entry as entry_lines
+    from persimmonhinge.forwarding import store_entry
 
 logger = early_logs.get_logger(__name__)
 
-# Least time between two lines about entries that can't be read, seconds; the
-# counter counts them all.
+# Minimum time between two log lines about unreadable entries, seconds. The
+# counter includes the entries that are not logged.
 _MIN_UNREADABLE_LOG_INTERVAL_S = 1.0
 
 
 class EntryEffects:
-    """Applies changes of entries, each newer than the last one of its key."""
+    """Applies entries, each newer than the last one applied of its key."""
 
     def __init__(
         self,
         reader: entry_reader.EntryReader,
-        knowledge: knowledge_parts.Knowledge,
-        counts: host_counts.Counts,
+        knowledge: knowledge_module.Knowledge,
+        counts: counts_module.Counts,
     ) -> None:
         self._reader = reader
         self._knowledge = knowledge
         self._counts = counts
-        # Incarnation that the newest entry of each key was of.
+        # Upstream id, including the incarnation, of the newest readable
+        # entry of each key.
         self._incarnations: dict[str, ids.UpstreamId] = {}
         self._unreadable_logged_at = -math.inf
 
     def is_relevant(self, key: str) -> bool:
-        """Tells whether entries of a key change anything."""
+        """Returns whether entries of a key affect the knowledge of a host."""
         reader = self._reader
         return key == reader.state_key or key.startswith(
             (reader.upstreams_prefix, reader.evacuations_prefix)
         )
 
-    def apply(self, entry: entry_lines.StoreEntry, source: str) -> None:
-        """Applies a change; one that can't be read is used for nothing.
+    def apply(self, entry: store_entry.StoreEntry, source: str) -> None:
+        """Applies an entry; the content of an unreadable one is ignored.
 
         Args:
-            line: The change.
-            source: Who told it, for the log.
+            entry: The newest entry of its key, or its deletion.
+            source: Sender of the entry, for the log.
         """
         try:
             self._apply(entry.key, entry.value, source)
@@ -96,13 +97,13 @@
     def _reject_unreadable(
         self, key: str, error: errors.UnreadableEntryError, source: str
     ) -> None:
-        """Uses an entry that can't be read for nothing.
+        """Ignores the content of an unreadable entry and counts it.
 
-        Guards against another writer at an upstream's key: flows would go to
-        what it names, or to an upstream of which nothing is known any more.
-        The upstream keeps its open flows, and gets new ones once it has
-        written again. Lines are bounded, since a writer may do this for
-        thousands of keys.
+        Guards against another writer that overwrites the key of an upstream:
+        new flows would go to the address it wrote, or to an upstream whose
+        current state is unknown. The upstream keeps its open flows, and gets
+        new ones again after its next readable entry. Log lines are rate
+        limited because a writer may overwrite thousands of keys.
         """
         self._counts.add("unreadable_entries_total")
         known = self._incarnations.get(key)
@@ -111,4 +112,4 @@
         now = time.monotonic()
         if now - self._unreadable_logged_at >= _MIN_UNREADABLE_LOG_INTERVAL_S:
             self._unreadable_logged_at = now
-            logger.error("Can't use an entry: %s.", error)
+            logger.error("Ignoring an unreadable store entry: %s.", error)
--- a/persimmonhinge/forwarding/entry_reader.py
+++ b/persimmonhinge/forwarding/entry_reader.py
@@ -1,44 +1,45 @@
-"""The format of the platform's entries, as a host asks for it."""
+"""Interface through which a host decodes the platform's entries."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
 from persimmonhinge import ids
-from persimmonhinge.forwarding import desired_state as desired_states
-from persimmonhinge.forwarding import upstream as upstreams
+from persimmonhinge.forwarding import desired_state
+from persimmonhinge.forwarding import upstream
 
 
 class EntryReader(Protocol):
-    """Reads the platform's entries; the adapter implements it.
+    """Decodes the platform's entries; implemented by the platform adapter.
 
     Attributes:
         state_key: Key of the desired state.
-        upstreams_prefix: Prefix of the keys of upstreams.
-        evacuations_prefix: Prefix of the keys that evacuate failure domains.
+        upstreams_prefix: Prefix of the keys of upstream entries.
+        evacuations_prefix: Prefix of the keys whose entries evacuate failure
+            domains.
     """
 
     state_key: str
     upstreams_prefix: str
     evacuations_prefix: str
 
-    def read_state(self, value: bytes) -> desired_states.DesiredState:
-        """Reads the desired state.
+    def read_state(self, value: bytes) -> desired_state.DesiredState:
+        """Decodes the desired state.
 
         Raises:
-            UnreadableEntryError: It is not one.
+            UnreadableEntryError: The value is not a valid desired state.
         """
 
-    def read_upstream(self, key: str, value: bytes) -> upstreams.Upstream:
-        """Reads an upstream.
+    def read_upstream(self, key: str, value: bytes) -> upstream.Upstream:
+        """Decodes an upstream.
 
         Raises:
-            UnreadableEntryError: It is not one.
+            UnreadableEntryError: The key or value is not that of an upstream.
         """
 
     def read_evacuated_domain(self, key: str) -> ids.DomainId:
-        """Reads which failure domain an entry evacuates.
+        """Returns the failure domain that the entry of a key evacuates.
 
         Raises:
-            UnreadableEntryError: It names none.
+            UnreadableEntryError: The key does not name a failure domain.
         """
--- a/persimmonhinge/forwarding/entry_table.py
+++ b/persimmonhinge/forwarding/entry_table.py
@@ -1,41 +1,43 @@
-"""The newest change of each entry of the store that a host knows of."""
+"""Table of the newest known change of each entry of the store."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-from persimmonhinge.forwarding import store_entry as entry_lines
+from persimmonhinge.forwarding import store_entry
 
-# Deletions that are kept for hosts that lag behind.
+# Maximum number of deletions that are retained for hosts whose entries are
+# out of date.
 _MAX_DELETIONS = 1000
 
 
 class EntryTable:
-    """Entries by key, with the deletions of late.
+    """Holds entries by key, including recent deletions.
 
-    Guards against a host that grows with each upstream that ever was: only so
-    many deletions are kept. What is older counts as deleted by its revision
-    alone, and a host that lags behind it gets all entries.
+    Guards against memory use that grows with each upstream that ever existed:
+    the number of retained deletions is limited. A key that is not in the table
+    counts as deleted at the revision of the newest pruned deletion, and a host
+    whose entries are older than that revision is sent all entries.
     """
 
     def __init__(self) -> None:
-        self._entries: dict[str, entry_lines.StoreEntry] = {}
+        self._entries: dict[str, store_entry.StoreEntry] = {}
         self._deletion_count = 0
         self._pruned_revision = 0
 
-    def __iter__(self) -> Iterator[entry_lines.StoreEntry]:
-        """Gives the newest change of each key."""
+    def __iter__(self) -> Iterator[store_entry.StoreEntry]:
+        """Iterates over the newest change of each key."""
         return iter(tuple(self._entries.values()))
 
-    def get(self, key: str) -> entry_lines.StoreEntry | None:
-        """Returns the newest change of a key, None if it is not known."""
+    def get(self, key: str) -> store_entry.StoreEntry | None:
+        """Returns the newest change of a key, or None if none is known."""
         return self._entries.get(key)
 
-    def put(self, entry: entry_lines.StoreEntry) -> bool:
-        """Keeps a change if it is newer than what is known of its key.
+    def put(self, entry: store_entry.StoreEntry) -> bool:
+        """Stores a change if it is newer than the known one of its key.
 
         Returns:
-            True if it is.
+            Whether the change was newer, and so was stored.
         """
         known = self._entries.get(entry.key)
         newest = self._pruned_revision if known is None else known.revision
@@ -46,37 +48,40 @@
         return True
 
     def prune_deletions(self, complete_revision: int) -> None:
-        """Forgets the older half of the deletions once there are too many.
+        """Removes the older half of the deletions if there are too many.
 
         Args:
-            complete_to: Revision up to which all changes are known; a later
-                deletion is kept, as an earlier change may still come.
+            complete_revision: Revision up to which all changes are known.
+                Later deletions are retained, since an earlier change of the
+                same key may still arrive.
         """
         if self._deletion_count <= _MAX_DELETIONS:
             return
-        deleted = sorted(
-            line.revision
-            for line in self._entries.values()
-            if line.value is None and line.revision <= complete_revision
+        deletion_revisions = sorted(
+            entry.revision
+            for entry in self._entries.values()
+            if entry.value is None and entry.revision <= complete_revision
         )
-        if not deleted:
+        if not deletion_revisions:
             return
-        self._pruned_revision = deleted[(len(deleted) - 1) // 2]
-        for line in self:
-            if line.value is None and line.revision <= self._pruned_revision:
-                del self._entries[line.key]
+        self._pruned_revision = deletion_revisions[
+            (len(deletion_revisions) - 1) // 2
+        ]
+        for entry in self:
+            if entry.value is None and entry.revision <= self._pruned_revision:
+                del self._entries[entry.key]
                 self._deletion_count -= 1
 
     def has_all_deletions_since(self, revision: int) -> bool:
-        """Tells whether all deletions after a revision are kept."""
+        """Returns whether all deletions after a revision are retained."""
         return revision >= self._pruned_revision
 
     def list_changes_since(
         self, revision: int
-    ) -> tuple[entry_lines.StoreEntry, ...]:
-        """Returns the changes after a revision, as far as they are kept."""
-        return tuple(line for line in self if line.revision > revision)
+    ) -> tuple[store_entry.StoreEntry, ...]:
+        """Returns the retained changes after a revision."""
+        return tuple(entry for entry in self if entry.revision > revision)
 
 
-def _is_deletion(entry: entry_lines.StoreEntry | None) -> bool:
+def _is_deletion(entry: store_entry.StoreEntry | None) -> bool:
     return entry is not None and entry.value is None
--- a/persimmonhinge/forwarding/store_entry.py
+++ b/persimmonhinge/forwarding/store_entry.py
@@ -1,4 +1,4 @@
-"""An entry of the store, as hosts keep it and tell it each other."""
+"""An entry of the store, as hosts cache it and send it to each other."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class StoreEntry(NamedTuple):
-    """An entry of the store; an array in messages.
+    """An entry of the store, or its deletion; encoded as an array.
 
     Attributes:
-        key: Its key.
-        value: Its value; None if it was deleted.
-        revision: Revision of the store of its last change.
+        key: Key in the store.
+        value: Value in the store; None if the entry was deleted.
+        revision: Revision of the store at which the entry last changed.
     """
 
     key: str
