--- a/persimmonhinge/forwarding/desired_state.py
+++ b/persimmonhinge/forwarding/desired_state.py
@@ -1,4 +1,4 @@
-"""The newest state that the operators want, as one version."""
+"""The desired state that operators configured, as one version."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from persimmonhinge import ids
 from persimmonhinge import records
-from persimmonhinge.forwarding import route as routes
+from persimmonhinge.forwarding import route
 
 
 class DesiredState(records.Record, frozen=True):
-    """All routes of one version.
+    """One version of the desired state.
 
     Attributes:
-        version: Number of the version; grows with each change.
-        routes: The routes by what callers address.
-        idle_timeout_s: Time after which an idle flow may be forgotten,
-            seconds.
-        cold_limits: Requests a second that an upstream bears while it is cold,
-            by service; a service without a limit is left out.
+        version: Number of the version; it increases with each change.
+        routes: Routes by the service and port that callers address.
+        idle_timeout_s: Time after which an idle flow may be removed, seconds.
+        warm_up_limits: Maximum rates of requests to an upstream that is
+            warming up, by service, in requests per second. Services without a
+            limit are absent.
     """
 
     version: int
-    routes: dict[routes.RouteAddress, routes.Route]
+    routes: dict[route.RouteAddress, route.Route]
     idle_timeout_s: float
     warm_up_limits: Mapping[ids.ServiceName, float] = MappingProxyType({})
--- a/persimmonhinge/forwarding/directory.py
+++ b/persimmonhinge/forwarding/directory.py
@@ -1,4 +1,4 @@
-"""The upstreams that a host knows, by id, by service and by token."""
+"""Upstreams known to a host, indexed by id, service and routing token."""
 
 from __future__ import annotations
 
@@ -7,54 +7,55 @@
 
 from persimmonhinge import ids
 from persimmonhinge import records
-from persimmonhinge.forwarding import upstream as upstreams
+from persimmonhinge.forwarding import upstream as upstream_module
 
 _LIVE_STATES = (
-    upstreams.UpstreamState.READY,
-    upstreams.UpstreamState.DRAINING,
-    upstreams.UpstreamState.MISSING,
+    upstream_module.UpstreamState.READY,
+    upstream_module.UpstreamState.DRAINING,
+    upstream_module.UpstreamState.MISSING,
 )
 
 
 class Directory:
-    """Holds the upstreams as their newest entries describe them.
+    """Holds the upstreams as described by their newest entries.
 
-    One that has gone stays known for as long as a flow may last, so that
-    packets of its flows are told apart from those of upstreams that this
-    host has not heard of yet.
+    An ended upstream is retained for the maximum lifetime of a flow, so that
+    packets of its flows can be distinguished from packets for upstreams that
+    this host has not learned of yet.
 
     Attributes:
-        domains: Failure domains that an upstream has been in.
+        domains: Failure domains in which an upstream has been seen.
     """
 
     def __init__(self, retention_s: float) -> None:
-        """Makes an empty directory.
+        """Creates an empty directory.
 
         Args:
-            keep_s: How long upstreams that have gone are remembered, seconds.
+            retention_s: Time for which ended upstreams are retained, seconds.
         """
         self._retention_s = retention_s
         self.domains: set[ids.DomainId] = set()
-        self._by_id: dict[ids.UpstreamId, upstreams.Upstream] = {}
+        self._by_id: dict[ids.UpstreamId, upstream_module.Upstream] = {}
         self._by_token: dict[int, list[ids.UpstreamId]] = {}
         self._by_service: dict[ids.ServiceName, list[ids.UpstreamId]] = {}
         self._ended_at: dict[ids.UpstreamId, float] = {}
         self._warmed_up_at: dict[ids.UpstreamId, float] = {}
-        # Those that are ready, until one of the service changes.
-        self._ready: dict[ids.ServiceName, list[upstreams.Upstream]] = {}
+        # Cached ready upstreams; dropped when an upstream of the service
+        # changes.
+        self._ready: dict[ids.ServiceName, list[upstream_module.Upstream]] = {}
 
     def __len__(self) -> int:
         return len(self._by_id)
 
-    def put(self, upstream: upstreams.Upstream, now: float) -> None:
-        """Takes in an entry."""
+    def put(self, upstream: upstream_module.Upstream, now: float) -> None:
+        """Adds an upstream, or replaces its description by a newer one."""
         former = self._by_id.get(upstream.id)
         if former is None:
             self._by_token.setdefault(upstream.token, []).append(upstream.id)
         if former is None or former.service != upstream.service:
             self._remove_from_service(former)
-            named = self._by_service.setdefault(upstream.service, [])
-            named.append(upstream.id)
+            upstream_ids = self._by_service.setdefault(upstream.service, [])
+            upstream_ids.append(upstream.id)
         self._by_id[upstream.id] = upstream
         self.domains.add(upstream.domain)
         self._ready.pop(upstream.service, None)
@@ -62,72 +63,78 @@
         self._warmed_up_at[upstream.id] = now + upstream.warm_up_s
 
     def set_state(
-        self, upstream: ids.UpstreamId, state: upstreams.UpstreamState
+        self, upstream: ids.UpstreamId, state: upstream_module.UpstreamState
     ) -> None:
-        """Sets the state of a known upstream whose entry is not there."""
+        """Sets the state of a known upstream other than by its entry."""
         known = self._by_id[upstream]
         self._by_id[upstream] = records.replace(known, state=state)
         self._ready.pop(known.service, None)
 
     def remove(self, upstream: ids.UpstreamId, now: float) -> None:
-        """Marks an upstream as gone; forgets those that went long ago."""
+        """Marks an upstream as ended, and evicts those past their retention."""
         if upstream in self._by_id:
-            self.set_state(upstream, upstreams.UpstreamState.ENDED)
+            self.set_state(upstream, upstream_module.UpstreamState.ENDED)
             self._ended_at[upstream] = now
-        for old, gone_at in list(self._ended_at.items()):
-            if gone_at + self._retention_s < now:
-                self._evict(old)
+        for ended, ended_at in list(self._ended_at.items()):
+            if ended_at + self._retention_s < now:
+                self._evict(ended)
 
-    def get(self, upstream: ids.UpstreamId) -> upstreams.Upstream | None:
-        """Returns an upstream, None if it is not known."""
+    def get(self, upstream: ids.UpstreamId) -> upstream_module.Upstream | None:
+        """Returns an upstream, or None if it is unknown."""
         return self._by_id.get(upstream)
 
-    def find_by_token(self, token: int) -> upstreams.Upstream | None:
-        """Returns the upstream of a token.
+    def find_by_token(self, token: int) -> upstream_module.Upstream | None:
+        """Returns the upstream that a routing token identifies.
 
-        Returns None also where two upstreams share the token and both may
-        live: a packet at the wrong one would break a flow that is whole.
+        Returns None if the token is unknown, and if two upstreams share it
+        and both may be running: sending a packet to the wrong one would break
+        an intact flow.
         """
-        found = [self._by_id[i] for i in self._by_token.get(token, ())]
-        live = [u for u in found if u.state in _LIVE_STATES]
-        candidates = live or found
+        sharing = [self._by_id[i] for i in self._by_token.get(token, ())]
+        running = [u for u in sharing if u.state in _LIVE_STATES]
+        candidates = running or sharing
         return candidates[0] if len(candidates) == 1 else None
 
-    def has_unique_token(self, upstream: upstreams.Upstream) -> bool:
-        """Tells whether the token of a live upstream finds it."""
+    def has_unique_token(self, upstream: upstream_module.Upstream) -> bool:
+        """Returns whether the token of a running upstream identifies it."""
         if len(self._by_token[upstream.token]) == 1:
             return True
         return self.find_by_token(upstream.token) is upstream
 
     def list_in_state(
-        self, service: ids.ServiceName, state: upstreams.UpstreamState
-    ) -> list[upstreams.Upstream]:
-        """Returns the upstreams of a service that are in a state."""
+        self, service: ids.ServiceName, state: upstream_module.UpstreamState
+    ) -> list[upstream_module.Upstream]:
+        """Returns the upstreams of a service that are in the given state."""
         known = (self._by_id[i] for i in self._by_service.get(service, ()))
         return [u for u in known if u.state is state]
 
     def list_ready(
         self, service: ids.ServiceName
-    ) -> Sequence[upstreams.Upstream]:
-        """Returns those of a service that are ready, the same list as before.
+    ) -> Sequence[upstream_module.Upstream]:
+        """Returns the ready upstreams of a service.
 
-        It is another list once an upstream of the service has changed.
+        Calls return the same list object until an upstream of the service
+        changes; after that, a new one.
         """
         ready = self._ready.get(service)
         if ready is None:
-            ready = self.list_in_state(service, upstreams.UpstreamState.READY)
+            ready = self.list_in_state(
+                service, upstream_module.UpstreamState.READY
+            )
             self._ready[service] = ready
         return ready
 
-    def list_all(self) -> Iterable[upstreams.Upstream]:
-        """Returns all upstreams, those that have gone included."""
+    def list_all(self) -> Iterable[upstream_module.Upstream]:
+        """Returns all upstreams, including those that have ended."""
         return list(self._by_id.values())
 
     def is_warming_up(self, upstream: ids.UpstreamId, now: float) -> bool:
-        """Tells whether an upstream is still slow after its start."""
+        """Returns whether an upstream has just started and is still slow."""
         return now < self._warmed_up_at.get(upstream, 0.0)
 
-    def _remove_from_service(self, upstream: upstreams.Upstream | None) -> None:
+    def _remove_from_service(
+        self, upstream: upstream_module.Upstream | None
+    ) -> None:
         if upstream is not None:
             self._by_service[upstream.service].remove(upstream.id)
             self._ready.pop(upstream.service, None)
--- a/persimmonhinge/forwarding/knowledge.py
+++ b/persimmonhinge/forwarding/knowledge.py
@@ -1,4 +1,4 @@
-"""What a host believes of the platform, and since when."""
+"""A host's view of the platform, and when the store last confirmed it."""
 
 from __future__ import annotations
 
@@ -6,73 +6,73 @@
 
 from persimmonhinge import early_logs
 from persimmonhinge import ids
-from persimmonhinge.forwarding import desired_state as desired_states
-from persimmonhinge.forwarding import directory as directories
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import route as routes
-from persimmonhinge.forwarding import upstream as upstreams
-from persimmonhinge.forwarding.decisions import trust as trusts
+from persimmonhinge.forwarding import desired_state
+from persimmonhinge.forwarding import directory
+from persimmonhinge.forwarding import flow as flow_module
+from persimmonhinge.forwarding import route
+from persimmonhinge.forwarding import upstream as upstream_module
+from persimmonhinge.forwarding.decisions import trust
 
 logger = early_logs.get_logger(__name__)
 
 
 class Knowledge:
-    """The desired state and the upstreams, as they were last heard of.
+    """The desired state and the upstreams, as last received.
 
     Attributes:
-        directory: The upstreams.
-        trust: Whether what the store leaves out can be relied on.
+        directory: The known upstreams.
+        store_trust: Whether the absence of an entry in the store is reliable.
         evacuated: Failure domains whose upstreams get no new flows.
-        tell_state: Called when a version comes into force.
-        confirmed_at: When the store last said that nothing is newer; None
-            if it never did.
+        on_state_change: Called when a new desired state comes into force.
+        confirmed_at: Time at which the store last confirmed that there are no
+            newer entries; None if it never did.
     """
 
     def __init__(self, flow_life_s: float, max_age_s: float) -> None:
-        """Makes the knowledge of a host that has just started.
+        """Creates the knowledge of a host that has just started.
 
         Args:
-            flow_life_s: How long upstreams that have gone are remembered,
-                seconds.
-            current_s: Age up to which it is current, seconds.
+            flow_life_s: Time for which ended upstreams are retained, seconds.
+            max_age_s: Maximum time since the last confirmation by the store up
+                to which the knowledge counts as current, seconds.
         """
         self._max_age_s = max_age_s
-        self.directory = directories.Directory(flow_life_s)
-        self.store_trust = trusts.StoreTrust()
+        self.directory = directory.Directory(flow_life_s)
+        self.store_trust = trust.StoreTrust()
         self.evacuated: frozenset[ids.DomainId] = frozenset()
         self.on_state_change: Callable[[], None] | None = None
         self.confirmed_at: float | None = None
-        self._state: desired_states.DesiredState | None = None
-        self._removed_routes: set[routes.RouteAddress] = set()
+        self._state: desired_state.DesiredState | None = None
+        self._removed_routes: set[route.RouteAddress] = set()
 
     @property
-    def state(self) -> desired_states.DesiredState | None:
+    def state(self) -> desired_state.DesiredState | None:
         """The desired state in force; None if none is known yet."""
         return self._state
 
-    def find_route(self, flow: flows.FlowId) -> routes.Route | None:
-        """Returns the route of a flow, None if there is none."""
+    def find_route(self, flow: flow_module.FlowId) -> route.Route | None:
+        """Returns the route of a flow, or None if it has none."""
         if self._state is None:
             return None
-        at = routes.RouteAddress(flow.service, flow.service_port)
-        return self._state.routes.get(at)
+        address = route.RouteAddress(flow.service, flow.service_port)
+        return self._state.routes.get(address)
 
-    def is_route_removed(self, flow: flows.FlowId) -> bool:
-        """Tells whether a version that is in force took the flow's route away.
+    def is_route_removed(self, flow: flow_module.FlowId) -> bool:
+        """Returns whether a desired state in force removed a flow's route.
 
-        A route that this host never heard of is another matter: one that was
-        just added may be known to the host that opened the flow, but not
-        here yet.
+        A route that this host has never known does not count as removed: it
+        may have just been added, and be known only to the host that opened
+        the flow.
         """
-        at = routes.RouteAddress(flow.service, flow.service_port)
-        return at in self._removed_routes
+        address = route.RouteAddress(flow.service, flow.service_port)
+        return address in self._removed_routes
 
     def is_current(self, now: float) -> bool:
-        """Tells whether what is not known here does not exist.
+        """Returns whether a route unknown to this host does not exist.
 
-        Guards against refusing flows of a route that was just added, at a
-        host that the store does not answer: the caller's next copy may come
-        to a host that knows more.
+        Guards against a host that cannot reach the store and refuses flows of
+        a route that was just added: the caller's next retransmission may
+        arrive at a host with newer entries.
         """
         confirmed_at = self.confirmed_at
         if self._state is None or confirmed_at is None:
@@ -80,31 +80,35 @@
         return now - confirmed_at < self._max_age_s
 
     def confirm(self, answered_at: float) -> None:
-        """Takes in that the store said at a time that nothing is newer."""
+        """Records when the store confirmed that there are no newer entries."""
         if self.confirmed_at is None or answered_at > self.confirmed_at:
             self.confirmed_at = answered_at
 
     def compute_age_ms(self, now: float) -> int:
-        """Returns how long ago the store confirmed this, -1 if never."""
+        """Returns the time since the last confirmation, -1 if there is none."""
         if self.confirmed_at is None:
             return -1
         return int((now - self.confirmed_at) * 1000)
 
     def is_complete(self) -> bool:
-        """Tells whether this host knows enough to serve."""
+        """Returns whether this host has enough entries to forward flows.
+
+        It needs a desired state and at least one upstream.
+        """
         return self._state is not None and len(self.directory) > 0
 
     def apply_state(
-        self, state: desired_states.DesiredState, source: str
+        self, state: desired_state.DesiredState, source: str
     ) -> bool:
-        """Puts a version in force if it is newer.
+        """Puts a desired state into force if its version is newer.
 
-        Guards against going back: a read that was answered late, or a peer
-        that was cut off, brings an old version after a newer one was in
-        force. Versions only grow, so older ones are refused.
+        Guards against reverting to an old version after a newer one came
+        into force: a late answer to a read, or a peer that was partitioned,
+        may deliver an old one. Versions only increase, so older ones are
+        rejected.
 
         Returns:
-            True if it is in force now.
+            Whether the desired state came into force.
         """
         former = self._state.version if self._state is not None else None
         if former is not None and former >= state.version:
@@ -127,11 +131,11 @@
         return True
 
     def evacuate(self, domain: ids.DomainId, source: str) -> None:
-        """Takes in that a failure domain is to get no new flows."""
+        """Stops new flows to the upstreams of a failure domain."""
         self._set_evacuated(self.evacuated | {domain}, domain, source)
 
     def end_evacuation(self, domain: ids.DomainId, source: str) -> None:
-        """Takes in that a failure domain gets new flows again."""
+        """Allows new flows to the upstreams of a failure domain again."""
         self._set_evacuated(self.evacuated - {domain}, domain, source)
 
     def _set_evacuated(
@@ -153,9 +157,9 @@
         )
 
     def apply_upstream(
-        self, upstream: upstreams.Upstream, now: float, source: str
+        self, upstream: upstream_module.Upstream, now: float, source: str
     ) -> None:
-        """Takes in the entry of an upstream."""
+        """Adds or updates an upstream from its entry."""
         former = self.directory.get(upstream.id)
         self.directory.put(upstream, now)
         if former is not None and former.state is upstream.state:
@@ -174,11 +178,12 @@
     def record_missing_entry(
         self, upstream: ids.UpstreamId, now: float, source: str
     ) -> None:
-        """Takes in that the entry of an upstream is not there.
+        """Records that the entry of an upstream is absent from the store.
 
-        Guards against taking all upstreams for dead after an outage of the
-        store in which their entries expired: while the store can't be relied
-        on, they are kept as missing, and judged later by `settle`.
+        Guards against treating all upstreams as ended after an outage of the
+        store in which their entries expired. While the store is unreliable,
+        they are marked as missing; `remove_missing_upstreams` removes them
+        later if their entries stay absent.
         """
         known = self._find_not_ended(upstream)
         if known is None:
@@ -186,13 +191,15 @@
         if self.store_trust.holds(now):
             self.directory.remove(upstream, now)
         else:
-            self.directory.set_state(upstream, upstreams.UpstreamState.MISSING)
-        present = self.directory.get(upstream)
+            self.directory.set_state(
+                upstream, upstream_module.UpstreamState.MISSING
+            )
+        remaining = self.directory.get(upstream)
         logger.info(
             "Entry of an upstream ended.",
             extra={
                 "upstream": upstream,
-                "state": present.state.value if present else None,
+                "state": remaining.state.value if remaining else None,
                 "former": known.state.value,
                 "source": source,
             },
@@ -201,18 +208,18 @@
     def remove_upstream(
         self, upstream: ids.UpstreamId, now: float, source: str
     ) -> None:
-        """Takes in that an incarnation of an upstream has surely ended.
+        """Removes an incarnation of an upstream that a newer one replaced.
 
-        Guards against packets of its flows that reach its successor, which
-        has the same address and does not know them: their callers hear a
-        reset at once, whatever the store's state.
+        Guards against packets of its flows that reach its successor, which has
+        the same address but does not know the flows. The callers of these
+        flows get a reset immediately, even if the store is unreliable.
         """
         known = self._find_not_ended(upstream)
         if known is None:
             return
         self.directory.remove(upstream, now)
         logger.info(
-            "Upstream was started again.",
+            "Upstream was restarted.",
             extra={
                 "upstream": upstream,
                 "former": known.state.value,
@@ -221,17 +228,19 @@
         )
 
     def has_ended(self, upstream: ids.UpstreamId) -> bool:
-        """Tells whether an upstream has ended, or was never heard of."""
+        """Returns whether an upstream has ended or is unknown."""
         return self._find_not_ended(upstream) is None
 
     def stop_new_flows(self, upstream: ids.UpstreamId, source: str) -> None:
-        """Gives an upstream no new flows until its next entry."""
+        """Stops new flows to an upstream until its next readable entry."""
         known = self._find_not_ended(upstream)
         if known is None:
             return
-        self.directory.set_state(upstream, upstreams.UpstreamState.DRAINING)
+        self.directory.set_state(
+            upstream, upstream_module.UpstreamState.DRAINING
+        )
         logger.warning(
-            "Withholds new flows from an upstream.",
+            "Stopped new flows to an upstream with an unreadable entry.",
             extra={
                 "upstream": upstream,
                 "former": known.state.value,
@@ -240,18 +249,18 @@
         )
 
     def remove_missing_upstreams(self, now: float) -> None:
-        """Takes missing upstreams for gone once the store can be relied on."""
+        """Removes missing upstreams if the store is reliable again."""
         if not self.store_trust.holds(now):
             return
         for upstream in self.directory.list_all():
-            if upstream.state is upstreams.UpstreamState.MISSING:
+            if upstream.state is upstream_module.UpstreamState.MISSING:
                 self.record_missing_entry(upstream.id, now, "settle")
 
     def _find_not_ended(
         self, upstream: ids.UpstreamId
-    ) -> upstreams.Upstream | None:
-        """Returns an upstream that is known and has not ended."""
+    ) -> upstream_module.Upstream | None:
+        """Returns an upstream, or None if it is unknown or has ended."""
         known = self.directory.get(upstream)
-        if known is None or known.state is upstreams.UpstreamState.ENDED:
+        if known is None or known.state is upstream_module.UpstreamState.ENDED:
             return None
         return known
--- a/persimmonhinge/forwarding/upstream.py
+++ b/persimmonhinge/forwarding/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream as its own entry describes it."""
+"""An upstream, as described by its own entry in the store."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 
 from persimmonhinge import ids
 from persimmonhinge import records
-from persimmonhinge.forwarding import flow as flows
+from persimmonhinge.forwarding import flow
 
 
 class UpstreamState(enum.Enum):
     """Whether an upstream may get new flows.
 
     Attributes:
-        READY: It takes new flows.
-        DRAINING: It finishes what it has.
-        MISSING: Its entry ended while the store was not to be relied on; it
-            may live, and takes new flows only where nothing else is left.
-        GONE: It has ended.
+        READY: It accepts new flows.
+        DRAINING: It finishes its open flows and gets no new ones.
+        MISSING: Its entry disappeared while the store was unreliable. It may
+            still be running, and gets new flows only if no other upstream is
+            available.
+        ENDED: It no longer runs.
     """
 
     READY = "ready"
@@ -27,26 +28,26 @@
 
 
 class Upstream(records.Record, frozen=True):
-    """An upstream; a restarted one is another upstream.
+    """An incarnation of an upstream; a restart creates another upstream.
 
     Attributes:
-        id: Its id.
-        number: The id as the number that its packets carry.
+        id: Id of this incarnation.
+        number: Numeric form of the id, as carried by its packets.
         token: Routing token of its flows.
-        service: Its service.
-        address: Where it receives packets.
-        domain: Its failure domain.
-        slots: Requests that it works on at a time.
-        state: Whether it takes new flows.
-        cold_s: How much longer it was slow after its start when it said so,
-            seconds.
+        service: Service that it provides.
+        address: Address and port at which it receives packets.
+        domain: Failure domain that it runs in.
+        slots: Number of requests that it handles concurrently.
+        state: Whether it may get new flows.
+        warm_up_s: Remaining time for which it is slow after its start, as of
+            the writing of its entry, seconds.
     """
 
     id: ids.UpstreamId
     number: int
     token: int
     service: ids.ServiceName
-    address: flows.Endpoint
+    address: flow.Endpoint
     domain: ids.DomainId
     slots: int
     state: UpstreamState
