--- a/persimmonhinge/forwarding/entry_replica.py
+++ b/persimmonhinge/forwarding/entry_replica.py
@@ -1,4 +1,4 @@
-"""Reads all entries of the store into the knowledge of a host."""
+"""A host's replica of the entries of the store."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from persimmonhinge import early_logs
 from persimmonhinge import errors
-from persimmonhinge.forwarding import completeness as completenesses
+from persimmonhinge.forwarding import completeness
 from persimmonhinge.forwarding import entry_effects
 from persimmonhinge.forwarding import entry_table
-from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import store_entry as entry_lines
+from persimmonhinge.forwarding import knowledge as knowledge_module
+from persimmonhinge.forwarding import store_entry
 from persimmonhinge.light_typing import TYPE_CHECKING
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.metrics import counts as counts_module
 
 if TYPE_CHECKING:
     from persimmonhinge.forwarding import entry_reader
-    from persimmonhinge.forwarding import flow as flows
+    from persimmonhinge.forwarding import flow
     from persimmonhinge.forwarding.peers import messages
     from persimmonhinge.store import port
 
@@ -26,41 +26,42 @@
 
 _STORE_SOURCE = "store"
 _ALL_KEYS_PREFIX = ""
-# A desired state of more octets is passed on by itself, after all else: a link
-# of 5 Mbit/s carries so much in 0.03 s.
+# Length above which a desired state is sent separately, after all other
+# entries, octets. A link of 5 Mbit/s transfers this length in 0.03 s.
 _LONG_STATE_OCTETS = 16_384
 
-# Takes the revision before some changes, and the changes.
-ChangesCallback = Callable[[int, list[entry_lines.StoreEntry]], None]
+# Receives the revision before some changes, and the changes.
+ChangesCallback = Callable[[int, list[store_entry.StoreEntry]], None]
 
 
 class EntryReplica:
-    """Takes entries of the store into the knowledge of a host.
+    """Replicates entries of the store and applies them to a host's knowledge.
 
     Attributes:
-        completeness: Up to which revisions all entries are known.
-        tell: Called with what the store told first-hand, in one batch or in a
-            reading after the first one, and the revision before; with nothing
-            if the store said that nothing has changed.
+        completeness: Revisions up to which all entries are known.
+        on_changes: Called with the previous revision and the changes that this
+            host itself received from the store, in one batch or in a read
+            after the first one. The changes are empty if the store reported
+            that nothing changed.
     """
 
     def __init__(
         self,
         reader: entry_reader.EntryReader,
-        knowledge: knowledge_parts.Knowledge,
-        counts: host_counts.Counts,
+        knowledge: knowledge_module.Knowledge,
+        counts: counts_module.Counts,
     ) -> None:
         self._reader = reader
         self._knowledge = knowledge
         self._counts = counts
         self._table = entry_table.EntryTable()
         self._effects = entry_effects.EntryEffects(reader, knowledge, counts)
-        self.completeness = completenesses.Completeness()
+        self.completeness = completeness.Completeness()
         self.on_changes: ChangesCallback | None = None
 
     @property
     def revision(self) -> int:
-        """All changes of entries up to this revision are known."""
+        """Revision up to which all changes of entries are known."""
         return self.completeness.revision
 
     @property
@@ -69,89 +70,95 @@
         return self._reader.state_key
 
     async def read_all(self, store: port.PlatformReader) -> int:
-        """Reads all entries, in one call unless they are many.
+        """Reads all entries from the store, in pages if there are many.
 
-        The pages of many entries are no snapshot. Nothing later than the first
-        one is taken for complete: a desired state that came between two pages
-        would be missed, and never asked for, if the revision of an upstream
-        stood for both.
+        The pages together are not a consistent snapshot. The replica counts as
+        complete only up to the revision of the first page. Otherwise, a
+        desired state that changed between two pages would be missed, and never
+        requested, if the higher revision of an upstream from a later page were
+        used for all entries.
 
         Returns:
-            A revision that they are all at least of.
+            Revision of the first page; no entry is older than its state at
+            this revision.
 
         Raises:
-            PlatformError: The store gave no answer or a refusal.
+            PlatformError: The store did not answer or rejected the call.
         """
-        found = await store.get_prefix(_ALL_KEYS_PREFIX)
+        result = await store.get_prefix(_ALL_KEYS_PREFIX)
         self.record_answer()
-        for pair in found.values:
+        for pair in result.values:
             self.apply(pair.key, pair.value, pair.mod_revision)
         self._delete_absent_entries(
-            {pair.key for pair in found.values}, found.revision
+            {pair.key for pair in result.values}, result.revision
         )
-        before = self.revision
-        complete_to = found.revision
-        claimed = (e.revision for e in self._table if e.revision <= complete_to)
-        self._advance(max(claimed, default=0))
-        self._report_changes_since(before)
-        return complete_to
+        previous_revision = self.revision
+        complete_revision = result.revision
+        known_revisions = (
+            e.revision for e in self._table if e.revision <= complete_revision
+        )
+        self._advance(max(known_revisions, default=0))
+        self._report_changes_since(previous_revision)
+        return complete_revision
 
     def apply_batch(self, batch: Sequence[port.WatchEvent]) -> None:
-        """Takes in changes that the store told, in their order.
+        """Applies changes received from the store, in their order.
 
-        A reading may have brought some of them already, but they were not
-        taken for complete, nor told to others.
+        A read of all entries may have applied some of them before, but without
+        advancing the revision and without reporting them to other hosts.
         """
-        after = self.revision
-        told = []
+        previous_revision = self.revision
+        changes = []
         for event in batch:
-            line = entry_lines.StoreEntry(
+            entry = store_entry.StoreEntry(
                 event.key, event.value, event.mod_revision
             )
-            is_newer = self._apply_entry(line, _STORE_SOURCE)
+            is_newer = self._apply_entry(entry, _STORE_SOURCE)
             if is_newer or (
-                line.revision > after and self._effects.is_relevant(line.key)
+                entry.revision > previous_revision
+                and self._effects.is_relevant(entry.key)
             ):
-                told.append(line)
-                self._advance(line.revision)
-        if told and self.on_changes is not None:
-            self.on_changes(after, told)
+                changes.append(entry)
+                self._advance(entry.revision)
+        if changes and self.on_changes is not None:
+            self.on_changes(previous_revision, changes)
 
     def _report_changes_since(self, previous_revision: int) -> None:
-        """Tells others what a reading after the first one brought.
+        """Reports the changes found by a read, except for the first read.
 
-        Guards against a watch that went silent: what the new reading brings
-        would be known to others only after the next report of this host, and
-        an upstream that left would get new flows until then.
+        Guards against a watch that stopped delivering changes. Other hosts
+        would learn of the changes found by the new read only from this host's
+        next report, and a stopping upstream would get new flows until then.
         """
-        lines = [
-            line
-            for line in self._table
-            if previous_revision < line.revision <= self.revision
+        changes = [
+            entry
+            for entry in self._table
+            if previous_revision < entry.revision <= self.revision
         ]
-        if previous_revision and lines and self.on_changes is not None:
+        if previous_revision and changes and self.on_changes is not None:
             self.on_changes(
-                previous_revision, sorted(lines, key=lambda line: line.revision)
+                previous_revision,
+                sorted(changes, key=lambda entry: entry.revision),
             )
 
     def report_no_changes(self) -> None:
-        """Tells others that the store has nothing newer than is known here."""
+        """Reports that the store has no entries newer than this replica."""
         if self.on_changes is not None:
             self.on_changes(self.revision, [])
 
     def is_confirmed(self) -> bool:
-        """Tells whether the store has answered this host or another one."""
+        """Returns whether the store has answered this host or another one."""
         return self._knowledge.confirmed_at is not None
 
     def is_absence_final(self) -> bool:
-        """Tells whether entries that are not there are gone."""
+        """Returns whether entries absent from the store were really deleted."""
         return self._knowledge.store_trust.holds(time.monotonic())
 
     def apply_update(self, update: messages.News, source: str) -> None:
-        """Takes in changes that another host was told by the store.
+        """Applies changes that another host received from the store.
 
-        Guards against a gap: news are datagrams, and one that is lost must
-        not be taken for known because a later one has come.
+        Guards against gaps: updates are datagrams, and the entries of a lost
+        one must not count as known because a later one has arrived.
         """
         if update.entries:
             self._apply_entries(update.entries, source, settled=update.settled)
@@ -166,12 +173,12 @@
             self._knowledge.confirm(time.monotonic())
 
     def _covers_update(self, update: messages.News) -> bool:
-        """Tells whether the sender of news knows nothing more."""
+        """Returns whether this replica is as recent as an update's sender."""
         known = self.completeness
-        upstreams_upto = max(update.upto, update.upstreams_upto)
+        upstreams_revision = max(update.upto, update.upstreams_upto)
         return (
             0 < update.upto <= known.revision
-            and upstreams_upto <= known.upstreams_revision
+            and upstreams_revision <= known.upstreams_revision
         )
 
     def apply(
@@ -181,37 +188,38 @@
         revision: int,
         source: str = _STORE_SOURCE,
     ) -> bool:
-        """Takes in an entry, or that it was deleted, if it is newer.
+        """Applies an entry or its deletion if it is newer than the known one.
 
         Args:
             key: Key of the entry.
-            value: Its value; None if it was deleted.
-            revision: Revision of the store of the change.
-            source: Who told it, for the log.
+            value: Value of the entry; None if it was deleted.
+            revision: Revision of the store at which the entry changed.
+            source: Sender of the entry, for the log.
 
         Returns:
-            True if it is newer than what was known.
+            Whether the change was newer, and so was applied.
         """
-        line = entry_lines.StoreEntry(key, value, revision)
-        return self._apply_entry(line, source)
+        entry = store_entry.StoreEntry(key, value, revision)
+        return self._apply_entry(entry, source)
 
     def has_long_state_since(self, revision: int) -> bool:
-        """Tells whether a long desired state came after a revision."""
-        line = self._table.get(self._reader.state_key)
+        """Returns whether a long desired state was written after a revision."""
+        entry = self._table.get(self._reader.state_key)
         return (
-            line is not None
-            and line.revision > revision
-            and len(line.value or b"") > _LONG_STATE_OCTETS
+            entry is not None
+            and entry.revision > revision
+            and len(entry.value or b"") > _LONG_STATE_OCTETS
         )
 
     def make_short_snapshot(
-        self, since_revision: int, peers: tuple[flows.Endpoint, ...]
+        self, since_revision: int, peers: tuple[flow.Endpoint, ...]
     ) -> messages.Snapshot:
-        """Returns what changed after a revision but a long desired state.
+        """Returns the changes after a revision, without a long desired state.
 
-        Guards against new flows to an upstream that left: its entry of some
-        hundred octets would wait behind a desired state of some hundred
-        thousand, which a thin link does not carry within the limit of a pull.
+        Guards against new flows to an upstream that has stopped: its entry of
+        some hundred octets would wait behind a desired state of some hundred
+        thousand, which a slow link cannot transfer within the time limit of a
+        pull.
         """
         from persimmonhinge.forwarding.peers import messages
 
@@ -232,10 +240,11 @@
         )
 
     def make_snapshot(
-        self, since_revision: int, peers: tuple[flows.Endpoint, ...]
+        self, since_revision: int, peers: tuple[flow.Endpoint, ...]
     ) -> messages.Snapshot:
-        """Returns the entries that changed after a revision, or all."""
-        # Not needed before the first packet, and drawn in by what asks here.
+        """Returns the entries changed after a revision, or all if need be."""
+        # Imported late: not needed before the first packet, and imported by the
+        # callers anyway.
         from persimmonhinge.forwarding.peers import messages
 
         whole = not self._table.has_all_deletions_since(since_revision)
@@ -245,44 +254,46 @@
         )
 
     def apply_snapshot(self, snapshot: messages.Snapshot, source: str) -> None:
-        """Takes in all that another host knows beyond this host's revision."""
+        """Applies entries of another host newer than `revision`."""
         self._apply_snapshot_entries(snapshot, source)
         self._advance(snapshot.revision)
 
     def apply_short_snapshot(
         self, snapshot: messages.Snapshot, source: str
     ) -> None:
-        """Takes in what another host knows beyond `upstreams_revision`."""
+        """Applies entries of another host newer than `upstreams_revision`."""
         self._apply_snapshot_entries(snapshot, source)
         if snapshot.state_revision > self._find_state_revision():
             self.completeness.record_missing_state(snapshot.state_revision)
         self.completeness.advance_upstreams(snapshot.revision)
 
     def record_answer(self) -> None:
-        """Records that the store answered."""
+        """Records that the store answered this host."""
         now = time.monotonic()
         self._knowledge.confirm(now)
         self._knowledge.remove_missing_upstreams(now)
         if self._knowledge.store_trust.record_answer(now):
-            logger.warning("Store is back.", extra={"dependency": "store"})
+            logger.warning(
+                "Store is reachable again.", extra={"dependency": "store"}
+            )
 
     def record_failure(self, error: errors.PlatformError) -> None:
-        """Records that the store failed to answer."""
+        """Records that a call to the store failed."""
         trust = self._knowledge.store_trust
         self._counts.add("store_failures_total")
         if not trust.failing:
             logger.warning(
-                "Store is lost.",
+                "Store is unreachable.",
                 extra={"dependency": "store", "error": str(error)},
             )
         trust.record_failure()
 
     def record_reported_outage(self) -> None:
-        """Takes entries that are not there for missing, for some time.
+        """Treats absent entries as missing, not deleted, for some time.
 
-        Guards against taking upstreams for dead whose entries expired in an
-        outage that only another host has seen: the one that follows the
-        store, or the one that did until a moment ago.
+        Guards against treating upstreams as ended whose entries expired in an
+        outage of the store that only another host observed: the one that
+        follows the store, or the one that did until shortly before.
         """
         self._knowledge.store_trust.doubt(time.monotonic())
 
@@ -291,26 +302,26 @@
     ) -> None:
         self._apply_entries(snapshot.entries, source, settled=snapshot.settled)
         if snapshot.whole:
-            keys = {line.key for line in snapshot.entries}
-            self._delete_absent_entries(keys, snapshot.revision, source)
+            present_keys = {entry.key for entry in snapshot.entries}
+            self._delete_absent_entries(present_keys, snapshot.revision, source)
 
     def _apply_entries(
         self,
-        entries: Sequence[entry_lines.StoreEntry],
+        entries: Sequence[store_entry.StoreEntry],
         source: str,
         *,
         settled: bool,
     ) -> None:
         if not settled:
             self.record_reported_outage()
-        for line in entries:
-            self._apply_entry(line, source)
+        for entry in entries:
+            self._apply_entry(entry, source)
 
-    def _apply_entry(self, entry: entry_lines.StoreEntry, source: str) -> bool:
-        """Takes in an entry if it is newer; see `take`.
+    def _apply_entry(self, entry: store_entry.StoreEntry, source: str) -> bool:
+        """Applies an entry if it is newer; see `apply`.
 
-        Guards against going back: a peer that was cut off, or an answer that
-        comes late, brings an entry as it was before.
+        Guards against reverting to an older entry, which a peer that was
+        partitioned or a late answer of the store may deliver.
         """
         if not self._effects.is_relevant(entry.key):
             return False
@@ -324,15 +335,15 @@
         self._table.prune_deletions(self.revision)
 
     def _find_state_revision(self) -> int:
-        line = self._table.get(self._reader.state_key)
-        return line.revision if line is not None else 0
+        entry = self._table.get(self._reader.state_key)
+        return entry.revision if entry is not None else 0
 
     def _delete_absent_entries(
         self, present_keys: set[str], revision: int, source: str = _STORE_SOURCE
     ) -> None:
-        """Takes all entries for deleted that a reading does not show.
+        """Applies the deletion of all entries that a full read did not return.
 
-        The desired state is never deleted: it stays as it was.
+        The desired state is never deleted; the last known one stays in force.
         """
         for entry in self._table:
             if entry.key in present_keys or entry.value is None:
--- a/persimmonhinge/forwarding/follower.py
+++ b/persimmonhinge/forwarding/follower.py
@@ -1,4 +1,4 @@
-"""Follows the entries of the store."""
+"""Reads the entries of the store and watches their changes."""
 
 from __future__ import annotations
 
@@ -11,58 +11,64 @@
 
 from persimmonhinge import errors
 from persimmonhinge.forwarding import entry_replica
-from persimmonhinge.forwarding.peers import following as following_parts
+from persimmonhinge.forwarding.peers import following as following_module
 from persimmonhinge.store import port
 
 logger = logging.getLogger(__name__)
 
-# Longest wait after a call that failed, seconds, and how often the first wait
-# doubles until then.
+# Maximum wait after a failed call in a small failure domain, seconds, and the
+# number of doublings from the first wait to the maximum.
 _MAX_RETRY_INTERVAL_S = 0.4
 _RETRY_DOUBLINGS = 3
-# The hosts of a failure domain together ask once in so long, seconds, while
-# the store answers none of them. The first that is answered tells the others.
+# Interval between calls of all hosts of a failure domain together while the
+# store answers none of them, seconds. The first host that gets an answer
+# reports it to the others.
 _DOMAIN_RETRY_INTERVAL_S = 0.1
-# A host that has just started hears in this time, seconds, whether another one
-# of its failure domain follows; all entries were read just before.
+# Time in which a host that has just started receives reports on whether another
+# host of its failure domain follows the store, seconds. All entries were read
+# just before.
 _DISCOVERY_DELAY_S = 0.8
 _POLL_INTERVAL_S = 0.1
-# How long a host goes on following after another one is there, seconds, so
-# that a short silence does not make both begin and end in turn.
+# Time for which a host keeps following the store after another one has taken
+# over, seconds, so that a short gap in reports does not make the two alternate.
 _HANDOVER_DELAY_S = 1.0
-# Time between questions of a host that the store refused while another one
-# follows, seconds.
+# Interval at which a host that could not reach the store calls it again while
+# another host follows it, seconds.
 _PROBE_INTERVAL_S = 2.0
 _ALL_KEYS_PREFIX = ""
 
 
 class Follower:
-    """Reads all entries once, then follows their changes by one watch.
-
-    A watch that falls silent or loses its history is replaced by a new read
-    of everything. Where another host follows for this one, it does nothing.
-
-    Guards against a store that drops its history again and again: a host that
-    follows would read all entries anew at once each time; the store counts
-    these calls, and refuses too many. Guards as well against a call for each
-    upstream of a service whose upstreams change one after the other.
+    """Reads all entries once, then watches their changes with one watch.
+
+    If the watch times out or the store has dropped the history it needs, all
+    entries are read again. While another host of the failure domain follows
+    the store, this host makes no calls to it, except to check whether it can
+    reach the store again.
+
+    Guards against a store that drops its history repeatedly: a following host
+    would read all entries again immediately each time, and the store counts
+    these calls and rejects callers that make too many. Also guards against one
+    call for each upstream while the upstreams of a service change one after
+    the other.
     """
 
     def __init__(
         self,
         store: port.PlatformReader,
         entries: entry_replica.EntryReplica,
-        following: following_parts.Following,
+        following: following_module.Following,
         min_call_interval_s: float,
     ) -> None:
-        """Makes the part; nothing is read before `run`.
+        """Creates a follower; it reads nothing before `run` is called.
 
         Args:
             store: Client of the store.
-            entries: Where entries are taken in.
-            following: Tells whether this host is to follow.
-            gather_s: Time from a change to the next call of the watch, and
-                least time between two readings of all entries, seconds.
+            entries: Replica to which the entries are applied.
+            following: Decides whether this host follows the store.
+            min_call_interval_s: Time from a change to the next call of the
+                watch, and minimum time between two reads of all entries,
+                seconds.
         """
         self._store = store
         self._entries = entries
@@ -72,7 +78,7 @@
         self._read_at = -math.inf
 
     async def run(self) -> None:
-        """Follows while it is this host's turn, until cancelled."""
+        """Follows the store whenever this host is due to, until cancelled."""
         if not self._entries.is_confirmed():
             await self._read_once()
         await trio.sleep(_DISCOVERY_DELAY_S)
@@ -85,10 +91,10 @@
                 nursery.start_soon(self._follow_with_retries)
                 await self._wait_until_not_due()
                 nursery.cancel_scope.cancel()
-            logger.info("Another host follows the store.")
+            logger.info("Stopped following the store: another host does.")
 
     async def _read_once(self) -> None:
-        """Reads all entries where the shorter limit before was too short."""
+        """Reads all entries, after the read at startup ran into its limit."""
         try:
             await self._entries.read_all(self._store)
         except errors.PlatformError as error:
@@ -96,10 +102,11 @@
             self._following.reaches_store = False
 
     async def _wait_for_turn(self) -> None:
-        """Waits a moment; a host that was refused asks if it still is.
+        """Waits until this host may be due, checking for the store if needed.
 
-        Only where it is next to follow: any other would spend a call on what
-        it will find out once it is its turn.
+        A host that could not reach the store calls it again after a while, but
+        only if it is next in order to follow. Any other host would make a call
+        for something that it will find out when it is due.
         """
         if not self._following.is_next():
             self._following.reaches_store = True
@@ -118,18 +125,18 @@
             self._record_answer()
 
     async def _wait_until_not_due(self) -> None:
-        due_at = time.monotonic()
-        while time.monotonic() - due_at < _HANDOVER_DELAY_S:
+        last_due_at = time.monotonic()
+        while time.monotonic() - last_due_at < _HANDOVER_DELAY_S:
             await trio.sleep(_POLL_INTERVAL_S)
             if self._following.is_due(time.monotonic()):
-                due_at = time.monotonic()
+                last_due_at = time.monotonic()
 
     async def _follow_with_retries(self) -> None:
         while True:
             try:
                 await self._read_and_watch()
             except errors.PlatformHistoryGoneError as error:
-                logger.warning("Reads all entries again: %s.", error)
+                logger.warning("Reading all store entries again: %s.", error)
                 await trio.sleep_until(
                     self._read_at + self._min_call_interval_s
                 )
@@ -145,12 +152,12 @@
     async def _wait_while_another_follows(self, failed_at: float) -> None:
         """Waits while another host has reached the store since a failure.
 
-        Guards against calls of all hosts of a domain when the store returns:
-        the first that is answered tells the others, which go on following for
-        a moment.
+        Guards against calls from all hosts of a failure domain when the store
+        becomes available again. The first host that gets an answer reports it
+        to the others, which are still following for a short time.
         """
         if self._following.is_told_since(failed_at, time.monotonic()):
-            logger.info("Does not call the store: another host reached it.")
+            logger.info("Not calling the store: another host has reached it.")
         while self._following.is_told_since(failed_at, time.monotonic()):
             await trio.sleep(_POLL_INTERVAL_S)
 
@@ -168,16 +175,18 @@
                     self._entries.report_no_changes()
 
     def _next_retry_interval(self) -> float:
-        """Returns the longest wait after this failure in a row, seconds.
+        """Returns the maximum wait after one more consecutive failure, seconds.
 
-        Guards against a store that is kept down by the calls of all hosts: the
-        more there are in a failure domain, the longer each of them waits.
+        Guards against calls from all hosts that keep the store overloaded: the
+        more hosts a failure domain has, the longer each of them waits.
         """
-        shared_s = self._following.count_domain() * _DOMAIN_RETRY_INTERVAL_S
-        longest_s = max(_MAX_RETRY_INTERVAL_S, shared_s)
+        domain_interval_s = (
+            self._following.count_domain() * _DOMAIN_RETRY_INTERVAL_S
+        )
+        max_interval_s = max(_MAX_RETRY_INTERVAL_S, domain_interval_s)
         doublings = min(self._failures, _RETRY_DOUBLINGS)
         self._failures += 1
-        return longest_s * 2.0 ** (doublings - _RETRY_DOUBLINGS)
+        return max_interval_s * 2.0 ** (doublings - _RETRY_DOUBLINGS)
 
     def _record_answer(self) -> None:
         self._entries.record_answer()
