--- a/tests/test_forwarding/test_forwarding_entry_replica.py
+++ b/tests/test_forwarding/test_forwarding_entry_replica.py
@@ -1,4 +1,4 @@
-"""Tests of what a host takes in from the store and from other hosts."""
+"""Tests of a replica that applies entries of the store and other hosts."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 from persimmonhinge import ids
 from persimmonhinge.forwarding import entry_effects
 from persimmonhinge.forwarding import entry_replica
-from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.forwarding import store_entry as entry_lines
-from persimmonhinge.forwarding import upstream as upstreams
+from persimmonhinge.forwarding import knowledge
+from persimmonhinge.forwarding import store_entry
+from persimmonhinge.forwarding import upstream
 from persimmonhinge.forwarding.decisions import trust
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.forwarding.peers import news
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.metrics import counts
 from persimmonhinge.platform import adapter
 from persimmonhinge.store import port
 
 
 class HostReplica:
-    """Entries of one host, without a store."""
+    """The replica and knowledge of one host, without a store."""
 
     def __init__(self) -> None:
-        self.knowledge = knowledge_parts.Knowledge(60.0, 2.2)
-        self.counts = host_counts.Counts()
+        self.knowledge = knowledge.Knowledge(60.0, 2.2)
+        self.counts = counts.Counts()
         self.entries = entry_replica.EntryReplica(
             adapter.EntryFormat(), self.knowledge, self.counts
         )
 
-    def find_upstream_state(self, name: str) -> upstreams.UpstreamState | None:
-        """Returns the state of an upstream."""
+    def find_upstream_state(self, name: str) -> upstream.UpstreamState | None:
+        """Returns the state of an upstream, or None if it is unknown."""
         found = self.knowledge.directory.get(ids.UpstreamId(f"i-{name}"))
         return found.state if found else None
 
@@ -63,143 +63,145 @@
 
 
 def test_versions_never_go_back() -> None:
-    """A dropped route is served again after it was refused.
+    """Guards against a removed route that is served again.
 
-    Version 8 is in force; a host that was cut off tells of version 7. Cause:
-    the news that came last counted, not the newest.
+    Version 8 is in force, and a host that was partitioned sends version 7. It
+    would be applied if the version received last counted, not the newest.
     """
-    reader = HostReplica()
-    reader.entries.apply("op/config", make_state(8), 20)
-    reader.entries.apply("op/config", make_state(7), 21, "peer")
-    reader.entries.apply("op/config", make_state(9), 19, "peer")
-    assert reader.knowledge.state is not None
-    assert reader.knowledge.state.version == 8
+    replica = HostReplica()
+    replica.entries.apply("op/config", make_state(8), 20)
+    replica.entries.apply("op/config", make_state(7), 21, "peer")
+    replica.entries.apply("op/config", make_state(9), 19, "peer")
+    assert replica.knowledge.state is not None
+    assert replica.knowledge.state.version == 8
 
 
 def test_older_entry_does_not_undo_a_drain() -> None:
-    """An upstream that leaves gets new flows again.
+    """Guards against new flows to an upstream that is draining or has ended.
 
-    The store says that it drains; a host that was cut off tells that it is
-    ready, as it was before. Cause: entries without an order.
+    The store reports the drain, and a host that was partitioned then sends the
+    earlier entry. It would be applied if entries were not ordered by revision.
     """
-    reader = HostReplica()
-    reader.entries.apply(make_key("1"), make_entry("draining"), 30)
-    reader.entries.apply(make_key("1"), make_entry("ready"), 29, "peer")
-    assert reader.find_upstream_state("1") is upstreams.UpstreamState.DRAINING
-    reader.entries.apply(make_key("1"), None, 31)
-    reader.entries.apply(make_key("1"), make_entry("draining"), 30, "peer")
-    assert reader.find_upstream_state("1") is upstreams.UpstreamState.ENDED
+    replica = HostReplica()
+    replica.entries.apply(make_key("1"), make_entry("draining"), 30)
+    replica.entries.apply(make_key("1"), make_entry("ready"), 29, "peer")
+    assert replica.find_upstream_state("1") is upstream.UpstreamState.DRAINING
+    replica.entries.apply(make_key("1"), None, 31)
+    replica.entries.apply(make_key("1"), make_entry("draining"), 30, "peer")
+    assert replica.find_upstream_state("1") is upstream.UpstreamState.ENDED
 
 
 def test_restarted_upstream_replaces_its_former_self() -> None:
-    """A caller's open flow hangs until its limit though its upstream is back.
+    """Guards against flows that hang until their time limit after a restart.
 
-    An upstream crashes and starts again under its name before its entry has
-    lapsed. It does not know the flow. Cause: one identity for both, so the
-    host takes the flow's packets for those of a live one. It must be gone at
-    once, whatever the store's state.
+    An upstream crashes and restarts under the same name before its entry
+    expires. The new incarnation does not know the flows of the former one. If
+    both had the same identity, the host would forward the packets of these
+    flows to it. The former incarnation must end immediately, even if the store
+    is unreliable.
     """
-    reader = HostReplica()
-    reader.entries.apply("op/config", make_state(3), 1)
-    reader.entries.apply(make_key("1"), make_entry(born=1000), 2)
-    reader.knowledge.store_trust.record_failure()
-    reader.entries.apply(make_key("1"), make_entry(born=2000), 3, "peer")
-    assert reader.find_upstream_state("1@1000") is upstreams.UpstreamState.ENDED
-    assert reader.find_upstream_state("1@2000") is upstreams.UpstreamState.READY
-    reader.entries.apply(make_key("1"), make_entry(born=1000), 2, "peer")
-    assert reader.find_upstream_state("1@1000") is upstreams.UpstreamState.ENDED
-    reader.entries.apply(make_key("1"), None, 4, "peer")
+    replica = HostReplica()
+    replica.entries.apply("op/config", make_state(3), 1)
+    replica.entries.apply(make_key("1"), make_entry(born=1000), 2)
+    replica.knowledge.store_trust.record_failure()
+    replica.entries.apply(make_key("1"), make_entry(born=2000), 3, "peer")
+    assert replica.find_upstream_state("1@1000") is upstream.UpstreamState.ENDED
+    assert replica.find_upstream_state("1@2000") is upstream.UpstreamState.READY
+    replica.entries.apply(make_key("1"), make_entry(born=1000), 2, "peer")
+    assert replica.find_upstream_state("1@1000") is upstream.UpstreamState.ENDED
+    replica.entries.apply(make_key("1"), None, 4, "peer")
     assert (
-        reader.find_upstream_state("1@2000") is upstreams.UpstreamState.MISSING
+        replica.find_upstream_state("1@2000") is upstream.UpstreamState.MISSING
     )
 
 
 def test_lines_about_foreign_entries_are_bounded() -> None:
-    """The log of a host is full of one foreign writer's entries.
+    """Guards against a log that is flooded by unreadable entries.
 
-    Somebody writes thousands of unreadable entries in a second; the lines of
-    requests are left out. Cause: a line for each entry.
+    Another writer creates thousands of unreadable entries in a second. With a
+    log line for each of them, the lines of requests are dropped.
     """
-    reader = HostReplica()
+    replica = HostReplica()
     with unittest.TestCase().assertLogs(
         entry_effects.__name__, "ERROR"
     ) as logged:
         for number in range(500):
-            reader.entries.apply(make_key(str(number)), b"{", number + 1)
-    assert reader.counts.get("unreadable_entries_total") == 500
+            replica.entries.apply(make_key(str(number)), b"{", number + 1)
+    assert replica.counts.get("unreadable_entries_total") == 500
     assert len(logged.output) <= 2
 
 
 def test_entries_of_other_writers_name_no_upstream_to_use() -> None:
-    """New flows go to what a foreign entry names, or nowhere at all.
+    """Guards against new flows to the address in a foreign entry, or to none.
 
-    Another writer puts what can't be read under the key of one upstream and
-    under the desired state's. Cause: the entry is taken as far as it goes, or
-    the upstream is used on as if nothing had come.
+    Another writer overwrites the keys of an upstream and of the desired state
+    with unreadable values. The failure occurs if such an entry is applied in
+    part, or if the upstream gets new flows as if its entry had not changed.
     """
-    reader = HostReplica()
-    reader.entries.apply("op/config", make_state(3), 1)
-    reader.entries.apply("op/config", b"{", 2)
-    reader.entries.apply(make_key("1"), make_entry(), 3)
-    reader.entries.apply(make_key("2"), make_entry(), 4)
-    reader.entries.apply(make_key("1"), b'{"Service": 4}', 5)
-    assert reader.knowledge.state is not None
-    assert reader.find_upstream_state("1") is upstreams.UpstreamState.DRAINING
-    assert reader.find_upstream_state("2") is upstreams.UpstreamState.READY
-    assert reader.counts.get("unreadable_entries_total") == 2
-    reader.entries.apply(make_key("1"), make_entry(), 6)
-    assert reader.find_upstream_state("1") is upstreams.UpstreamState.READY
+    replica = HostReplica()
+    replica.entries.apply("op/config", make_state(3), 1)
+    replica.entries.apply("op/config", b"{", 2)
+    replica.entries.apply(make_key("1"), make_entry(), 3)
+    replica.entries.apply(make_key("2"), make_entry(), 4)
+    replica.entries.apply(make_key("1"), b'{"Service": 4}', 5)
+    assert replica.knowledge.state is not None
+    assert replica.find_upstream_state("1") is upstream.UpstreamState.DRAINING
+    assert replica.find_upstream_state("2") is upstream.UpstreamState.READY
+    assert replica.counts.get("unreadable_entries_total") == 2
+    replica.entries.apply(make_key("1"), make_entry(), 6)
+    assert replica.find_upstream_state("1") is upstream.UpstreamState.READY
 
 
 def test_entries_lost_in_an_outage_count_as_missing_until_it_is_over() -> None:
-    """Hosts find no upstream for any service when the store comes back.
+    """Guards against hosts without any upstream when the store recovers.
 
-    Leases ran out while the store was down, so all entries are gone at once;
-    they are back two seconds later. Cause: see the reset of their flows.
+    Leases expired while the store was down, so all entries are absent at the
+    same time; they reappear two seconds later. If absence counted as deletion,
+    the flows of all upstreams would be reset.
     """
-    reader = HostReplica()
-    reader.entries.apply(make_key("1"), make_entry(), 5)
-    reader.knowledge.store_trust.record_failure()
-    reader.entries.apply(make_key("1"), None, 6)
-    assert reader.find_upstream_state("1") is upstreams.UpstreamState.MISSING
-    reader.entries.record_answer()
-    assert reader.find_upstream_state("1") is upstreams.UpstreamState.MISSING
-    assert reader.knowledge.confirmed_at is not None
-    reader.knowledge.remove_missing_upstreams(
-        reader.knowledge.confirmed_at + trust.RETURN_S
+    replica = HostReplica()
+    replica.entries.apply(make_key("1"), make_entry(), 5)
+    replica.knowledge.store_trust.record_failure()
+    replica.entries.apply(make_key("1"), None, 6)
+    assert replica.find_upstream_state("1") is upstream.UpstreamState.MISSING
+    replica.entries.record_answer()
+    assert replica.find_upstream_state("1") is upstream.UpstreamState.MISSING
+    assert replica.knowledge.confirmed_at is not None
+    replica.knowledge.remove_missing_upstreams(
+        replica.knowledge.confirmed_at + trust.RETURN_S
     )
-    assert reader.find_upstream_state("1") is upstreams.UpstreamState.ENDED
+    assert replica.find_upstream_state("1") is upstream.UpstreamState.ENDED
 
 
 def test_snapshot_brings_all_that_another_host_knows() -> None:
-    """A host that starts while the store is down serves nobody.
+    """Guards against a host that starts during a store outage and is useless.
 
-    Its neighbours know all that it needs. Cause: the store was the only
-    source.
+    Other hosts have all entries that it needs, but if the store is its only
+    source, it cannot serve any flow.
     """
-    knowing, started = HostReplica(), HostReplica()
-    knowing.entries.apply("op/config", make_state(4), 7)
-    knowing.entries.apply(make_key("1"), make_entry(), 8)
-    knowing.entries.apply(make_key("2"), make_entry(), 9)
-    knowing.entries.apply(make_key("2"), None, 10)
-    knowing.entries.completeness.advance(10)
-    started.entries.apply_snapshot(knowing.entries.make_snapshot(0, ()), "peer")
+    source, started = HostReplica(), HostReplica()
+    source.entries.apply("op/config", make_state(4), 7)
+    source.entries.apply(make_key("1"), make_entry(), 8)
+    source.entries.apply(make_key("2"), make_entry(), 9)
+    source.entries.apply(make_key("2"), None, 10)
+    source.entries.completeness.advance(10)
+    started.entries.apply_snapshot(source.entries.make_snapshot(0, ()), "peer")
     assert started.knowledge.is_complete()
-    assert started.find_upstream_state("1") is upstreams.UpstreamState.READY
+    assert started.find_upstream_state("1") is upstream.UpstreamState.READY
     assert started.find_upstream_state("2") is None
     assert started.entries.revision == 10
 
 
 def test_snapshot_after_many_deletions_lacks_none() -> None:
-    """A host that was cut off for hours opens flows at upstreams long gone.
+    """Guards against new flows to upstreams that ended hours ago.
 
-    Thousands of upstreams come and go while it is cut off. It then asks
-    another host for what changed. Cause: deletions are not kept for ever, and
-    the answer names only what is kept.
+    Thousands of upstreams start and end while a host is partitioned. It then
+    requests the changes from another host, which has pruned old deletions, so
+    that its answer does not list all of them.
     """
     ahead, behind = HostReplica(), HostReplica()
-    for reader in (ahead, behind):
-        reader.entries.apply_batch(
+    for replica in (ahead, behind):
+        replica.entries.apply_batch(
             [
                 port.WatchEvent(make_key("0"), make_entry(), 1),
                 port.WatchEvent(make_key("1"), make_entry(), 2),
@@ -219,18 +221,18 @@
     behind.entries.apply_snapshot(snapshot, "peer")
     assert behind.entries.revision == ahead.entries.revision
     assert behind.find_upstream_state("0") is ahead.find_upstream_state("0")
-    assert behind.find_upstream_state("0") is not upstreams.UpstreamState.READY
-    assert behind.find_upstream_state("1") is upstreams.UpstreamState.READY
+    assert behind.find_upstream_state("0") is not upstream.UpstreamState.READY
+    assert behind.find_upstream_state("1") is upstream.UpstreamState.READY
 
 
 def test_deletion_long_ago_is_not_undone_by_an_old_entry() -> None:
-    """An upstream that ended hours ago gets flows again.
+    """Guards against new flows to an upstream that ended hours ago.
 
-    A host that was cut off since then tells of its entry. Cause: that it was
-    deleted is no longer kept.
+    A host that has been partitioned since then sends the upstream's entry,
+    and the receiver has pruned its deletion.
     """
-    reader = HostReplica()
-    reader.entries.apply_batch(
+    replica = HostReplica()
+    replica.entries.apply_batch(
         [
             port.WatchEvent(make_key("0"), make_entry(), 1),
             port.WatchEvent(make_key("0"), None, 2),
@@ -238,50 +240,52 @@
     )
     for revision in range(4, 6004, 2):
         key = make_key(f"a{revision}")
-        reader.entries.apply_batch(
+        replica.entries.apply_batch(
             [
                 port.WatchEvent(key, make_entry(), revision),
                 port.WatchEvent(key, None, revision + 1),
             ]
         )
-    assert not reader.entries.apply(make_key("0"), make_entry(), 1, "peer")
+    assert not replica.entries.apply(make_key("0"), make_entry(), 1, "peer")
 
 
 def test_doubt_of_the_host_that_follows_is_taken_over() -> None:
-    """Feeds are reset at hosts that did not see an outage of the store.
+    """Guards against feeds that are reset at hosts that saw no store outage.
 
-    One host of each domain follows the store; entries expired in an outage
-    that it alone saw; it tells the others that they are not there. Cause:
-    the others had no reason to doubt.
+    One host of each domain follows the store. Entries expired in an outage
+    that only this host observed, and it reports their absence to the others.
+    Unless it also reports the outage, the others treat them as deleted.
     """
-    reader = HostReplica()
-    reader.entries.apply(make_key("1"), make_entry(), 5)
-    gone = entry_lines.StoreEntry(make_key("1"), None, 6)
-    reader.entries.apply_update(messages.News(5, 6, False, (gone,)), "peer")
-    assert reader.find_upstream_state("1") is upstreams.UpstreamState.MISSING
+    replica = HostReplica()
+    replica.entries.apply(make_key("1"), make_entry(), 5)
+    deletion = store_entry.StoreEntry(make_key("1"), None, 6)
+    replica.entries.apply_update(
+        messages.News(5, 6, False, (deletion,)), "peer"
+    )
+    assert replica.find_upstream_state("1") is upstream.UpstreamState.MISSING
 
 
 def test_lost_news_are_not_taken_for_known() -> None:
-    """One host goes on sending new flows to an upstream that drains.
+    """Guards against a host that sends new flows to a draining upstream.
 
-    The datagram that tells so is lost; the next one comes and is newer than
-    all that the host knows, so it does not see that it is behind. Cause: the
-    newest revision taken for completeness.
+    The datagram that reports the drain is lost, and the next one arrives. If
+    the newest revision received counted as complete, the host would not notice
+    that its entries are out of date.
     """
-    reader = HostReplica()
-    reader.entries.completeness.advance(5)
+    replica = HostReplica()
+    replica.entries.completeness.advance(5)
     first, second = (
-        entry_lines.StoreEntry(
+        store_entry.StoreEntry(
             make_key(str(number)), make_entry("draining"), rev
         )
         for number, rev in ((1, 6), (2, 7))
     )
     lost = messages.News(5, 6, True, (first,))
-    reader.entries.apply_update(messages.News(6, 7, True, (second,)), "peer")
-    assert reader.find_upstream_state("2") is upstreams.UpstreamState.DRAINING
-    assert reader.entries.revision == 5
-    reader.entries.apply_update(lost, "peer")
-    assert reader.entries.revision == 6
+    replica.entries.apply_update(messages.News(6, 7, True, (second,)), "peer")
+    assert replica.find_upstream_state("2") is upstream.UpstreamState.DRAINING
+    assert replica.entries.revision == 5
+    replica.entries.apply_update(lost, "peer")
+    assert replica.entries.revision == 6
 
 
 @hypothesis.given(
@@ -292,36 +296,36 @@
     steps: list[int], lost: set[int]
 ) -> None:
     revision = 10
-    entries: list[entry_lines.StoreEntry] = []
+    entries: list[store_entry.StoreEntry] = []
     for number, step in enumerate(steps):
         revision += step if entries else 1
         entries.append(
-            entry_lines.StoreEntry(
+            store_entry.StoreEntry(
                 make_key(str(number)), make_entry(), revision
             )
         )
-    reader = HostReplica()
-    reader.entries.completeness.advance(10)
-    packs = news.split_news(10, True, entries)
-    for number, pack in enumerate(packs):
+    replica = HostReplica()
+    replica.entries.completeness.advance(10)
+    updates = news.split_news(10, True, entries)
+    for number, update in enumerate(updates):
         if number not in lost:
-            reader.entries.apply_update(pack, "peer")
+            replica.entries.apply_update(update, "peer")
     missing = [
         entry.revision
         for number in lost
-        if number < len(packs)
-        for entry in packs[number].entries
+        if number < len(updates)
+        for entry in updates[number].entries
     ]
     if missing:
-        assert reader.entries.revision < min(missing)
+        assert replica.entries.revision < min(missing)
     elif entries:
-        assert reader.entries.revision == entries[-1].revision
+        assert replica.entries.revision == entries[-1].revision
 
 
 @hypothesis.given(strategies.permutations(range(1, 7)))
 def test_order_of_news_does_not_matter(order: list[int]) -> None:
-    reader = HostReplica()
-    news = {
+    replica = HostReplica()
+    values = {
         1: make_entry("ready"),
         2: make_entry("draining"),
         3: None,
@@ -330,35 +334,39 @@
         6: make_entry("ready"),
     }
     for revision in order:
-        reader.entries.apply(make_key("1"), news[revision], revision)
-    assert reader.find_upstream_state("1") is upstreams.UpstreamState.READY
+        replica.entries.apply(make_key("1"), values[revision], revision)
+    assert replica.find_upstream_state("1") is upstream.UpstreamState.READY
 
 
 @hypothesis.given(strategies.text(max_size=20), strategies.binary(max_size=80))
 def test_no_entry_ends_the_host(name: str, value: bytes) -> None:
-    reader = HostReplica()
-    reader.entries.apply("op/config", value, 1)
-    reader.entries.apply(f"servers/{name}", value, 2)
-    reader.entries.apply(f"servers/{name}", make_entry(), 3)
+    replica = HostReplica()
+    replica.entries.apply("op/config", value, 1)
+    replica.entries.apply(f"servers/{name}", value, 2)
+    replica.entries.apply(f"servers/{name}", make_entry(), 3)
 
 
 def test_news_without_entries_confirm_what_is_known() -> None:
-    """Guards against a host that asks the store what another one just heard."""
-    reader = HostReplica()
-    reader.entries.apply("op/config", make_state(1), 3)
-    (told,) = news.split_news(3, True, [])
-    reader.entries.apply_update(told, "10.0.0.2")
-    assert reader.knowledge.confirmed_at is None
-    reader.entries.apply_batch([port.WatchEvent("op/config", make_state(2), 4)])
-    (told,) = news.split_news(4, True, [])
-    reader.entries.apply_update(told, "10.0.0.2")
-    assert reader.knowledge.confirmed_at is not None
+    """Guards against a host that calls the store just after another one did."""
+    replica = HostReplica()
+    replica.entries.apply("op/config", make_state(1), 3)
+    (update,) = news.split_news(3, True, [])
+    replica.entries.apply_update(update, "10.0.0.2")
+    assert replica.knowledge.confirmed_at is None
+    replica.entries.apply_batch(
+        [port.WatchEvent("op/config", make_state(2), 4)]
+    )
+    (update,) = news.split_news(4, True, [])
+    replica.entries.apply_update(update, "10.0.0.2")
+    assert replica.knowledge.confirmed_at is not None
 
 
 def test_news_of_what_is_not_known_here_confirm_nothing() -> None:
-    """Guards against a host that takes itself for current and lacks a drain."""
-    reader = HostReplica()
-    reader.entries.apply_batch([port.WatchEvent("op/config", make_state(1), 3)])
-    (told,) = news.split_news(9, True, [])
-    reader.entries.apply_update(told, "10.0.0.2")
-    assert reader.knowledge.confirmed_at is None
+    """Guards against a host that counts as current but has missed a drain."""
+    replica = HostReplica()
+    replica.entries.apply_batch(
+        [port.WatchEvent("op/config", make_state(1), 3)]
+    )
+    (update,) = news.split_news(9, True, [])
+    replica.entries.apply_update(update, "10.0.0.2")
+    assert replica.knowledge.confirmed_at is None
--- a/tests/test_forwarding/test_forwarding_entry_replica_reads.py
+++ b/tests/test_forwarding/test_forwarding_entry_replica_reads.py
@@ -1,18 +1,18 @@
-"""Tests of a host that reads the store while it changes."""
+"""Tests of reads of a store whose entries change at the same time."""
 
 from __future__ import annotations
 
-from persimmonhinge.forwarding import upstream as upstreams
+from persimmonhinge.forwarding import upstream
 from persimmonhinge.store import blocking_transport
 from persimmonhinge.store import port
 from tests.test_forwarding import test_forwarding_entry_replica as readers
 
 
 class ChangingStore:
-    """A store in which a change comes between two pages of a reading.
+    """A store that changes between two pages of a read.
 
     Attributes:
-        calls: Readings that were asked for.
+        calls: Number of reads requested.
     """
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         self._revision = 4
 
     async def get_prefix(self, prefix: str, limit: int = 0) -> port.PrefixState:
-        """See `port.PlatformReader`; the desired state is the first page."""
+        """See `port.PlatformReader`; the first page holds the desired state."""
         self.calls += 1
         revision = self._revision
         first = self._list("op/", prefix)
@@ -49,71 +49,74 @@
 
 
 def test_one_call_reads_all_entries() -> None:
-    """Guards against calls to the store that a start could do without."""
+    """Guards against unnecessary calls to the store at startup."""
     store = ChangingStore()
-    reader = readers.HostReplica()
+    replica = readers.HostReplica()
     blocking_transport.run(
-        reader.entries.read_all(store)  # type: ignore[arg-type]
+        replica.entries.read_all(store)  # type: ignore[arg-type]
     )
     assert store.calls == 1
 
 
 def test_host_that_misses_a_state_between_two_readings_knows_it() -> None:
-    """A route that was added is refused by one host for as long as it lives.
+    """Guards against a host that refuses an added route until it restarts.
 
-    The host starts and reads the desired state, which changes, and then the
-    upstreams, of which one enters itself after that change. It has the newest
-    revision of all, so it never asked others for what it lacks.
+    A starting host reads the desired state, which then changes, and after it
+    the upstreams, of which one is registered after that change. If the host
+    counted as complete to the newest revision, it would never request the
+    desired state that it missed.
     """
-    reader = readers.HostReplica()
-    read = reader.entries.read_all(ChangingStore())  # type: ignore[arg-type]
+    replica = readers.HostReplica()
+    read = replica.entries.read_all(ChangingStore())  # type: ignore[arg-type]
     blocking_transport.run(read)
-    assert reader.find_upstream_state("1") is upstreams.UpstreamState.READY
-    assert reader.entries.revision < 5
+    assert replica.find_upstream_state("1") is upstream.UpstreamState.READY
+    assert replica.entries.revision < 5
 
 
 def test_change_that_a_reading_brought_is_told_by_the_watch() -> None:
-    """A drain is known to the host that follows the store, and to no other.
+    """Guards against a drain that only the host following the store knows.
 
-    It came between two readings, so the second one brought it, and the watch
-    that goes on from the first tells nothing new.
+    The change occurs between two pages, so the second page returns it, and
+    the watch, which starts at the revision of the first page, delivers it
+    again as an entry that is not newer.
     """
-    reader = readers.HostReplica()
+    replica = readers.HostReplica()
     store = ChangingStore()
     blocking_transport.run(
-        reader.entries.read_all(store)  # type: ignore[arg-type]
+        replica.entries.read_all(store)  # type: ignore[arg-type]
     )
-    told: list[int] = []
-    reader.entries.on_changes = lambda after, lines: told.extend(
-        line.revision for line in lines
+    reported: list[int] = []
+    replica.entries.on_changes = lambda after, entries: reported.extend(
+        entry.revision for entry in entries
     )
     events = [
         port.WatchEvent("op/config", readers.make_state(2), 5),
         port.WatchEvent(readers.make_key("1"), readers.make_entry(), 6),
     ]
-    reader.entries.apply_batch(events)
-    assert told == [5, 6]
-    assert reader.entries.revision == 6
-    reader.entries.apply_batch(events)
-    assert told == [5, 6]
+    replica.entries.apply_batch(events)
+    assert reported == [5, 6]
+    assert replica.entries.revision == 6
+    replica.entries.apply_batch(events)
+    assert reported == [5, 6]
 
 
 def test_what_a_new_reading_brings_is_told_at_once() -> None:
-    """New requests reach an upstream five seconds after it said it leaves.
+    """Guards against requests to an upstream five seconds after its drain.
 
-    The watch of the host that follows the store had gone silent, so it reads
-    all entries anew. The others of its domain hear of the drain only after
-    its next report, which comes the later the more hosts there are.
+    The watch of the host that follows the store stopped delivering changes, so
+    the host reads all entries again. Without an immediate report, the other
+    hosts of its domain learn of the drain only after its next regular report,
+    whose interval grows with the number of hosts.
     """
-    reader = readers.HostReplica()
+    replica = readers.HostReplica()
     store = ChangingStore()
-    told: list[tuple[int, list[int]]] = []
-    reader.entries.on_changes = lambda after, lines: told.append(
-        (after, [line.revision for line in lines])
+    reported: list[tuple[int, list[int]]] = []
+    replica.entries.on_changes = lambda after, entries: reported.append(
+        (after, [entry.revision for entry in entries])
     )
     for _ in range(3):
         blocking_transport.run(
-            reader.entries.read_all(store)  # type: ignore[arg-type]
+            replica.entries.read_all(store)  # type: ignore[arg-type]
         )
-    # All of a first reading is known to those that run already.
-    assert told == [(3, [5, 6])]
+    # Changes found by the first read are known to the other running hosts.
+    assert reported == [(3, [5, 6])]
--- a/tests/test_forwarding/test_forwarding_omitted_state.py
+++ b/tests/test_forwarding/test_forwarding_omitted_state.py
@@ -1,4 +1,4 @@
-"""Tests of hosts that hear of upstreams before a long desired state."""
+"""Tests of updates and snapshots that omit a long desired state."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from hypothesis import strategies
 import msgspec
 
-from persimmonhinge.forwarding import store_entry as entry_lines
-from persimmonhinge.forwarding import upstream as upstreams
+from persimmonhinge.forwarding import store_entry
+from persimmonhinge.forwarding import upstream as upstream_module
 from persimmonhinge.forwarding.peers import messages
-from persimmonhinge.forwarding.peers import news as news_packs
+from persimmonhinge.forwarding.peers import news as news_module
 from persimmonhinge.store import port
 from tests.test_forwarding import test_forwarding_entry_replica as readers
 
@@ -20,36 +20,38 @@
 _LONG_OCTETS = 20_000
 _HOSTS = 4
 _SOURCE = "peer"
-# Share of news that do not arrive.
+# Probability that an update is lost.
 _LOSS_PROBABILITY = 0.4
 
 
 def make_long_state(version: int) -> bytes:
-    """Returns a desired state that is passed on by itself."""
+    """Returns a desired state long enough to be sent separately."""
     document = {"Version": version, "Routes": [], "Notes": "x" * _LONG_OCTETS}
     return msgspec.json.encode(document)
 
 
 def apply_store_change(
-    reader: readers.HostReplica, key: str, value: bytes | None, revision: int
+    replica: readers.HostReplica, key: str, value: bytes | None, revision: int
 ) -> list[messages.News]:
-    """Has the store tell a host of a change; returns the news of it."""
-    told: list[messages.News] = []
+    """Applies a change of the store to a host; returns the updates it sends."""
+    updates: list[messages.News] = []
 
-    def note(after: int, entries: list[entry_lines.StoreEntry]) -> None:
-        told.extend(news_packs.split_news(after, True, entries))
+    def record_changes(
+        after: int, entries: list[store_entry.StoreEntry]
+    ) -> None:
+        updates.extend(news_module.split_news(after, True, entries))
 
-    reader.entries.on_changes = note
-    reader.entries.apply_batch([port.WatchEvent(key, value, revision)])
-    return [omit_long_state(news) for news in told]
+    replica.entries.on_changes = record_changes
+    replica.entries.apply_batch([port.WatchEvent(key, value, revision)])
+    return [omit_long_state(update) for update in updates]
 
 
 def omit_long_state(news: messages.News) -> messages.News:
-    """Returns news as they are sent: without a long desired state."""
-    octets = sum(len(line.value or b"") for line in news.entries)
+    """Returns an update as it is sent, without a long desired state."""
+    octets = sum(len(entry.value or b"") for entry in news.entries)
     if octets < _LONG_OCTETS:
         return news
-    return news_packs.leave_state_out(news, _STATE_KEY)
+    return news_module.leave_state_out(news, _STATE_KEY)
 
 
 def pull(
@@ -58,7 +60,7 @@
     *,
     short: bool,
 ) -> None:
-    """Has a host pull from another one."""
+    """Makes a host pull a snapshot from another one."""
     entries = requester.entries
     if short:
         since = entries.completeness.upstreams_revision
@@ -69,26 +71,26 @@
         entries.apply_snapshot(snapshot, _SOURCE)
 
 
-def find_version(reader: readers.HostReplica) -> int:
-    """Returns the version that is in force, 0 without one."""
-    state = reader.knowledge.state
+def find_version(replica: readers.HostReplica) -> int:
+    """Returns the version in force, or 0 if there is none."""
+    state = replica.knowledge.state
     return state.version if state is not None else 0
 
 
 def test_drain_in_one_batch_with_a_long_state_is_told() -> None:
-    """An upstream that left gets new flows at all hosts but one.
+    """Guards against new flows to a draining upstream from most hosts.
 
-    The store tells of a drain and of a long desired state in one answer. Both
-    stood in one datagram, which was too long and so was not sent.
+    The store reports a drain and a long desired state in one answer. If both
+    go into one datagram, it is too long and is not sent.
     """
     ahead, behind = readers.HostReplica(), readers.HostReplica()
-    for reader in (ahead, behind):
-        reader.entries.apply_batch(
+    for replica in (ahead, behind):
+        replica.entries.apply_batch(
             [port.WatchEvent(readers.make_key("1"), readers.make_entry(), 5)]
         )
     sent: list[messages.News] = []
-    ahead.entries.on_changes = lambda after, lines: sent.extend(
-        news_packs.split_news(after, True, lines)
+    ahead.entries.on_changes = lambda after, entries: sent.extend(
+        news_module.split_news(after, True, entries)
     )
     drain = readers.make_entry("draining")
     ahead.entries.apply_batch(
@@ -97,23 +99,28 @@
             port.WatchEvent(_STATE_KEY, make_long_state(2), 7),
         ]
     )
-    for news in sent:
-        behind.entries.apply_update(omit_long_state(news), _SOURCE)
-    assert behind.find_upstream_state("1") is upstreams.UpstreamState.DRAINING
+    for update in sent:
+        behind.entries.apply_update(omit_long_state(update), _SOURCE)
+    assert (
+        behind.find_upstream_state("1")
+        is upstream_module.UpstreamState.DRAINING
+    )
     assert behind.entries.completeness.is_state_missing()
 
 
 def test_host_without_the_new_state_is_not_taken_for_complete() -> None:
-    """A route that was added is refused at some hosts for seconds.
+    """Guards against hosts that refuse an added route for seconds.
 
-    They have all entries of upstreams, and so the highest revision, but not
-    the desired state that came between.
+    They have all upstream entries, and with them the highest revision, but not
+    the desired state that was written before the last of these entries.
     """
     ahead, behind = readers.HostReplica(), readers.HostReplica()
     apply_store_change(ahead, _STATE_KEY, make_long_state(2), 5)
     apply_store_change(ahead, readers.make_key("1"), readers.make_entry(), 6)
     pull(behind, ahead, short=True)
-    assert behind.find_upstream_state("1") is upstreams.UpstreamState.READY
+    assert (
+        behind.find_upstream_state("1") is upstream_module.UpstreamState.READY
+    )
     assert behind.entries.completeness.upstreams_revision == 6
     assert behind.entries.revision == 0
     pull(behind, ahead, short=False)
@@ -122,15 +129,16 @@
 
 
 def test_host_of_an_earlier_release_waits_for_the_state_left_out() -> None:
-    """In the middle of an upgrade a host never hears of a desired state.
+    """Guards against a host that misses a desired state during an upgrade.
 
-    It knows no news without it, and would take itself for complete; so the
-    field that it reads names what it had before.
+    A host of an earlier release does not support updates that omit the state,
+    and would count itself as complete. Therefore, the field that it reads
+    holds the revision before the update.
     """
-    state = entry_lines.StoreEntry(_STATE_KEY, make_long_state(2), 7)
-    drain = entry_lines.StoreEntry(readers.make_key("1"), b"", 6)
-    news = messages.News(5, 7, True, (drain, state))
-    assert news_packs.leave_state_out(news, _STATE_KEY).upto == 5
+    state = store_entry.StoreEntry(_STATE_KEY, make_long_state(2), 7)
+    drain = store_entry.StoreEntry(readers.make_key("1"), b"", 6)
+    update = messages.News(5, 7, True, (drain, state))
+    assert news_module.leave_state_out(update, _STATE_KEY).upto == 5
 
 
 def test_news_after_a_state_left_out_go_on_for_upstreams() -> None:
@@ -141,9 +149,9 @@
             ahead, readers.make_key("1"), readers.make_entry(), 6
         ),
     ]
-    for told in changes:
-        for news in told:
-            behind.entries.apply_update(news, _SOURCE)
+    for updates in changes:
+        for update in updates:
+            behind.entries.apply_update(update, _SOURCE)
     assert behind.entries.completeness.upstreams_revision == 6
     assert behind.entries.completeness.is_state_missing()
 
@@ -153,14 +161,14 @@
 
     Attributes:
         upstream: Number of the upstream, 0 for the desired state.
-        full: Whether the state is long, or the upstream is there.
+        full: Whether the state is long, or the upstream exists.
     """
 
     upstream: int
     full: bool
 
     def make_event(self, revision: int) -> port.WatchEvent:
-        """Returns the change as the store tells it."""
+        """Returns the change as an event of the store's watch."""
         if self.upstream == 0:
             make_state = make_long_state if self.full else readers.make_state
             return port.WatchEvent(_STATE_KEY, make_state(revision), revision)
@@ -173,9 +181,9 @@
     """A pull of one host from another.
 
     Attributes:
-        asking: Number of the host that pulls; 0 follows the store.
-        asked: Number of the other host.
-        short: Whether a long desired state is left out.
+        requester: Number of the host that pulls; host 0 follows the store.
+        provider: Number of the host that it pulls from.
+        short: Whether a long desired state is omitted.
     """
 
     requester: int
@@ -199,9 +207,12 @@
     strategies.randoms(use_true_random=False),
 )
 def test_no_host_takes_itself_for_further_than_it_is(
-    steps: list[Change | Pull], luck: random.Random
+    steps: list[Change | Pull], rng: random.Random
 ) -> None:
-    """Hosts pull from each other in any order, and news are lost."""
+    """Guards against a host that claims revisions whose entries it lacks.
+
+    Hosts pull from each other in any order, and updates are lost.
+    """
     hosts = [readers.HostReplica() for _ in range(_HOSTS)]
     changes: dict[str, list[int]] = {}
     for revision, step in enumerate(steps, 1):
@@ -210,7 +221,7 @@
         else:
             event = step.make_event(revision)
             changes.setdefault(event.key, []).append(revision)
-            distribute_change(hosts, event, luck)
+            distribute_change(hosts, event, rng)
         for host in hosts:
             check_revisions(host, changes)
 
@@ -218,59 +229,63 @@
 def distribute_change(
     hosts: list[readers.HostReplica],
     event: port.WatchEvent,
-    luck: random.Random,
+    rng: random.Random,
 ) -> None:
-    """Has the store tell the first host, and that one the others."""
+    """Applies a change to the first host, which sends updates to the others."""
     first, *others = hosts
-    told = apply_store_change(first, event.key, event.value, event.mod_revision)
-    for news in told:
+    updates = apply_store_change(
+        first, event.key, event.value, event.mod_revision
+    )
+    for update in updates:
         for host in others:
-            if luck.random() >= _LOSS_PROBABILITY:
-                host.entries.apply_update(news, _SOURCE)
+            if rng.random() >= _LOSS_PROBABILITY:
+                host.entries.apply_update(update, _SOURCE)
 
 
 def check_revisions(
     host: readers.HostReplica, changes: dict[str, list[int]]
 ) -> None:
-    """Checks that a host knows all changes up to its revisions."""
-    known = {
-        line.key: line.revision
-        for line in host.entries.make_snapshot(0, ()).entries
+    """Checks that a host has all changes up to its revisions."""
+    known_revisions = {
+        entry.key: entry.revision
+        for entry in host.entries.make_snapshot(0, ()).entries
     }
     for key, revisions in changes.items():
-        claimed = host.entries.completeness.upstreams_revision
+        claimed_revision = host.entries.completeness.upstreams_revision
         if key == _STATE_KEY:
-            claimed = host.entries.revision
-        due = [revision for revision in revisions if revision <= claimed]
-        assert known.get(key, 0) >= max(due, default=0)
+            claimed_revision = host.entries.revision
+        covered_revisions = [
+            revision for revision in revisions if revision <= claimed_revision
+        ]
+        assert known_revisions.get(key, 0) >= max(covered_revisions, default=0)
 
 
 class FormerNews(msgspec.Struct, frozen=True, array_like=True, tag="news"):
-    """News as hosts of an earlier release read them."""
+    """An update as hosts of an earlier release decode it."""
 
     after: int
     upto: int
     settled: bool
-    entries: tuple[entry_lines.StoreEntry, ...]
+    entries: tuple[store_entry.StoreEntry, ...]
 
 
 class FormerRequest(msgspec.Struct, frozen=True, array_like=True, tag="pull"):
-    """A request as hosts of an earlier release read it."""
+    """A pull request as hosts of an earlier release decode it."""
 
     since: int
     packed: bool = False
 
 
 def test_hosts_of_an_earlier_release_read_what_they_are_sent() -> None:
-    """In the middle of an upgrade, hosts drop what others tell them."""
-    drain = entry_lines.StoreEntry(readers.make_key("1"), b"", 6)
-    news = messages.News(5, 5, True, (drain,), upstreams_upto=7)
+    """Guards against messages that hosts drop during an upgrade."""
+    drain = store_entry.StoreEntry(readers.make_key("1"), b"", 6)
+    update = messages.News(5, 5, True, (drain,), upstreams_upto=7)
     former = msgspec.msgpack.decode(
-        msgspec.msgpack.encode(news), type=FormerNews
+        msgspec.msgpack.encode(update), type=FormerNews
     )
     assert (former.after, former.upto) == (5, 5)
     request = messages.PullRequest(5, packed=True, short=True)
-    asked = msgspec.msgpack.decode(
+    former_request = msgspec.msgpack.decode(
         msgspec.msgpack.encode(request), type=FormerRequest
     )
-    assert asked == FormerRequest(5, packed=True)
+    assert former_request == FormerRequest(5, packed=True)
