--- a/tests/test_forwarding/failed_hosts.py
+++ b/tests/test_forwarding/failed_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts that lose power around a change that the store acknowledges."""
+"""Scenarios of hosts that lose power around an acknowledged change."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import trio
 
-from benchmarks import fleet as fleets
+from benchmarks import fleet as fleet_module
 from tests.support import trios
 
 _HOSTS = 12
@@ -16,114 +16,117 @@
 _SEED = 3
 _DISCOVERY_S = 6.0
 _POLL_INTERVAL_S = 0.05
-# In which a change must be known, seconds.
+# Time after which a change must be known to all running hosts, seconds.
 _PROPAGATION_LIMIT_S = 6.0
 _OUTAGE_S = 2.0
 _SHORT_DELAY_S = 0.2
 
-# Has a change be acknowledged.
-Change = Callable[[fleets.Fleet], None]
-# Has hosts lose power around a change.
-FailureScenario = Callable[[fleets.Fleet, Change], Awaitable[None]]
-# Tells whether a host knows the change.
-HasChange = Callable[[fleets.Fleet, fleets.Host], bool]
+# Makes the store acknowledge a change.
+Change = Callable[[fleet_module.Fleet], None]
+# Makes a change and stops hosts around it.
+FailureScenario = Callable[[fleet_module.Fleet, Change], Awaitable[None]]
+# Returns whether a host has the change.
+HasChange = Callable[[fleet_module.Fleet, fleet_module.Host], bool]
 
 
 class VersionRecorder:
-    """Notes what processes believe, at short intervals."""
+    """Records the versions in force on each host, at short intervals."""
 
-    def __init__(self, fleet: fleets.Fleet) -> None:
+    def __init__(self, fleet: fleet_module.Fleet) -> None:
         self._fleet = fleet
-        # Versions of each process, without repetitions.
+        # Versions of each process, without consecutive duplicates.
         self.versions: dict[int, list[int]] = {}
 
     async def run(self) -> None:
-        """Notes until cancelled."""
+        """Records versions until cancelled."""
         while True:
             await trio.sleep(_POLL_INTERVAL_S)
             for host in self._fleet.hosts:
                 state = host.core.knowledge.state
-                seen = self.versions.setdefault(id(host), [])
-                if state is not None and state.version not in seen[-1:]:
-                    seen.append(state.version)
+                versions = self.versions.setdefault(id(host), [])
+                if state is not None and state.version not in versions[-1:]:
+                    versions.append(state.version)
 
 
-def list_followers(fleet: fleets.Fleet) -> list[fleets.Host]:
-    """Returns the hosts that follow the store, one of each domain."""
+def list_followers(fleet: fleet_module.Fleet) -> list[fleet_module.Host]:
+    """Returns the hosts that follow the store, one for each failure domain."""
     now = trio.current_time()
     return [host for host in fleet.hosts if host.role.is_due(now)]
 
 
-async def fail_follower(fleet: fleets.Fleet, change: Change) -> None:
-    """Takes the power from a host that follows, as the store acknowledges."""
-    lost, *_ = list_followers(fleet)
+async def fail_follower(fleet: fleet_module.Fleet, change: Change) -> None:
+    """Stops a following host immediately after the acknowledgement."""
+    failed, *_ = list_followers(fleet)
     change(fleet)
-    fleet.stop(lost)
+    fleet.stop(failed)
 
 
 async def fail_follower_before_change(
-    fleet: fleets.Fleet, change: Change
+    fleet: fleet_module.Fleet, change: Change
 ) -> None:
-    """The same, a moment before the change is acknowledged."""
-    lost, *_ = list_followers(fleet)
-    fleet.stop(lost)
+    """Stops a following host immediately before the acknowledgement."""
+    failed, *_ = list_followers(fleet)
+    fleet.stop(failed)
     change(fleet)
 
 
 async def fail_follower_after_delay(
-    fleet: fleets.Fleet, change: Change
+    fleet: fleet_module.Fleet, change: Change
 ) -> None:
-    """The same, once the host may have told some others."""
-    lost, *_ = list_followers(fleet)
+    """Stops a following host after it may have sent the change to others."""
+    failed, *_ = list_followers(fleet)
     change(fleet)
     await trio.sleep(_SHORT_DELAY_S)
-    fleet.stop(lost)
+    fleet.stop(failed)
 
 
-async def fail_two_followers(fleet: fleets.Fleet, change: Change) -> None:
-    """Takes the power from the hosts that follow for two domains."""
-    lost = list_followers(fleet)[:2]
+async def fail_two_followers(fleet: fleet_module.Fleet, change: Change) -> None:
+    """Stops the following hosts of two failure domains."""
+    failed = list_followers(fleet)[:2]
     change(fleet)
-    for host in lost:
+    for host in failed:
         fleet.stop(host)
 
 
 async def fail_and_restart_follower(
-    fleet: fleets.Fleet, change: Change
+    fleet: fleet_module.Fleet, change: Change
 ) -> None:
-    """Gives the host its power back."""
-    lost, *_ = list_followers(fleet)
+    """Stops a following host after the change, and restarts it later."""
+    failed, *_ = list_followers(fleet)
     change(fleet)
-    fleet.stop(lost)
+    fleet.stop(failed)
     await trio.sleep(_OUTAGE_S)
-    fleet.restart(lost)
+    fleet.restart(failed)
 
 
 async def fail_follower_after_store_outage(
-    fleet: fleets.Fleet, change: Change
+    fleet: fleet_module.Fleet, change: Change
 ) -> None:
-    """A change right after an outage of the store, then the power goes."""
+    """Stops a following host after a change right after a store outage."""
     fleet.store.go_down()
     await trio.sleep(_OUTAGE_S)
     fleet.store.is_down = False
-    lost, *_ = list_followers(fleet)
+    failed, *_ = list_followers(fleet)
     change(fleet)
-    fleet.stop(lost)
+    fleet.stop(failed)
     await trio.sleep(_OUTAGE_S)
-    fleet.restart(lost)
+    fleet.restart(failed)
 
 
 async def fail_follower_of_partitioned_domain(
-    fleet: fleets.Fleet, change: Change
+    fleet: fleet_module.Fleet, change: Change
 ) -> None:
-    """A domain that is cut off misses the change, and then comes back."""
-    lost = list_followers(fleet)[0]
-    fleet.cut_domain = lost.domain
+    """Makes a change while a failure domain is partitioned.
+
+    Its following host is stopped and restarted before the partition ends.
+    """
+    failed = list_followers(fleet)[0]
+    fleet.cut_domain = failed.domain
     await trio.sleep(_SHORT_DELAY_S)
     change(fleet)
-    fleet.stop(lost)
+    fleet.stop(failed)
     await trio.sleep(_OUTAGE_S)
-    fleet.restart(lost)
+    fleet.restart(failed)
     await trio.sleep(_OUTAGE_S)
     fleet.cut_domain = ""
 
@@ -131,39 +134,39 @@
 async def count_late_hosts(
     scenario: FailureScenario, change: Change, has_change: HasChange
 ) -> int:
-    """Plays a way of losing hosts; returns the hosts that know too late.
+    """Runs a scenario; returns the number of hosts that have the change late.
 
     Raises:
-        AssertionError: A process fell back to an earlier version.
+        AssertionError: A host reverted to an earlier version.
     """
-    fleet = fleets.Fleet(_HOSTS, _DOMAINS, _SEED)
-    watcher = VersionRecorder(fleet)
-    async with fleets.run_fleet(fleet) as nursery:
-        nursery.start_soon(watcher.run)
+    fleet = fleet_module.Fleet(_HOSTS, _DOMAINS, _SEED)
+    recorder = VersionRecorder(fleet)
+    async with fleet_module.run_fleet(fleet) as nursery:
+        nursery.start_soon(recorder.run)
         await trio.sleep(_DISCOVERY_S)
         await scenario(fleet, change)
         await trio.sleep(_PROPAGATION_LIMIT_S)
-        late = [
+        late_hosts = [
             host
             for host in fleet.hosts
             if not host.scope.cancel_called and not has_change(fleet, host)
         ]
-    for seen in watcher.versions.values():
+    for seen in recorder.versions.values():
         assert seen == sorted(seen), seen
-    return len(late)
+    return len(late_hosts)
 
 
 def run_scenario(
     scenario: FailureScenario, change: Change, has_change: HasChange
 ) -> int:
-    """Plays a way on a mock clock."""
-    late: list[int] = []
+    """Runs a scenario on a mock clock; returns the number of late hosts."""
+    late_counts: list[int] = []
 
     async def run() -> None:
-        late.append(await count_late_hosts(scenario, change, has_change))
+        late_counts.append(await count_late_hosts(scenario, change, has_change))
 
     trios.run_in_order(_SEED, functools.partial(run))
-    return late[0]
+    return late_counts[0]
 
 
 SCENARIOS: tuple[FailureScenario, ...] = (
--- a/tests/test_forwarding/test_forwarding_evacuation.py
+++ b/tests/test_forwarding/test_forwarding_evacuation.py
@@ -1,13 +1,13 @@
-"""Tests of failure domains that operators evacuate."""
+"""Tests of the evacuation of failure domains by operators."""
 
 from __future__ import annotations
 
 import trio
 
-from benchmarks import fleet as fleets
+from benchmarks import fleet as fleet_module
 from persimmonhinge import ids
-from persimmonhinge.forwarding import store_entry as entry_lines
-from persimmonhinge.forwarding import upstream as upstreams
+from persimmonhinge.forwarding import store_entry
+from persimmonhinge.forwarding import upstream as upstream_module
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.store import port
 from tests.support import trios
@@ -24,7 +24,7 @@
 
 
 class FixedStore:
-    """A store that shows some entries in one reading."""
+    """A store that returns a fixed set of entries."""
 
     def __init__(self, state: port.PrefixState) -> None:
         self._state = state
@@ -37,11 +37,11 @@
 
 
 def read_store(
-    reader: readers.HostReplica, revision: int, *values: port.KeyValue
+    replica: readers.HostReplica, revision: int, *values: port.KeyValue
 ) -> None:
-    """Has a host read all entries of a store."""
-    pages = FixedStore(port.PrefixState(revision, values))
-    trio.run(reader.entries.read_all, pages)  # type: ignore[arg-type]
+    """Makes a host read all entries of a store with the given values."""
+    store = FixedStore(port.PrefixState(revision, values))
+    trio.run(replica.entries.read_all, store)  # type: ignore[arg-type]
 
 
 def make_scene() -> scenes.Scene:
@@ -57,7 +57,7 @@
 def list_new_flow_domains(
     scene: scenes.Scene, first_port: int = 1000
 ) -> set[ids.DomainId]:
-    """Returns the failure domains that new flows go to, one at a time."""
+    """Opens flows one at a time; returns the failure domains they go to."""
     found = set()
     for caller in range(first_port, first_port + _FLOWS):
         opened = scene.open(caller)
@@ -71,30 +71,32 @@
     return found
 
 
-def evacuate(fleet: fleets.Fleet) -> None:
-    """Has the evacuation of a domain be acknowledged."""
+def evacuate(fleet: fleet_module.Fleet) -> None:
+    """Makes the store acknowledge the evacuation of a failure domain."""
     fleet.store.evacuate(_DOMAIN)
 
 
-def has_evacuation(fleet: fleets.Fleet, host: fleets.Host) -> bool:
-    """Tells whether a host keeps new flows away from the domain."""
+def has_evacuation(fleet: fleet_module.Fleet, host: fleet_module.Host) -> bool:
+    """Returns whether a host has applied the evacuation of the domain."""
     return host.core.knowledge.evacuated == {_DOMAIN}
 
 
-def has_no_evacuation(fleet: fleets.Fleet, host: fleets.Host) -> bool:
-    """Tells whether a host evacuates no domain."""
+def has_no_evacuation(
+    fleet: fleet_module.Fleet, host: fleet_module.Host
+) -> bool:
+    """Returns whether a host has no evacuated domain."""
     return not host.core.knowledge.evacuated
 
 
-async def evacuate_and_wait(fleet: fleets.Fleet) -> None:
-    """Evacuates a domain and waits until all hosts know."""
+async def evacuate_and_wait(fleet: fleet_module.Fleet) -> None:
+    """Evacuates a domain and checks that all hosts apply it in time."""
     evacuate(fleet)
     await trio.sleep(_PROPAGATION_LIMIT_S)
     assert all(has_evacuation(fleet, host) for host in fleet.hosts)
 
 
 def test_new_flows_leave_an_evacuated_domain() -> None:
-    """Guards against new flows at upstreams that are to get nothing."""
+    """Guards against new flows to upstreams of an evacuated domain."""
     scene = make_scene()
     assert list_new_flow_domains(scene) == {scenes.HERE}
     scene.knowledge.evacuate(scenes.HERE, "test")
@@ -104,11 +106,14 @@
 
 
 def test_flow_is_refused_at_once_where_all_domains_are_evacuated() -> None:
-    """Guards against upstreams that are taken since no others are left."""
+    """Guards against new flows to upstreams of evacuated domains.
+
+    They would be selected because no other upstream is available.
+    """
     scene = make_scene()
-    lost = scene.add(scenes.make_upstream(9))
+    missing = scene.add(scenes.make_upstream(9))
     with scenes.failing_store(scene):
-        scene.lose(lost)
+        scene.lose(missing)
     scene.clock.sleep(10.0)
     scene.confirm()
     for domain in (scenes.HERE, scenes.ELSEWHERE):
@@ -118,7 +123,10 @@
 
 
 def test_tries_and_copies_avoid_an_evacuated_domain() -> None:
-    """Guards against a copy at an evacuated domain while others are silent."""
+    """Guards against a retransmission that goes to an evacuated domain.
+
+    It would go there because the upstreams of the other domain do not answer.
+    """
     scene = make_scene()
     scene.knowledge.evacuate(scenes.HERE, "test")
     for upstream in scene.knowledge.directory.list_all():
@@ -129,8 +137,8 @@
         scene.clock.sleep(0.16)
         scene.handle_due()
     assert len(scene.output.to_upstreams) > 3
-    places = {address for _, address in scene.output.to_upstreams}
-    assert places <= {
+    addresses = {address for _, address in scene.output.to_upstreams}
+    assert addresses <= {
         upstream.address
         for upstream in scene.knowledge.directory.list_all()
         if upstream.domain == scenes.ELSEWHERE
@@ -138,7 +146,7 @@
 
 
 def test_open_flow_of_an_evacuated_domain_goes_on() -> None:
-    """Guards against an evacuation that breaks established feeds."""
+    """Guards against an evacuation that breaks open flows, such as feeds."""
     scene = make_scene()
     upstream = scene.open()
     scene.go_on(upstream)
@@ -149,92 +157,104 @@
 
 
 def test_older_news_bring_no_evacuation_back() -> None:
-    """Guards against a host that was cut off and tells of what has ended."""
-    reader = readers.HostReplica()
-    reader.entries.apply(_EVACUATION_KEY, b"{}", 10)
-    assert reader.knowledge.evacuated == {scenes.HERE}
-    reader.entries.apply(_EVACUATION_KEY, None, 12, "peer")
-    reader.entries.apply(_EVACUATION_KEY, b"{}", 11, "peer")
-    assert not reader.knowledge.evacuated
-    reader.entries.apply(_EVACUATION_KEY, b"{}", 13)
-    reader.entries.apply(_EVACUATION_KEY, None, 12, "peer")
-    assert reader.knowledge.evacuated == {scenes.HERE}
+    """Guards against an ended evacuation that takes effect again.
+
+    A host that was partitioned still sends the entry of the evacuation.
+    """
+    replica = readers.HostReplica()
+    replica.entries.apply(_EVACUATION_KEY, b"{}", 10)
+    assert replica.knowledge.evacuated == {scenes.HERE}
+    replica.entries.apply(_EVACUATION_KEY, None, 12, "peer")
+    replica.entries.apply(_EVACUATION_KEY, b"{}", 11, "peer")
+    assert not replica.knowledge.evacuated
+    replica.entries.apply(_EVACUATION_KEY, b"{}", 13)
+    replica.entries.apply(_EVACUATION_KEY, None, 12, "peer")
+    assert replica.knowledge.evacuated == {scenes.HERE}
 
 
 def test_reading_that_shows_no_evacuation_ends_it() -> None:
-    """Guards against an evacuation whose end was in the dropped history."""
-    reader = readers.HostReplica()
-    shown = port.KeyValue(_EVACUATION_KEY, b"{}", 10)
+    """Guards against an evacuation that goes on after its end.
+
+    The store dropped the history with its end, so only a new read shows it.
+    """
+    replica = readers.HostReplica()
+    evacuation = port.KeyValue(_EVACUATION_KEY, b"{}", 10)
     state = port.KeyValue("op/config", readers.make_state(1), 9)
-    read_store(reader, 10, state, shown)
-    assert reader.knowledge.evacuated == {scenes.HERE}
-    read_store(reader, 14, state)
-    assert not reader.knowledge.evacuated
-    assert reader.knowledge.state is not None
+    read_store(replica, 10, state, evacuation)
+    assert replica.knowledge.evacuated == {scenes.HERE}
+    read_store(replica, 14, state)
+    assert not replica.knowledge.evacuated
+    assert replica.knowledge.state is not None
 
 
 def test_evacuation_stays_while_the_store_is_away() -> None:
-    """Guards against new flows there since the store does not answer."""
-    reader = readers.HostReplica()
-    reader.entries.apply(_EVACUATION_KEY, b"{}", 10)
-    reader.knowledge.store_trust.record_failure()
-    assert reader.knowledge.evacuated == {scenes.HERE}
+    """Guards against new flows to the domain while the store is unreachable."""
+    replica = readers.HostReplica()
+    replica.entries.apply(_EVACUATION_KEY, b"{}", 10)
+    replica.knowledge.store_trust.record_failure()
+    assert replica.knowledge.evacuated == {scenes.HERE}
 
 
 def test_short_snapshot_and_news_hold_evacuations() -> None:
-    """Guards against an evacuation that waits for a long desired state."""
-    teller = readers.HostReplica()
-    teller.entries.apply("op/config", b"[" + b" " * 20_000, 9)
-    teller.entries.apply(_EVACUATION_KEY, b"{}", 10)
-    snapshot = teller.entries.make_short_snapshot(0, ())
-    assert [line.key for line in snapshot.entries] == [_EVACUATION_KEY]
-    hearer = readers.HostReplica()
-    hearer.entries.apply_short_snapshot(snapshot, "peer")
-    assert hearer.knowledge.evacuated == {scenes.HERE}
-    line = entry_lines.StoreEntry(_EVACUATION_KEY, None, 11)
-    news = messages.News(10, 11, True, (line,))
-    hearer.entries.apply_update(news, "peer")
-    assert not hearer.knowledge.evacuated
+    """Guards against an evacuation that is delayed by a long desired state."""
+    sender = readers.HostReplica()
+    sender.entries.apply("op/config", b"[" + b" " * 20_000, 9)
+    sender.entries.apply(_EVACUATION_KEY, b"{}", 10)
+    snapshot = sender.entries.make_short_snapshot(0, ())
+    assert [entry.key for entry in snapshot.entries] == [_EVACUATION_KEY]
+    receiver = readers.HostReplica()
+    receiver.entries.apply_short_snapshot(snapshot, "peer")
+    assert receiver.knowledge.evacuated == {scenes.HERE}
+    entry = store_entry.StoreEntry(_EVACUATION_KEY, None, 11)
+    update = messages.News(10, 11, True, (entry,))
+    receiver.entries.apply_update(update, "peer")
+    assert not receiver.knowledge.evacuated
 
 
 def test_evacuations_that_name_nothing_of_ours_harm_nothing() -> None:
-    """Guards against keys of former writers that stop new flows."""
-    reader = readers.HostReplica()
+    """Guards against foreign or stale evacuation keys that stop new flows."""
+    replica = readers.HostReplica()
     for revision, key in enumerate(
         ("op/evacuate/", "op/evacuate/a/b", "op/evacuation", "op/evacuate/old"),
         start=10,
     ):
-        reader.entries.apply(key, b"\xff", revision)
-    assert reader.knowledge.evacuated == {"old"}
-    assert reader.counts.sum("unreadable_entries_total") == 2
+        replica.entries.apply(key, b"\xff", revision)
+    assert replica.knowledge.evacuated == {"old"}
+    assert replica.counts.sum("unreadable_entries_total") == 2
     scene = make_scene()
     scene.knowledge.evacuate(ids.DomainId("old"), "test")
     assert list_new_flow_domains(scene) == {scenes.HERE}
 
 
 def test_evacuation_is_known_though_hosts_lose_power() -> None:
-    """Guards against an evacuation that only dead hosts had heard of."""
-    for lose in failed_hosts.SCENARIOS:
-        late = failed_hosts.run_scenario(lose, evacuate, has_evacuation)
-        assert late == 0, lose.__name__
+    """Guards against an evacuation that only failed hosts had received."""
+    for scenario in failed_hosts.SCENARIOS:
+        late_count = failed_hosts.run_scenario(
+            scenario, evacuate, has_evacuation
+        )
+        assert late_count == 0, scenario.__name__
 
 
 def test_end_of_an_evacuation_is_known_in_time() -> None:
-    """Guards against a domain without new flows after its evacuation."""
+    """Guards against a domain that gets no new flows after its evacuation."""
     assert run_evacuation_end(lambda _: None) == 0
 
 
 def test_end_of_an_evacuation_is_known_without_history() -> None:
-    """Guards against an end that the store's dropped history held."""
+    """Guards against an end that is missed as the store drops its history."""
     assert run_evacuation_end(lambda f: f.store.forget_history()) == 0
 
 
 def test_host_that_starts_later_knows_an_evacuation() -> None:
-    """Guards against a started host that sends flows to the domain."""
+    """Guards against a host that sends new flows to the domain after a start.
+
+    The store is down when it starts, so it learns of the evacuation only from
+    other hosts.
+    """
 
     async def run() -> None:
-        fleet = fleets.Fleet(6, 3, _SEED)
-        async with fleets.run_fleet(fleet):
+        fleet = fleet_module.Fleet(6, 3, _SEED)
+        async with fleet_module.run_fleet(fleet):
             await trio.sleep(_DISCOVERY_S)
             await evacuate_and_wait(fleet)
             fleet.store.go_down()
@@ -247,20 +267,20 @@
 
 
 def run_evacuation_end(disturb: failed_hosts.Change) -> int:
-    """Plays the end of an evacuation on a mock clock."""
-    late: list[int] = []
+    """Ends an evacuation on a mock clock; returns the number of late hosts."""
+    late_counts: list[int] = []
 
     async def run() -> None:
-        late.append(await _count_late_hosts(disturb))
+        late_counts.append(await _count_late_hosts(disturb))
 
     trios.run_in_order(_SEED, run)
-    return late[0]
+    return late_counts[0]
 
 
 async def _count_late_hosts(disturb: failed_hosts.Change) -> int:
-    """Takes an evacuation back; returns the hosts that know it too late."""
-    fleet = fleets.Fleet(12, 3, _SEED)
-    async with fleets.run_fleet(fleet):
+    """Ends an evacuation; returns the number of hosts that learn it late."""
+    fleet = fleet_module.Fleet(12, 3, _SEED)
+    async with fleet_module.run_fleet(fleet):
         await trio.sleep(_DISCOVERY_S)
         await evacuate_and_wait(fleet)
         fleet.store.end_evacuation(_DOMAIN)
@@ -270,21 +290,21 @@
 
 
 def test_domains_one_after_the_other_are_kept_apart() -> None:
-    """Guards against one evacuation that ends or hides another one."""
-    reader = readers.HostReplica()
+    """Guards against an evacuation that ends or masks another domain's."""
+    replica = readers.HostReplica()
     other = f"op/evacuate/{scenes.ELSEWHERE}"
-    reader.entries.apply(_EVACUATION_KEY, b"{}", 10)
-    reader.entries.apply(other, b"{}", 11)
-    assert reader.knowledge.evacuated == {scenes.HERE, scenes.ELSEWHERE}
-    reader.entries.apply(_EVACUATION_KEY, None, 12)
-    assert reader.knowledge.evacuated == {scenes.ELSEWHERE}
-    reader.entries.apply(_EVACUATION_KEY, b"{}", 13)
-    reader.entries.apply(other, None, 14)
-    assert reader.knowledge.evacuated == {scenes.HERE}
+    replica.entries.apply(_EVACUATION_KEY, b"{}", 10)
+    replica.entries.apply(other, b"{}", 11)
+    assert replica.knowledge.evacuated == {scenes.HERE, scenes.ELSEWHERE}
+    replica.entries.apply(_EVACUATION_KEY, None, 12)
+    assert replica.knowledge.evacuated == {scenes.ELSEWHERE}
+    replica.entries.apply(_EVACUATION_KEY, b"{}", 13)
+    replica.entries.apply(other, None, 14)
+    assert replica.knowledge.evacuated == {scenes.HERE}
 
 
 def test_burst_spreads_over_the_domains_that_are_left() -> None:
-    """Guards against a burst that rushes to one upstream of those left."""
+    """Guards against a burst of flows that overloads one remaining upstream."""
     scene = scenes.Scene()
     for number in range(12):
         scene.add(scenes.make_upstream(number))
@@ -298,5 +318,6 @@
         counted[scene.open(1000 + number).id] += 1
     assert max(counted.values()) <= 15
     assert all(
-        upstream.state is upstreams.UpstreamState.READY for upstream in others
+        upstream.state is upstream_module.UpstreamState.READY
+        for upstream in others
     )
--- a/tests/test_forwarding/test_forwarding_follower.py
+++ b/tests/test_forwarding/test_forwarding_follower.py
@@ -1,4 +1,4 @@
-"""Tests of how a host follows the store."""
+"""Tests of a host that follows the store."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from persimmonhinge import errors
 from persimmonhinge.forwarding import entry_replica
 from persimmonhinge.forwarding import follower
-from persimmonhinge.forwarding import knowledge as knowledge_parts
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.forwarding import knowledge
+from persimmonhinge.metrics import counts
 from persimmonhinge.platform import adapter
 from persimmonhinge.store import port
 from tests.support import trios
 from tests.test_forwarding import test_forwarding_entry_replica as readers
 
 _ANSWER_S = 0.004
-# A host that has just started follows by then, seconds.
+# Time after its start by which a host follows the store, seconds.
 _FOLLOWING_AT_S = 2.0
 _WATCH_LIMIT_S = 1.5
 _MIN_CALL_INTERVAL_S = 0.25
@@ -31,27 +31,27 @@
     """A store without entries.
 
     Attributes:
-        reads: Readings of all entries.
+        reads: Number of reads of all entries.
     """
 
     def __init__(self) -> None:
         self.reads = 0
 
     async def get_prefix(self, prefix: str, limit: int = 0) -> port.PrefixState:
-        """Returns nothing, after the time that the users' store takes."""
+        """Returns no entries, after the typical delay of the users' store."""
         self.reads += 1
         await trio.sleep(_ANSWER_S)
         return port.PrefixState(1, ())
 
 
 class HistoryDroppingStore(EmptyStore):
-    """A store that has dropped the history whenever a watch begins."""
+    """A store that has dropped the required history whenever a watch starts."""
 
     @contextlib.asynccontextmanager
     async def watch(
         self, prefix: str, start_revision: int
     ) -> AsyncIterator[AsyncIterator[tuple[port.WatchEvent, ...]]]:
-        """Refuses the watch."""
+        """Rejects the watch since the history is gone."""
         await trio.sleep(_ANSWER_S)
         raise errors.PlatformHistoryGoneError(
             "gone", step="watch", peer="store"
@@ -60,20 +60,24 @@
 
 
 class UnavailableStore:
-    """A store that is down."""
+    """A store that is unavailable.
+
+    Attributes:
+        calls: Number of calls received.
+    """
 
     def __init__(self) -> None:
         self.calls = 0
 
     async def get_prefix(self, prefix: str, limit: int = 0) -> port.PrefixState:
-        """Fails at once."""
+        """Fails immediately."""
         self.calls += 1
         await trio.sleep(0)
         raise errors.PlatformUnavailableError("down", step="get", peer="store")
 
 
 class AlwaysDue:
-    """Says that this host is to follow, as all of its domain."""
+    """Makes this host always due to follow, like all hosts of its domain."""
 
     reaches_store = True
 
@@ -89,7 +93,7 @@
         return True
 
     async def wait_for_change(self, now: float) -> None:
-        """Waits a moment."""
+        """Waits for a short time."""
         await trio.sleep(_POLL_INTERVAL_S)
 
     def is_told_since(self, moment: float, now: float) -> bool:
@@ -97,12 +101,12 @@
         return False
 
     def count_domain(self) -> int:
-        """Returns the hosts of its domain."""
+        """Returns the number of hosts in its domain."""
         return self._hosts
 
 
 def make_follower(store: object, hosts: int = 1) -> follower.Follower:
-    """Returns the follower of a host in a domain of some hosts."""
+    """Returns the follower of a host in a domain with `hosts` hosts."""
     following = AlwaysDue(hosts)
     return make_follower_with(store, make_entries(), following)
 
@@ -110,26 +114,26 @@
 def make_follower_with(
     store: object, entries: entry_replica.EntryReplica, following: AlwaysDue
 ) -> follower.Follower:
-    """Returns the follower of a host that has its entries."""
+    """Returns a follower that uses the given replica and follower election."""
     return follower.Follower(store, entries, following, _MIN_CALL_INTERVAL_S)  # type: ignore[arg-type]
 
 
 def make_entries() -> entry_replica.EntryReplica:
-    """Returns the entries of a host that has just started."""
+    """Returns the empty replica of a host that has just started."""
     return entry_replica.EntryReplica(
         adapter.EntryFormat(),
-        knowledge_parts.Knowledge(60.0, 2.2),
-        host_counts.Counts(),
+        knowledge.Knowledge(60.0, 2.2),
+        counts.Counts(),
     )
 
 
 @trios.clock_test
 async def test_store_that_drops_its_history_is_not_flooded() -> None:
-    """All hosts are refused for too many calls, and a drain comes late.
+    """Guards against hosts that are rejected by the store for too many calls.
 
-    The store drops its history again and again; each host that follows reads
-    all entries anew at once, 80 times a second. Cause: no wait between two
-    readings.
+    The store drops its history repeatedly. Without a wait between two reads,
+    each following host reads all entries 80 times a second; all hosts are then
+    rejected, and a drain takes effect late.
     """
     store = HistoryDroppingStore()
     with trio.move_on_after(11.0):
@@ -141,11 +145,11 @@
 async def test_hosts_of_a_large_domain_do_not_flood_a_store_that_is_down() -> (
     None
 ):
-    """A store that comes back goes down again under the calls of all hosts.
+    """Guards against a recovering store that fails again under its callers.
 
-    It is down for ten seconds; nobody's knowledge is confirmed, so all hosts
-    of a domain take over and ask three times a second each. Cause: the wait
-    between two calls does not depend on how many ask.
+    The store is down for ten seconds, so no host gets a confirmation, and all
+    hosts of a domain start to follow. If the wait between two calls does not
+    depend on the number of hosts, each of them makes three calls a second.
     """
     calls = {}
     for hosts in (2, 24):
@@ -158,10 +162,10 @@
 
 
 class BusyStore(EmptyStore):
-    """A store whose entries change in quick succession for a while.
+    """A store whose entries change in quick succession for some time.
 
     Attributes:
-        watches: Answers to watches.
+        watches: Number of answers to watches.
     """
 
     def __init__(self, changes: int, gap_s: float) -> None:
@@ -173,24 +177,27 @@
     async def watch(
         self, prefix: str, start_revision: int
     ) -> AsyncIterator[AsyncIterator[tuple[port.WatchEvent, ...]]]:
-        """Answers as soon as there is a change, with all that came since."""
+        """Answers once there is a change, with all since the last answer."""
         yield self._answer()
 
     async def _answer(self) -> AsyncIterator[tuple[port.WatchEvent, ...]]:
-        told = 0
+        reported_count = 0
         while True:
-            if told == len(self._changes_at):
+            if reported_count == len(self._changes_at):
                 await trio.sleep_forever()
-            await trio.sleep_until(self._changes_at[told] + _ANSWER_S)
+            await trio.sleep_until(self._changes_at[reported_count] + _ANSWER_S)
             now = trio.current_time()
-            came = sum(at + _ANSWER_S <= now for at in self._changes_at)
+            change_count = sum(at + _ANSWER_S <= now for at in self._changes_at)
             self.watches += 1
-            yield tuple(make_change(number) for number in range(told, came))
-            told = came
+            yield tuple(
+                make_change(number)
+                for number in range(reported_count, change_count)
+            )
+            reported_count = change_count
 
 
 def make_change(number: int) -> port.WatchEvent:
-    """Returns the entry of an upstream that is new."""
+    """Returns the event of a new upstream's entry."""
     key = readers.make_key(f"{number:x}")
     return port.WatchEvent(key, readers.make_entry(), number + 2)
 
@@ -198,17 +205,17 @@
 async def run_follower(
     store: object, time_s: float
 ) -> entry_replica.EntryReplica:
-    """Has a host follow a store for some time; returns what it read."""
+    """Lets a host follow a store for some time; returns its replica."""
     entries = make_entries()
-    following = make_follower_with(store, entries, AlwaysDue())
+    host_follower = make_follower_with(store, entries, AlwaysDue())
     with trio.move_on_after(time_s):
-        await following.run()
+        await host_follower.run()
     return entries
 
 
 @trios.clock_test
 async def test_changes_in_quick_succession_are_read_together() -> None:
-    """Guards against a call for each upstream of a service that is replaced."""
+    """Guards against one call for each upstream while a service is replaced."""
     store = BusyStore(changes=147, gap_s=0.02)
     entries = await run_follower(store, _FOLLOWING_AT_S + 5.0)
     assert entries.revision == 148
@@ -217,7 +224,7 @@
 
 @trios.clock_test
 async def test_change_that_comes_alone_is_read_at_once() -> None:
-    """Guards against a drain that waits for others to come."""
+    """Guards against a drain that is delayed to be batched with others."""
     entries = await run_follower(
         BusyStore(changes=1, gap_s=1.0), _FOLLOWING_AT_S + 0.05
     )
@@ -225,7 +232,7 @@
 
 
 class UnchangedStore(BusyStore):
-    """A store in which nothing changes; a watch is answered at its limit."""
+    """A store without changes; it answers a watch at its time limit."""
 
     def __init__(self) -> None:
         super().__init__(changes=0, gap_s=0.0)
@@ -238,18 +245,19 @@
 
 @trios.clock_test
 async def test_host_that_follows_tells_others_that_nothing_is_newer() -> None:
-    """Guards against a whole domain that asks the store itself.
+    """Guards against a domain of which every host calls the store.
 
-    Reports come every two seconds in a large domain, so what the store told the
-    host that follows is known to others only when it is too old.
+    In a large domain, hosts report every two seconds. By then, the answer that
+    the following host got from the store is too old to confirm the others'
+    knowledge.
     """
     entries = make_entries()
-    told: list[int] = []
-    entries.on_changes = lambda _, lines: told.append(len(lines))
+    reported_counts: list[int] = []
+    entries.on_changes = lambda _, changes: reported_counts.append(len(changes))
     following = make_follower_with(UnchangedStore(), entries, AlwaysDue())
     with trio.move_on_after(_FOLLOWING_AT_S + 4 * _WATCH_LIMIT_S):
         await following.run()
-    assert told.count(0) >= 3
+    assert reported_counts.count(0) >= 3
 
 
 _AVAILABLE_AT_S = 10.0
@@ -258,10 +266,10 @@
 
 
 class RecoveringStore(EmptyStore):
-    """A store that is down for a while, and then answers.
+    """A store that is unavailable for some time, and then answers.
 
     Attributes:
-        answered_at: When it last answered; its answer is told to all.
+        answered_at: Time of its last answer, which all hosts learn of.
     """
 
     def __init__(self) -> None:
@@ -269,7 +277,7 @@
         self.answered_at = 0.0
 
     async def get_prefix(self, prefix: str, limit: int = 0) -> port.PrefixState:
-        """Fails, or returns nothing."""
+        """Fails while the store is down; returns no entries afterwards."""
         await trio.sleep(_ANSWER_S)
         if trio.current_time() < _AVAILABLE_AT_S:
             raise errors.PlatformUnavailableError(
@@ -283,7 +291,7 @@
     async def watch(
         self, prefix: str, start_revision: int
     ) -> AsyncIterator[AsyncIterator[tuple[port.WatchEvent, ...]]]:
-        """Says again and again that nothing changes."""
+        """Reports periodically that nothing changes."""
         yield self._answer()
 
     async def _answer(self) -> AsyncIterator[tuple[port.WatchEvent, ...]]:
@@ -294,7 +302,7 @@
 
 
 class SharedFollowing(AlwaysDue):
-    """Says whose turn it is in a domain that is told of each answer."""
+    """Decides who follows in a domain whose hosts learn of each answer."""
 
     def __init__(self, store: RecoveringStore, number: int) -> None:
         super().__init__(_DOMAIN_HOSTS)
@@ -302,7 +310,7 @@
         self._is_first = number == 0
 
     def is_due(self, now: float) -> bool:
-        """Returns true for the first host, and where nobody was answered."""
+        """Returns true for the first host, or without a recent answer."""
         return self._is_first or now - self._store.answered_at > _MAX_AGE_S
 
     def is_next(self) -> bool:
@@ -310,7 +318,7 @@
         return self._is_first
 
     def is_told_since(self, moment: float, now: float) -> bool:
-        """Returns true if the store has answered and another one follows."""
+        """Returns true if the store has answered and another host follows."""
         return self._store.answered_at > moment and not self.is_due(now)
 
 
@@ -318,7 +326,7 @@
 async def test_store_that_returns_is_not_read_by_all_hosts_of_a_domain() -> (
     None
 ):
-    """Guards against a store that goes down again as it returns."""
+    """Guards against a recovering store that all hosts of a domain read."""
     store = RecoveringStore()
     clock = types.SimpleNamespace(monotonic=trio.current_time)
     with mock.patch.object(follower, "time", clock):
@@ -326,6 +334,8 @@
             async with trio.open_nursery() as nursery:
                 for number in range(_DOMAIN_HOSTS):
                     following = SharedFollowing(store, number)
-                    part = make_follower_with(store, make_entries(), following)
-                    nursery.start_soon(part.run)
+                    host_follower = make_follower_with(
+                        store, make_entries(), following
+                    )
+                    nursery.start_soon(host_follower.run)
     assert 0 < store.reads <= 3, store.reads
