--- a/persimmonhinge/forwarding/completeness.py
+++ b/persimmonhinge/forwarding/completeness.py
@@ -50,7 +50,7 @@
             self.revision = self.upstreams_revision
 
     def record_missing_state(self, revision: int) -> None:
-        """Records that a desired state up to a revision was omitted."""
+        """Records that a desired state was omitted, up to a revision."""
         self._missing_state_revision = max(
             self._missing_state_revision, revision
         )
--- a/persimmonhinge/forwarding/follower.py
+++ b/persimmonhinge/forwarding/follower.py
@@ -94,7 +94,10 @@
             logger.info("Stopped following the store: another host does.")
 
     async def _read_once(self) -> None:
-        """Reads all entries, after the read at startup ran into its limit."""
+        """Reads all entries without the shorter time limit of the first read.
+
+        Called if the read at startup, which has that limit, got no answer.
+        """
         try:
             await self._entries.read_all(self._store)
         except errors.PlatformError as error:
@@ -102,7 +105,7 @@
             self._following.reaches_store = False
 
     async def _wait_for_turn(self) -> None:
-        """Waits until this host may be due, checking for the store if needed.
+        """Waits until this host may be due, or retries an unreachable store.
 
         A host that could not reach the store calls it again after a while, but
         only if it is next in order to follow. Any other host would make a call
--- a/persimmonhinge/forwarding/knowledge.py
+++ b/persimmonhinge/forwarding/knowledge.py
@@ -68,7 +68,7 @@
         return address in self._removed_routes
 
     def is_current(self, now: float) -> bool:
-        """Returns whether a route unknown to this host does not exist.
+        """Returns whether routes and upstreams unknown here do not exist.
 
         Guards against a host that cannot reach the store and refuses flows of
         a route that was just added: the caller's next retransmission may
@@ -85,7 +85,7 @@
             self.confirmed_at = answered_at
 
     def compute_age_ms(self, now: float) -> int:
-        """Returns the time since the last confirmation, -1 if there is none."""
+        """Returns the time since the last confirmation in ms, or -1 if none."""
         if self.confirmed_at is None:
             return -1
         return int((now - self.confirmed_at) * 1000)
