--- a/persimmonhinge/forwarding/application.py
+++ b/persimmonhinge/forwarding/application.py
@@ -144,7 +144,7 @@
     async def _sweep(self) -> None:
         while True:
             await trio.sleep(_SWEEP_S)
-            self._core.knowledge.remove_missing_upstreams(time.monotonic())
+            self._core.knowledge.end_missing_upstreams(time.monotonic())
             state = self._core.knowledge.state
             idle_s = self._settings.flow_life_s
             if state is not None:
--- a/persimmonhinge/forwarding/completeness.py
+++ b/persimmonhinge/forwarding/completeness.py
@@ -28,11 +28,11 @@
         self._missing_state_revision = 0
 
     def is_state_missing(self) -> bool:
-        """Returns whether other hosts may have a desired state missing here."""
+        """Returns whether other hosts may have a state that this one lacks."""
         return self.revision < self._missing_state_revision
 
     def find_missing_state_revision(self) -> int:
-        """Returns the newest revision of a missing state, 0 without one."""
+        """Returns the revision up to which a state may be missing, or 0."""
         return self._missing_state_revision if self.is_state_missing() else 0
 
     def advance(self, revision: int) -> None:
@@ -50,7 +50,7 @@
             self.revision = self.upstreams_revision
 
     def record_missing_state(self, revision: int) -> None:
-        """Records that a desired state was omitted, up to a revision."""
+        """Records that a sender omitted a desired state up to a revision."""
         self._missing_state_revision = max(
             self._missing_state_revision, revision
         )
--- a/persimmonhinge/forwarding/directory.py
+++ b/persimmonhinge/forwarding/directory.py
@@ -63,25 +63,27 @@
         self._warmed_up_at[upstream.id] = now + upstream.warm_up_s
 
     def set_state(
-        self, upstream: ids.UpstreamId, state: upstream_module.UpstreamState
+        self, upstream_id: ids.UpstreamId, state: upstream_module.UpstreamState
     ) -> None:
-        """Sets the state of a known upstream other than by its entry."""
-        known = self._by_id[upstream]
-        self._by_id[upstream] = records.replace(known, state=state)
+        """Sets the state of a known upstream; keeps its other fields."""
+        known = self._by_id[upstream_id]
+        self._by_id[upstream_id] = records.replace(known, state=state)
         self._ready.pop(known.service, None)
 
-    def remove(self, upstream: ids.UpstreamId, now: float) -> None:
-        """Marks an upstream as ended, and evicts those past their retention."""
-        if upstream in self._by_id:
-            self.set_state(upstream, upstream_module.UpstreamState.ENDED)
-            self._ended_at[upstream] = now
+    def mark_ended(self, upstream_id: ids.UpstreamId, now: float) -> None:
+        """Marks an upstream as ended; evicts those past their retention."""
+        if upstream_id in self._by_id:
+            self.set_state(upstream_id, upstream_module.UpstreamState.ENDED)
+            self._ended_at[upstream_id] = now
         for ended, ended_at in list(self._ended_at.items()):
             if ended_at + self._retention_s < now:
                 self._evict(ended)
 
-    def get(self, upstream: ids.UpstreamId) -> upstream_module.Upstream | None:
+    def get(
+        self, upstream_id: ids.UpstreamId
+    ) -> upstream_module.Upstream | None:
         """Returns an upstream, or None if it is unknown."""
-        return self._by_id.get(upstream)
+        return self._by_id.get(upstream_id)
 
     def find_by_token(self, token: int) -> upstream_module.Upstream | None:
         """Returns the upstream that a routing token identifies.
@@ -90,9 +92,9 @@
         and both may be running: sending a packet to the wrong one would break
         an intact flow.
         """
-        sharing = [self._by_id[i] for i in self._by_token.get(token, ())]
-        running = [u for u in sharing if u.state in _LIVE_STATES]
-        candidates = running or sharing
+        with_token = [self._by_id[i] for i in self._by_token.get(token, ())]
+        running = [u for u in with_token if u.state in _LIVE_STATES]
+        candidates = running or with_token
         return candidates[0] if len(candidates) == 1 else None
 
     def has_unique_token(self, upstream: upstream_module.Upstream) -> bool:
@@ -128,9 +130,9 @@
         """Returns all upstreams, including those that have ended."""
         return list(self._by_id.values())
 
-    def is_warming_up(self, upstream: ids.UpstreamId, now: float) -> bool:
+    def is_warming_up(self, upstream_id: ids.UpstreamId, now: float) -> bool:
         """Returns whether an upstream has just started and is still slow."""
-        return now < self._warmed_up_at.get(upstream, 0.0)
+        return now < self._warmed_up_at.get(upstream_id, 0.0)
 
     def _remove_from_service(
         self, upstream: upstream_module.Upstream | None
@@ -139,11 +141,11 @@
             self._by_service[upstream.service].remove(upstream.id)
             self._ready.pop(upstream.service, None)
 
-    def _evict(self, upstream: ids.UpstreamId) -> None:
-        known = self._by_id.pop(upstream)
+    def _evict(self, upstream_id: ids.UpstreamId) -> None:
+        known = self._by_id.pop(upstream_id)
         self._remove_from_service(known)
-        self._by_token[known.token].remove(upstream)
+        self._by_token[known.token].remove(upstream_id)
         if not self._by_token[known.token]:
             del self._by_token[known.token]
-        del self._ended_at[upstream]
-        del self._warmed_up_at[upstream]
+        del self._ended_at[upstream_id]
+        del self._warmed_up_at[upstream_id]
--- a/persimmonhinge/forwarding/entry_effects.py
+++ b/persimmonhinge/forwarding/entry_effects.py
@@ -19,12 +19,15 @@
 logger = early_logs.get_logger(__name__)
 
 # Minimum time between two log lines about unreadable entries, seconds. The
-# counter includes the entries that are not logged.
+# metric of unreadable entries also counts those that are not logged.
 _MIN_UNREADABLE_LOG_INTERVAL_S = 1.0
 
 
 class EntryEffects:
-    """Applies entries, each newer than the last one applied of its key."""
+    """Applies store entries to the knowledge of a host.
+
+    Callers apply an entry only if it is newer than the last one of its key.
+    """
 
     def __init__(
         self,
@@ -81,7 +84,7 @@
             return
         upstream = self._reader.read_upstream(key, value)
         if former is not None and former != upstream.id:
-            self._knowledge.remove_upstream(former, now, source)
+            self._knowledge.end_incarnation(former, now, source)
         self._incarnations[key] = upstream.id
         self._knowledge.apply_upstream(upstream, now, source)
 
--- a/persimmonhinge/forwarding/entry_replica.py
+++ b/persimmonhinge/forwarding/entry_replica.py
@@ -30,7 +30,7 @@
 # entries, octets. A link of 5 Mbit/s transfers this length in 0.03 s.
 _LONG_STATE_OCTETS = 16_384
 
-# Receives the revision before some changes, and the changes.
+# Called with the revision before some changes, and with the changes.
 ChangesCallback = Callable[[int, list[store_entry.StoreEntry]], None]
 
 
@@ -72,11 +72,11 @@
     async def read_all(self, store: port.PlatformReader) -> int:
         """Reads all entries from the store, in pages if there are many.
 
-        The pages together are not a consistent snapshot. The replica counts as
-        complete only up to the revision of the first page. Otherwise, a
-        desired state that changed between two pages would be missed, and never
-        requested, if the higher revision of an upstream from a later page were
-        used for all entries.
+        The pages together are not a consistent snapshot, so the replica counts
+        as complete only up to the revision of the first page. If it counted as
+        complete up to the higher revision of an upstream on a later page, it
+        would miss a desired state that changed between the two pages, and
+        would never request it.
 
         Returns:
             Revision of the first page; no entry is older than its state at
@@ -147,7 +147,7 @@
             self.on_changes(self.revision, [])
 
     def is_confirmed(self) -> bool:
-        """Returns whether the store has answered this host or another one."""
+        """Returns whether the store has confirmed the entries to some host."""
         return self._knowledge.confirmed_at is not None
 
     def is_absence_final(self) -> bool:
@@ -242,9 +242,12 @@
     def make_snapshot(
         self, since_revision: int, peers: tuple[flow.Endpoint, ...]
     ) -> messages.Snapshot:
-        """Returns the entries changed after a revision, or all if need be."""
-        # Imported late: not needed before the first packet, and imported by the
-        # callers anyway.
+        """Returns the entries changed after a revision.
+
+        Returns all entries if deletions after that revision have been pruned.
+        """
+        # The import is deferred because the module is not needed before the
+        # first packet; the callers import it anyway.
         from persimmonhinge.forwarding.peers import messages
 
         whole = not self._table.has_all_deletions_since(since_revision)
@@ -254,14 +257,17 @@
         )
 
     def apply_snapshot(self, snapshot: messages.Snapshot, source: str) -> None:
-        """Applies entries of another host newer than `revision`."""
+        """Applies another host's snapshot of the changes after `revision`."""
         self._apply_snapshot_entries(snapshot, source)
         self._advance(snapshot.revision)
 
     def apply_short_snapshot(
         self, snapshot: messages.Snapshot, source: str
     ) -> None:
-        """Applies entries of another host newer than `upstreams_revision`."""
+        """Applies a snapshot that may omit a long desired state.
+
+        It holds another host's changes after `upstreams_revision`.
+        """
         self._apply_snapshot_entries(snapshot, source)
         if snapshot.state_revision > self._find_state_revision():
             self.completeness.record_missing_state(snapshot.state_revision)
@@ -271,7 +277,7 @@
         """Records that the store answered this host."""
         now = time.monotonic()
         self._knowledge.confirm(now)
-        self._knowledge.remove_missing_upstreams(now)
+        self._knowledge.end_missing_upstreams(now)
         if self._knowledge.store_trust.record_answer(now):
             logger.warning(
                 "Store is reachable again.", extra={"dependency": "store"}
--- a/persimmonhinge/forwarding/follower.py
+++ b/persimmonhinge/forwarding/follower.py
@@ -20,13 +20,13 @@
 # number of doublings from the first wait to the maximum.
 _MAX_RETRY_INTERVAL_S = 0.4
 _RETRY_DOUBLINGS = 3
-# Interval between calls of all hosts of a failure domain together while the
-# store answers none of them, seconds. The first host that gets an answer
-# reports it to the others.
+# Interval at which the hosts of a failure domain together call the store while
+# it answers none of them, seconds. The first host that gets an answer reports
+# it to the others.
 _DOMAIN_RETRY_INTERVAL_S = 0.1
 # Time in which a host that has just started receives reports on whether another
-# host of its failure domain follows the store, seconds. All entries were read
-# just before.
+# host of its failure domain follows the store, seconds. The host has read all
+# entries just before.
 _DISCOVERY_DELAY_S = 0.8
 _POLL_INTERVAL_S = 0.1
 # Time for which a host keeps following the store after another one has taken
@@ -43,8 +43,8 @@
 
     If the watch times out or the store has dropped the history it needs, all
     entries are read again. While another host of the failure domain follows
-    the store, this host makes no calls to it, except to check whether it can
-    reach the store again.
+    the store, this host does not call the store, except to check whether it
+    has become reachable.
 
     Guards against a store that drops its history repeatedly: a following host
     would read all entries again immediately each time, and the store counts
@@ -108,8 +108,8 @@
         """Waits until this host may be due, or retries an unreachable store.
 
         A host that could not reach the store calls it again after a while, but
-        only if it is next in order to follow. Any other host would make a call
-        for something that it will find out when it is due.
+        only if it is next in order to follow. For any other host the call would
+        be wasted: it finds out whether the store is reachable when it is due.
         """
         if not self._following.is_next():
             self._following.reaches_store = True
@@ -178,7 +178,7 @@
                     self._entries.report_no_changes()
 
     def _next_retry_interval(self) -> float:
-        """Returns the maximum wait after one more consecutive failure, seconds.
+        """Counts a failure; returns the maximum wait after it, seconds.
 
         Guards against calls from all hosts that keep the store overloaded: the
         more hosts a failure domain has, the longer each of them waits.
--- a/persimmonhinge/forwarding/knowledge.py
+++ b/persimmonhinge/forwarding/knowledge.py
@@ -17,7 +17,7 @@
 
 
 class Knowledge:
-    """The desired state and the upstreams, as last received.
+    """The desired state, upstreams and evacuations that a host received last.
 
     Attributes:
         directory: The known upstreams.
@@ -176,80 +176,80 @@
         )
 
     def record_missing_entry(
-        self, upstream: ids.UpstreamId, now: float, source: str
+        self, upstream_id: ids.UpstreamId, now: float, source: str
     ) -> None:
         """Records that the entry of an upstream is absent from the store.
 
         Guards against treating all upstreams as ended after an outage of the
         store in which their entries expired. While the store is unreliable,
-        they are marked as missing; `remove_missing_upstreams` removes them
-        later if their entries stay absent.
+        they are marked as missing; `end_missing_upstreams` marks
+        them as ended later if their entries stay absent.
         """
-        known = self._find_not_ended(upstream)
+        known = self._find_not_ended(upstream_id)
         if known is None:
             return
         if self.store_trust.holds(now):
-            self.directory.remove(upstream, now)
+            self.directory.mark_ended(upstream_id, now)
         else:
             self.directory.set_state(
-                upstream, upstream_module.UpstreamState.MISSING
+                upstream_id, upstream_module.UpstreamState.MISSING
             )
-        remaining = self.directory.get(upstream)
+        remaining = self.directory.get(upstream_id)
         logger.info(
             "Entry of an upstream ended.",
             extra={
-                "upstream": upstream,
+                "upstream": upstream_id,
                 "state": remaining.state.value if remaining else None,
                 "former": known.state.value,
                 "source": source,
             },
         )
 
-    def remove_upstream(
-        self, upstream: ids.UpstreamId, now: float, source: str
+    def end_incarnation(
+        self, upstream_id: ids.UpstreamId, now: float, source: str
     ) -> None:
-        """Removes an incarnation of an upstream that a newer one replaced.
+        """Marks an incarnation as ended after a newer one replaced it.
 
         Guards against packets of its flows that reach its successor, which has
         the same address but does not know the flows. The callers of these
         flows get a reset immediately, even if the store is unreliable.
         """
-        known = self._find_not_ended(upstream)
+        known = self._find_not_ended(upstream_id)
         if known is None:
             return
-        self.directory.remove(upstream, now)
+        self.directory.mark_ended(upstream_id, now)
         logger.info(
             "Upstream was restarted.",
             extra={
-                "upstream": upstream,
+                "upstream": upstream_id,
                 "former": known.state.value,
                 "source": source,
             },
         )
 
-    def has_ended(self, upstream: ids.UpstreamId) -> bool:
+    def has_ended(self, upstream_id: ids.UpstreamId) -> bool:
         """Returns whether an upstream has ended or is unknown."""
-        return self._find_not_ended(upstream) is None
+        return self._find_not_ended(upstream_id) is None
 
-    def stop_new_flows(self, upstream: ids.UpstreamId, source: str) -> None:
+    def stop_new_flows(self, upstream_id: ids.UpstreamId, source: str) -> None:
         """Stops new flows to an upstream until its next readable entry."""
-        known = self._find_not_ended(upstream)
+        known = self._find_not_ended(upstream_id)
         if known is None:
             return
         self.directory.set_state(
-            upstream, upstream_module.UpstreamState.DRAINING
+            upstream_id, upstream_module.UpstreamState.DRAINING
         )
         logger.warning(
             "Stopped new flows to an upstream with an unreadable entry.",
             extra={
-                "upstream": upstream,
+                "upstream": upstream_id,
                 "former": known.state.value,
                 "source": source,
             },
         )
 
-    def remove_missing_upstreams(self, now: float) -> None:
-        """Removes missing upstreams if the store is reliable again."""
+    def end_missing_upstreams(self, now: float) -> None:
+        """Marks missing upstreams as ended if the store is reliable again."""
         if not self.store_trust.holds(now):
             return
         for upstream in self.directory.list_all():
@@ -257,10 +257,10 @@
                 self.record_missing_entry(upstream.id, now, "settle")
 
     def _find_not_ended(
-        self, upstream: ids.UpstreamId
+        self, upstream_id: ids.UpstreamId
     ) -> upstream_module.Upstream | None:
         """Returns an upstream, or None if it is unknown or has ended."""
-        known = self.directory.get(upstream)
+        known = self.directory.get(upstream_id)
         if known is None or known.state is upstream_module.UpstreamState.ENDED:
             return None
         return known
--- a/tests/test_forwarding/test_forwarding_entry_replica.py
+++ b/tests/test_forwarding/test_forwarding_entry_replica.py
@@ -95,10 +95,9 @@
     """Guards against flows that hang until their time limit after a restart.
 
     An upstream crashes and restarts under the same name before its entry
-    expires. The new incarnation does not know the flows of the former one. If
-    both had the same identity, the host would forward the packets of these
-    flows to it. The former incarnation must end immediately, even if the store
-    is unreliable.
+    expires. The new incarnation does not know the flows of the former one, but
+    would get their packets if both had the same id. The former incarnation
+    must end immediately, even if the store is unreliable.
     """
     replica = HostReplica()
     replica.entries.apply("op/config", make_state(3), 1)
@@ -167,7 +166,7 @@
     replica.entries.record_answer()
     assert replica.find_upstream_state("1") is upstream.UpstreamState.MISSING
     assert replica.knowledge.confirmed_at is not None
-    replica.knowledge.remove_missing_upstreams(
+    replica.knowledge.end_missing_upstreams(
         replica.knowledge.confirmed_at + trust.RETURN_S
     )
     assert replica.find_upstream_state("1") is upstream.UpstreamState.ENDED
--- a/tests/test_forwarding/test_forwarding_forwarder.py
+++ b/tests/test_forwarding/test_forwarding_forwarder.py
@@ -113,7 +113,7 @@
     assert scene.open(port=1001) == scene.last_upstream()
     scene.clock.sleep(3.0)
     scene.confirm()
-    scene.knowledge.remove_missing_upstreams(scene.clock.now)
+    scene.knowledge.end_missing_upstreams(scene.clock.now)
     scene.go_on(upstream, data=10, sequence=11)
     assert scene.count_sent()[1] == 1
 
