--- a/tests/test_forwarding/failed_hosts.py
+++ b/tests/test_forwarding/failed_hosts.py
@@ -102,7 +102,10 @@
 async def fail_follower_after_store_outage(
     fleet: fleet_module.Fleet, change: Change
 ) -> None:
-    """Stops a following host after a change right after a store outage."""
+    """Makes a change and stops a following host right after a store outage.
+
+    The host is restarted later.
+    """
     fleet.store.go_down()
     await trio.sleep(_OUTAGE_S)
     fleet.store.is_down = False
@@ -151,8 +154,8 @@
             for host in fleet.hosts
             if not host.scope.cancel_called and not has_change(fleet, host)
         ]
-    for seen in recorder.versions.values():
-        assert seen == sorted(seen), seen
+    for versions in recorder.versions.values():
+        assert versions == sorted(versions), versions
     return len(late_hosts)
 
 
--- a/tests/test_forwarding/test_forwarding_evacuation.py
+++ b/tests/test_forwarding/test_forwarding_evacuation.py
@@ -16,7 +16,8 @@
 from tests.test_forwarding import test_forwarding_entry_replica as readers
 
 _EVACUATION_KEY = f"op/evacuate/{scenes.HERE}"
-_DOMAIN = "domain-1"
+# Failure domain that is evacuated in tests of a whole fleet.
+_FLEET_DOMAIN = "domain-1"
 _PROPAGATION_LIMIT_S = 5.0
 _DISCOVERY_S = 6.0
 _SEED = 4
@@ -73,12 +74,12 @@
 
 def evacuate(fleet: fleet_module.Fleet) -> None:
     """Makes the store acknowledge the evacuation of a failure domain."""
-    fleet.store.evacuate(_DOMAIN)
+    fleet.store.evacuate(_FLEET_DOMAIN)
 
 
 def has_evacuation(fleet: fleet_module.Fleet, host: fleet_module.Host) -> bool:
-    """Returns whether a host has applied the evacuation of the domain."""
-    return host.core.knowledge.evacuated == {_DOMAIN}
+    """Returns whether a host has the evacuation of the domain, and no other."""
+    return host.core.knowledge.evacuated == {_FLEET_DOMAIN}
 
 
 def has_no_evacuation(
@@ -283,7 +284,7 @@
     async with fleet_module.run_fleet(fleet):
         await trio.sleep(_DISCOVERY_S)
         await evacuate_and_wait(fleet)
-        fleet.store.end_evacuation(_DOMAIN)
+        fleet.store.end_evacuation(_FLEET_DOMAIN)
         disturb(fleet)
         await trio.sleep(_PROPAGATION_LIMIT_S)
         return sum(not has_no_evacuation(fleet, host) for host in fleet.hosts)
--- a/tests/test_forwarding/test_forwarding_follower.py
+++ b/tests/test_forwarding/test_forwarding_follower.py
@@ -76,8 +76,8 @@
         raise errors.PlatformUnavailableError("down", step="get", peer="store")
 
 
-class AlwaysDue:
-    """Makes this host always due to follow, like all hosts of its domain."""
+class FakeFollowing:
+    """A fake of `Following` in a domain whose hosts are all due to follow."""
 
     reaches_store = True
 
@@ -107,14 +107,14 @@
 
 def make_follower(store: object, hosts: int = 1) -> follower.Follower:
     """Returns the follower of a host in a domain with `hosts` hosts."""
-    following = AlwaysDue(hosts)
+    following = FakeFollowing(hosts)
     return make_follower_with(store, make_entries(), following)
 
 
 def make_follower_with(
-    store: object, entries: entry_replica.EntryReplica, following: AlwaysDue
+    store: object, entries: entry_replica.EntryReplica, following: FakeFollowing
 ) -> follower.Follower:
-    """Returns a follower that uses the given replica and follower election."""
+    """Returns a follower with the given replica and fake of `Following`."""
     return follower.Follower(store, entries, following, _MIN_CALL_INTERVAL_S)  # type: ignore[arg-type]
 
 
@@ -207,7 +207,7 @@
 ) -> entry_replica.EntryReplica:
     """Lets a host follow a store for some time; returns its replica."""
     entries = make_entries()
-    host_follower = make_follower_with(store, entries, AlwaysDue())
+    host_follower = make_follower_with(store, entries, FakeFollowing())
     with trio.move_on_after(time_s):
         await host_follower.run()
     return entries
@@ -224,7 +224,7 @@
 
 @trios.clock_test
 async def test_change_that_comes_alone_is_read_at_once() -> None:
-    """Guards against a drain that is delayed to be batched with others."""
+    """Guards against a drain that is delayed to wait for other changes."""
     entries = await run_follower(
         BusyStore(changes=1, gap_s=1.0), _FOLLOWING_AT_S + 0.05
     )
@@ -254,7 +254,7 @@
     entries = make_entries()
     reported_counts: list[int] = []
     entries.on_changes = lambda _, changes: reported_counts.append(len(changes))
-    following = make_follower_with(UnchangedStore(), entries, AlwaysDue())
+    following = make_follower_with(UnchangedStore(), entries, FakeFollowing())
     with trio.move_on_after(_FOLLOWING_AT_S + 4 * _WATCH_LIMIT_S):
         await following.run()
     assert reported_counts.count(0) >= 3
@@ -301,8 +301,8 @@
             yield ()
 
 
-class SharedFollowing(AlwaysDue):
-    """Decides who follows in a domain whose hosts learn of each answer."""
+class SharedFollowing(FakeFollowing):
+    """A fake of `Following` in a domain whose hosts learn of each answer."""
 
     def __init__(self, store: RecoveringStore, number: int) -> None:
         super().__init__(_DOMAIN_HOSTS)
@@ -326,7 +326,10 @@
 async def test_store_that_returns_is_not_read_by_all_hosts_of_a_domain() -> (
     None
 ):
-    """Guards against a recovering store that all hosts of a domain read."""
+    """Guards against a store that fails again as it recovers.
+
+    It would be overloaded if all hosts of a domain read all entries at once.
+    """
     store = RecoveringStore()
     clock = types.SimpleNamespace(monotonic=trio.current_time)
     with mock.patch.object(follower, "time", clock):
