--- a/persimmonhinge/forwarding/application.py
+++ b/persimmonhinge/forwarding/application.py
@@ -7,11 +7,11 @@
 
 import trio
 
+from persimmonhinge.forwarding import auto_reset_event
 from persimmonhinge.forwarding import core as core_module
 from persimmonhinge.forwarding import follower
 from persimmonhinge.forwarding import gauges
 from persimmonhinge.forwarding import settings
-from persimmonhinge.forwarding import wake_up
 from persimmonhinge.forwarding.peers import following
 from persimmonhinge.forwarding.peers import service
 from persimmonhinge.metrics import host_pages
@@ -47,7 +47,7 @@
         self._settings = core.settings
         self._stopping = trio.Event()
         self._last_received_at = 0.0
-        self._packets_received = wake_up.WakeUp()
+        self._packets_received = auto_reset_event.AutoResetEvent()
         self._following = following.Following(
             self._settings.host,
             self._settings.domain,
@@ -150,7 +150,7 @@
     async def _sweep_periodically(self) -> None:
         while True:
             await trio.sleep(_SWEEP_INTERVAL_S)
-            self._core.knowledge.settle(time.monotonic())
+            self._core.knowledge.end_missing_upstreams(time.monotonic())
             state = self._core.knowledge.state
             idle_s = self._settings.flow_life_s
             if state is not None:
--- a/persimmonhinge/forwarding/completeness.py
+++ b/persimmonhinge/forwarding/completeness.py
@@ -1,4 +1,4 @@
-"""Up to which revisions of the store a host knows all entries."""
+"""Revisions of the store up to which a host has all entries."""
 
 from __future__ import annotations
 
@@ -6,49 +6,53 @@
 
 
 class Completeness:
-    """Two revisions: one for all entries, one for those of upstreams alone.
+    """Tracks two revisions: one for all entries, one for upstream entries.
 
-    They differ while a long desired state is on its way, which is passed on
-    by itself so that no change of an upstream waits for it.
+    The two differ while a long desired state is being transferred. It is sent
+    separately so that changes of upstreams do not wait for it.
 
     Attributes:
-        revision: All changes of entries up to this revision are known. It is
-            always that of an entry, so hosts that know the same have the same.
-        upstreams_revision: The same for the entries of upstreams.
-        tell_lack: Called when a desired state turns out to be missing.
+        revision: Revision up to which all changes of entries are known. It is
+            always the revision of an entry, so that hosts with the same
+            entries report the same revision.
+        upstreams_revision: Revision up to which all changes of upstream
+            entries are known.
+        on_state_missing: Called when a desired state is found to be missing.
     """
 
     def __init__(self) -> None:
         self.revision = 0
         self.upstreams_revision = 0
-        self.tell_lack: Callable[[], None] | None = None
-        # A desired state may be missing up to this revision.
-        self._lacking_to = 0
+        self.on_state_missing: Callable[[], None] | None = None
+        # Newest revision at which a desired state may be missing.
+        self._missing_state_revision = 0
 
-    def lacks_state(self) -> bool:
-        """Tells whether a desired state is missing that others may have."""
-        return self.revision < self._lacking_to
+    def is_state_missing(self) -> bool:
+        """Returns whether other hosts may have a state that this one lacks."""
+        return self.revision < self._missing_state_revision
 
-    def find_missing_state(self) -> int:
-        """Returns up to which revision one is missing, 0 if none is."""
-        return self._lacking_to if self.lacks_state() else 0
+    def find_missing_state_revision(self) -> int:
+        """Returns the revision up to which a state may be missing, or 0."""
+        return self._missing_state_revision if self.is_state_missing() else 0
 
     def advance(self, revision: int) -> None:
-        """Takes in that all entries are known up to a revision."""
+        """Records that all entries are known up to a revision."""
         self.revision = max(self.revision, revision)
         self.advance_upstreams(revision)
 
     def advance_upstreams(self, revision: int) -> None:
-        """Takes in that upstreams are known up to a revision.
+        """Records that all upstream entries are known up to a revision.
 
-        Where no desired state is missing, this holds for all entries.
+        If no desired state is missing, all other entries are known, too.
         """
         self.upstreams_revision = max(self.upstreams_revision, revision)
-        if not self.lacks_state():
+        if not self.is_state_missing():
             self.revision = self.upstreams_revision
 
-    def lack_state(self, revision: int) -> None:
-        """Takes in that a desired state was left out up to a revision."""
-        self._lacking_to = max(self._lacking_to, revision)
-        if self.tell_lack is not None and self.lacks_state():
-            self.tell_lack()
+    def record_missing_state(self, revision: int) -> None:
+        """Records that a sender omitted a desired state up to a revision."""
+        self._missing_state_revision = max(
+            self._missing_state_revision, revision
+        )
+        if self.on_state_missing is not None and self.is_state_missing():
+            self.on_state_missing()
--- a/persimmonhinge/forwarding/core.py
+++ b/persimmonhinge/forwarding/core.py
@@ -4,11 +4,11 @@
 
 from persimmonhinge import ids
 from persimmonhinge import random_sampling
+from persimmonhinge.forwarding import entry_replica
 from persimmonhinge.forwarding import flow
 from persimmonhinge.forwarding import flow_table
 from persimmonhinge.forwarding import forwarder
 from persimmonhinge.forwarding import knowledge
-from persimmonhinge.forwarding import reading
 from persimmonhinge.forwarding import sockets
 from persimmonhinge.forwarding import tracker
 from persimmonhinge.forwarding.decisions import chooser as chooser_module
@@ -72,7 +72,9 @@
         self.knowledge = knowledge.Knowledge(
             settings.flow_life_s, settings.max_current_age_s
         )
-        self.entries = reading.Entries(reader, self.knowledge, self.counts)
+        self.entries = entry_replica.EntryReplica(
+            reader, self.knowledge, self.counts
+        )
         self.openings = openings.Openings()
         self.socket = sockets.PacketSocket(packet_socket, self.counts)
         self.loads = loads.LoadTable()
--- a/persimmonhinge/forwarding/decisions/chooser.py
+++ b/persimmonhinge/forwarding/decisions/chooser.py
@@ -139,13 +139,15 @@
         state: upstream_module.UpstreamState,
     ) -> list[upstream_module.Upstream]:
         """Returns the upstreams in a state that the flow is allowed to use."""
-        found = self._knowledge.directory.select(new_flow.service, state)
+        found = self._knowledge.directory.list_in_state(new_flow.service, state)
         return [u for u in found if self._eligibility.is_allowed(u, new_flow)]
 
     def _make_candidate(
         self, upstream: upstream_module.Upstream, now: float
     ) -> choice.Candidate:
-        is_warming_up = self._knowledge.directory.is_cold(upstream.id, now)
+        is_warming_up = self._knowledge.directory.is_warming_up(
+            upstream.id, now
+        )
         capacity_share = _WARMING_UP_CAPACITY_SHARE if is_warming_up else 1.0
         in_flight = self._loads.in_flight(upstream.id)
         return choice.Candidate(
--- a/persimmonhinge/forwarding/decisions/eligibility.py
+++ b/persimmonhinge/forwarding/decisions/eligibility.py
@@ -84,7 +84,7 @@
         """Returns whether an upstream meets the mandatory conditions."""
         return (
             upstream.domain not in flow.excluded_domains
-            and self._knowledge.directory.is_unique(upstream)
+            and self._knowledge.directory.has_unique_token(upstream)
             and self._is_within_warm_up_limit(upstream, flow)
         )
 
@@ -125,8 +125,10 @@
         It has a limit while it is warming up, if its service sets one.
         """
         state = self._knowledge.state
-        limit_per_s = state.cold_limits.get(flow.service) if state else None
+        limit_per_s = state.warm_up_limits.get(flow.service) if state else None
         if limit_per_s is None:
             return None
-        is_warming_up = self._knowledge.directory.is_cold(upstream.id, flow.now)
+        is_warming_up = self._knowledge.directory.is_warming_up(
+            upstream.id, flow.now
+        )
         return limit_per_s if is_warming_up else None
--- a/persimmonhinge/forwarding/entry_effects.py
+++ b/persimmonhinge/forwarding/entry_effects.py
@@ -1,4 +1,4 @@
-"""What entries of the store change in the knowledge of a host."""
+"""Applies changes of store entries to the knowledge of a host."""
 
 from __future__ import annotations
 
@@ -7,56 +7,60 @@
 
 from persimmonhinge import early_logs
 from persimmonhinge import errors
-from persimmonhinge.forwarding import knowledge as knowledge_parts
+from persimmonhinge.forwarding import knowledge as knowledge_module
 from persimmonhinge.light_typing import TYPE_CHECKING
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.metrics import counts as counts_module
 
 if TYPE_CHECKING:
     from persimmonhinge import ids
-    from persimmonhinge.forwarding import entry_line as entry_lines
     from persimmonhinge.forwarding import entry_reader
+    from persimmonhinge.forwarding import store_entry
 
 logger = early_logs.get_logger(__name__)
 
-# Least time between two lines about entries that can't be read, seconds; the
-# counter counts them all.
-_TELL_UNREADABLE_S = 1.0
+# Minimum time between two log lines about unreadable entries, seconds. The
+# metric of unreadable entries also counts those that are not logged.
+_MIN_UNREADABLE_LOG_INTERVAL_S = 1.0
 
 
 class EntryEffects:
-    """Applies changes of entries, each newer than the last one of its key."""
+    """Applies store entries to the knowledge of a host.
+
+    Callers apply an entry only if it is newer than the last one of its key.
+    """
 
     def __init__(
         self,
         reader: entry_reader.EntryReader,
-        knowledge: knowledge_parts.Knowledge,
-        counts: host_counts.Counts,
+        knowledge: knowledge_module.Knowledge,
+        counts: counts_module.Counts,
     ) -> None:
         self._reader = reader
         self._knowledge = knowledge
         self._counts = counts
-        # Incarnation that the newest entry of each key was of.
-        self._named: dict[str, ids.UpstreamId] = {}
-        self._told_unreadable_at = -math.inf
+        # Upstream id, including the incarnation, of the newest readable
+        # entry of each key.
+        self._incarnations: dict[str, ids.UpstreamId] = {}
+        self._unreadable_logged_at = -math.inf
 
-    def is_used(self, key: str) -> bool:
-        """Tells whether entries of a key change anything."""
+    def is_relevant(self, key: str) -> bool:
+        """Returns whether entries of a key affect the knowledge of a host."""
         reader = self._reader
         return key == reader.state_key or key.startswith(
             (reader.upstreams_prefix, reader.evacuations_prefix)
         )
 
-    def apply(self, line: entry_lines.EntryLine, source: str) -> None:
-        """Applies a change; one that can't be read is used for nothing.
+    def apply(self, entry: store_entry.StoreEntry, source: str) -> None:
+        """Applies an entry; the content of an unreadable one is ignored.
 
         Args:
-            line: The change.
-            source: Who told it, for the log.
+            entry: The newest entry of its key, or its deletion.
+            source: Sender of the entry, for the log.
         """
         try:
-            self._apply(line.key, line.value, source)
+            self._apply(entry.key, entry.value, source)
         except errors.UnreadableEntryError as error:
-            self._skip_unreadable(line.key, error, source)
+            self._reject_unreadable(entry.key, error, source)
 
     def _apply(self, key: str, value: bytes | None, source: str) -> None:
         reader = self._reader
@@ -65,24 +69,24 @@
         elif key.startswith(reader.evacuations_prefix):
             self._apply_evacuation(key, value, source)
         elif value is not None:
-            self._knowledge.take_state(reader.read_state(value), source)
+            self._knowledge.apply_state(reader.read_state(value), source)
 
     def _apply_upstream(
         self, key: str, value: bytes | None, source: str
     ) -> None:
         now = time.monotonic()
-        former = self._named.get(key)
+        former = self._incarnations.get(key)
         if value is None:
             if former is not None:
-                self._knowledge.miss_upstream(former, now, source)
-            if former is not None and self._knowledge.is_gone(former):
-                del self._named[key]
+                self._knowledge.record_missing_entry(former, now, source)
+            if former is not None and self._knowledge.has_ended(former):
+                del self._incarnations[key]
             return
         upstream = self._reader.read_upstream(key, value)
         if former is not None and former != upstream.id:
-            self._knowledge.end_upstream(former, now, source)
-        self._named[key] = upstream.id
-        self._knowledge.take_upstream(upstream, now, source)
+            self._knowledge.end_incarnation(former, now, source)
+        self._incarnations[key] = upstream.id
+        self._knowledge.apply_upstream(upstream, now, source)
 
     def _apply_evacuation(
         self, key: str, value: bytes | None, source: str
@@ -93,22 +97,22 @@
         else:
             self._knowledge.evacuate(domain, source)
 
-    def _skip_unreadable(
+    def _reject_unreadable(
         self, key: str, error: errors.UnreadableEntryError, source: str
     ) -> None:
-        """Uses an entry that can't be read for nothing.
+        """Ignores the content of an unreadable entry and counts it.
 
-        Guards against another writer at an upstream's key: flows would go to
-        what it names, or to an upstream of which nothing is known any more.
-        The upstream keeps its open flows, and gets new ones once it has
-        written again. Lines are bounded, since a writer may do this for
-        thousands of keys.
+        Guards against another writer that overwrites the key of an upstream:
+        new flows would go to the address it wrote, or to an upstream whose
+        current state is unknown. The upstream keeps its open flows, and gets
+        new ones again after its next readable entry. Log lines are rate
+        limited because a writer may overwrite thousands of keys.
         """
         self._counts.add("unreadable_entries_total")
-        known = self._named.get(key)
+        known = self._incarnations.get(key)
         if known is not None:
-            self._knowledge.withhold_upstream(known, source)
+            self._knowledge.stop_new_flows(known, source)
         now = time.monotonic()
-        if now - self._told_unreadable_at >= _TELL_UNREADABLE_S:
-            self._told_unreadable_at = now
-            logger.error("Can't use an entry: %s.", error)
+        if now - self._unreadable_logged_at >= _MIN_UNREADABLE_LOG_INTERVAL_S:
+            self._unreadable_logged_at = now
+            logger.error("Ignoring an unreadable store entry: %s.", error)
--- a/persimmonhinge/forwarding/forwarder.py
+++ b/persimmonhinge/forwarding/forwarder.py
@@ -155,7 +155,9 @@
         this host has not read yet may serve the next copy.
         """
         knowledge = self._knowledge
-        if knowledge.is_current(now) and knowledge.trust.confirms_absence(now):
+        if knowledge.is_current(now) and knowledge.store_trust.confirms_absence(
+            now
+        ):
             self._reset_flow(packet, "no-upstream")
         else:
             self._drop_packet(packet, "no-upstream-in-old-state")
@@ -173,15 +175,15 @@
         return None
 
     def _handle_later_packet(self, packet: packet_module.Packet) -> None:
-        if self._knowledge.is_dropped(packet.flow):
+        if self._knowledge.is_route_removed(packet.flow):
             self._reset_flow(packet, "route-dropped")
             self._tracker.remove_flow(packet.flow)
             return
-        upstream = self._knowledge.directory.find(packet.token)
+        upstream = self._knowledge.directory.find_by_token(packet.token)
         if upstream is None:
             self._drop_packet(packet, "unknown-token")
             return
-        if upstream.state is upstream_module.UpstreamState.GONE:
+        if upstream.state is upstream_module.UpstreamState.ENDED:
             self._reset_flow(packet, "upstream-gone")
             self._tracker.remove_flow(packet.flow)
             return
--- a/persimmonhinge/forwarding/peers/messages.py
+++ b/persimmonhinge/forwarding/peers/messages.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from persimmonhinge.forwarding import entry_line as entry_lines
 from persimmonhinge.forwarding import flow as flows
+from persimmonhinge.forwarding import store_entry as entry_lines
 from persimmonhinge.forwarding import upstream_load as load_lines
 
 
@@ -66,7 +66,7 @@
     after: int
     upto: int
     settled: bool
-    entries: tuple[entry_lines.EntryLine, ...]
+    entries: tuple[entry_lines.StoreEntry, ...]
     upstreams_upto: int = 0
 
 
@@ -115,7 +115,7 @@
 
     revision: int
     settled: bool
-    entries: tuple[entry_lines.EntryLine, ...]
+    entries: tuple[entry_lines.StoreEntry, ...]
     peers: tuple[flows.Endpoint, ...]
     whole: bool = False
     state_revision: int = 0
--- a/tests/test_forwarding/scene.py
+++ b/tests/test_forwarding/scene.py
@@ -146,7 +146,7 @@
         state = desired_state.DesiredState(
             version, {route.virtual_address: route for route in found}, 15.0
         )
-        self.knowledge.take_state(state, "test")
+        self.knowledge.apply_state(state, "test")
         self.confirm_state()
 
     def set_repetition(
@@ -159,23 +159,23 @@
         state = desired_state.DesiredState(
             version, {route.virtual_address: route}, 15.0
         )
-        self.knowledge.take_state(state, "test")
+        self.knowledge.apply_state(state, "test")
 
     def confirm_state(self) -> None:
         """Confirms the current state, as an answer of the store does."""
         self.knowledge.confirmed_at = self.clock.now
-        self.knowledge.trust.record_answer(self.clock.now)
+        self.knowledge.store_trust.record_answer(self.clock.now)
 
     def add(
         self, upstream: upstream_module.Upstream
     ) -> upstream_module.Upstream:
         """Adds the entry of an upstream."""
-        self.knowledge.take_upstream(upstream, self.clock.now, "test")
+        self.knowledge.apply_upstream(upstream, self.clock.now, "test")
         return upstream
 
     def remove_upstream(self, upstream: upstream_module.Upstream) -> None:
         """Removes the entry of an upstream."""
-        self.knowledge.miss_upstream(upstream.id, self.clock.now, "test")
+        self.knowledge.record_missing_entry(upstream.id, self.clock.now, "test")
 
     def receive(self, octets: bytes) -> None:
         """Receives a packet from the fabric."""
@@ -204,7 +204,7 @@
         """Returns the upstream that the newest packet went to."""
         octets, address = self.output.to_upstreams[-1]
         number = int.from_bytes(octets[:8])
-        for upstream in self.knowledge.directory.all():
+        for upstream in self.knowledge.directory.list_all():
             if upstream.number == number:
                 assert upstream.address == address
                 return upstream
@@ -284,6 +284,6 @@
 @contextlib.contextmanager
 def failing_store(scene: Scene) -> Iterator[None]:
     """Makes the store fail within the context and return after it."""
-    scene.knowledge.trust.record_failure()
+    scene.knowledge.store_trust.record_failure()
     yield
     scene.confirm_state()
--- a/tests/test_forwarding/test_forwarding_after_ack.py
+++ b/tests/test_forwarding/test_forwarding_after_ack.py
@@ -4,7 +4,7 @@
 
 from benchmarks import fleet as fleet_module
 from persimmonhinge.forwarding import upstream as upstream_module
-from tests.test_forwarding import lost_hosts
+from tests.test_forwarding import failed_hosts
 
 
 def has_change_and_drain(
@@ -14,7 +14,7 @@
     state = host.core.knowledge.state
     draining = [
         upstream
-        for upstream in host.core.knowledge.directory.all()
+        for upstream in host.core.knowledge.directory.list_all()
         if upstream.state is upstream_module.UpstreamState.DRAINING
     ]
     return (
@@ -37,8 +37,8 @@
     no other host of its domain has received the change.
     """
     assert (
-        lost_hosts.play(
-            lost_hosts.lose_follower,
+        failed_hosts.run_scenario(
+            failed_hosts.fail_follower,
             acknowledge_change_and_drain,
             has_change_and_drain,
         )
@@ -52,8 +52,8 @@
     The host that follows the store fails just before the acknowledgement.
     """
     assert (
-        lost_hosts.play(
-            lost_hosts.lose_follower_before,
+        failed_hosts.run_scenario(
+            failed_hosts.fail_follower_before_change,
             acknowledge_change_and_drain,
             has_change_and_drain,
         )
@@ -68,8 +68,8 @@
     when it may have reported the change to some hosts.
     """
     assert (
-        lost_hosts.play(
-            lost_hosts.lose_follower_a_moment_later,
+        failed_hosts.run_scenario(
+            failed_hosts.fail_follower_after_delay,
             acknowledge_change_and_drain,
             has_change_and_drain,
         )
@@ -83,8 +83,8 @@
     The hosts that follow the store in two failure domains fail together.
     """
     assert (
-        lost_hosts.play(
-            lost_hosts.lose_two,
+        failed_hosts.run_scenario(
+            failed_hosts.fail_two_followers,
             acknowledge_change_and_drain,
             has_change_and_drain,
         )
@@ -95,8 +95,8 @@
 def test_host_that_lost_power_comes_back_with_the_change() -> None:
     """Guards against a restarted host that reverts to the former version."""
     assert (
-        lost_hosts.play(
-            lost_hosts.lose_and_restart,
+        failed_hosts.run_scenario(
+            failed_hosts.fail_and_restart_follower,
             acknowledge_change_and_drain,
             has_change_and_drain,
         )
@@ -107,8 +107,8 @@
 def test_change_right_after_an_outage_is_known() -> None:
     """Guards against a change that is missed as it follows a store outage."""
     assert (
-        lost_hosts.play(
-            lost_hosts.lose_while_the_store_returns,
+        failed_hosts.run_scenario(
+            failed_hosts.fail_follower_after_store_outage,
             acknowledge_change_and_drain,
             has_change_and_drain,
         )
@@ -119,8 +119,8 @@
 def test_domain_that_was_cut_off_knows_the_change_when_it_is_back() -> None:
     """Guards against a domain that keeps its old version after a partition."""
     assert (
-        lost_hosts.play(
-            lost_hosts.lose_while_a_domain_is_cut,
+        failed_hosts.run_scenario(
+            failed_hosts.fail_follower_of_partitioned_domain,
             acknowledge_change_and_drain,
             has_change_and_drain,
         )
--- a/tests/test_forwarding/test_forwarding_candidates.py
+++ b/tests/test_forwarding/test_forwarding_candidates.py
@@ -104,7 +104,7 @@
         scenes.LOCAL_DOMAIN, directory, random.Random(_SEED)
     )
     assert len(pool.draw(scenes.SERVICE, lambda _: True)) == 2
-    directory.mark(draining.id, upstream_module.UpstreamState.DRAINING)
+    directory.set_state(draining.id, upstream_module.UpstreamState.DRAINING)
     (drawn,) = pool.draw(scenes.SERVICE, lambda _: True)
     assert drawn.id != draining.id
 
@@ -115,7 +115,7 @@
     for number in range(60):
         scene.add(scenes.make_upstream(number))
     good = scene.add(scenes.make_upstream(60))
-    for upstream in scene.knowledge.directory.all():
+    for upstream in scene.knowledge.directory.list_all():
         if upstream.id != good.id:
             scene.suspicions.record_miss(upstream.id, scene.clock.now)
     assert scene.open().id == good.id
--- a/tests/test_forwarding/test_forwarding_eligibility.py
+++ b/tests/test_forwarding/test_forwarding_eligibility.py
@@ -52,7 +52,7 @@
     state = desired_state.DesiredState(
         2, {route.virtual_address: route}, 15.0, limits
     )
-    scene.knowledge.take_state(state, "test")
+    scene.knowledge.apply_state(state, "test")
 
 
 def add_warming_up(scene: scenes.Scene, number: int) -> upstream.Upstream:
--- a/tests/test_forwarding/test_forwarding_forwarder.py
+++ b/tests/test_forwarding/test_forwarding_forwarder.py
@@ -112,7 +112,7 @@
     assert scene.open(port=1001) == scene.last_upstream()
     scene.clock.sleep(3.0)
     scene.confirm_state()
-    scene.knowledge.settle(scene.clock.now)
+    scene.knowledge.end_missing_upstreams(scene.clock.now)
     scene.continue_flow(upstream, data=10, sequence=11)
     assert scene.count_sent()[1] == 1
 
@@ -234,9 +234,9 @@
         upstream_id = scene_module.make_upstream(number).id
         scene.suspicions.record_miss(upstream_id, scene.clock.now)
     scene.receive(scene_module.make_packet(1000, scene_module.SYN))
-    usable = scene.knowledge.directory.select(
+    usable = scene.knowledge.directory.list_in_state(
         scene_module.SERVICE, upstream_module.UpstreamState.READY
-    ) or scene.knowledge.directory.select(
+    ) or scene.knowledge.directory.list_in_state(
         scene_module.SERVICE, upstream_module.UpstreamState.MISSING
     )
     if usable:
