--- a/benchmarks/feed_rescue.py
+++ b/benchmarks/feed_rescue.py
@@ -37,7 +37,7 @@
 from persimmonhinge.peers import frames
 from persimmonhinge.peers.messages import feeds as messages
 from persimmonhinge.upstreams import event_budget
-from persimmonhinge.upstreams import unconfirmed
+from persimmonhinge.upstreams import unconfirmed_events
 from tests.support import trios
 from tests.test_flows import rescue_links
 from tests.test_flows import rescue_world
@@ -188,7 +188,7 @@
     budget = event_budget.EventBudget(counts)
     event_budget.logger.disabled = True
     tracemalloc.start()
-    stores = [unconfirmed.UnconfirmedEvents(budget) for _ in range(size)]
+    stores = [unconfirmed_events.UnconfirmedEvents(budget) for _ in range(size)]
     for number in range(held):
         for store in stores:
             answer = _BODY + number.to_bytes(4, "big")
--- a/persimmonhinge/upstreams/rescues.py
+++ b/persimmonhinge/upstreams/adoptions.py
@@ -7,17 +7,17 @@
 import trio
 
 from persimmonhinge import ids
-from persimmonhinge.peers.messages import feeds as messages
+from persimmonhinge.peers.messages import feeds
 
 FeedKey = tuple[object, ...]
 
 # A host that was paused for longer goes on as if nobody had its feeds.
-_MEMORY_S = 300.0
-_MOST_RESCUES = 16_384
+_RETENTION_S = 300.0
+_MAX_ADOPTIONS = 16_384
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Rescue:
+class Adoption:
     """A feed that was given to another home.
 
     Attributes:
@@ -28,10 +28,10 @@
 
     home: ids.HostId
     sequence: int
-    at: float
+    adopted_at: float
 
 
-class Rescues:
+class Adoptions:
     """Remembers which feeds were given to other homes, the oldest first.
 
     Guards against a home that was paused and does not know that it was given
@@ -40,16 +40,18 @@
     """
 
     def __init__(self) -> None:
-        self._by_key: dict[FeedKey, Rescue] = {}
+        self._by_key: dict[FeedKey, Adoption] = {}
 
-    def note(self, key: FeedKey, home: ids.HostId, sequence: int) -> None:
+    def record_adoption(
+        self, key: FeedKey, home: ids.HostId, sequence: int
+    ) -> None:
         """Takes in that a feed was given to a home."""
         self._by_key.pop(key, None)
-        self._by_key[key] = Rescue(home, sequence, trio.current_time())
-        self._forget_old()
+        self._by_key[key] = Adoption(home, sequence, trio.current_time())
+        self._remove_old()
 
-    def is_elsewhere(
-        self, key: FeedKey, caller: ids.HostId, opened: messages.FeedOpen
+    def has_other_home(
+        self, key: FeedKey, caller: ids.HostId, opened: feeds.FeedOpen
     ) -> bool:
         """Tells whether a feed that a home opens was given to another one.
 
@@ -59,15 +61,15 @@
         rescue = self._by_key.get(key)
         if rescue is None or rescue.home == caller:
             return False
-        if trio.current_time() > rescue.at + _MEMORY_S:
+        if trio.current_time() > rescue.adopted_at + _RETENTION_S:
             return False
         return 0 < opened.confirmed <= rescue.sequence
 
-    def _forget_old(self) -> None:
-        oldest = trio.current_time() - _MEMORY_S
+    def _remove_old(self) -> None:
+        oldest = trio.current_time() - _RETENTION_S
         while self._by_key:
             key = next(iter(self._by_key))
-            is_full = len(self._by_key) > _MOST_RESCUES
-            if not is_full and self._by_key[key].at >= oldest:
+            is_full = len(self._by_key) > _MAX_ADOPTIONS
+            if not is_full and self._by_key[key].adopted_at >= oldest:
                 return
             del self._by_key[key]
--- a/persimmonhinge/upstreams/context.py
+++ b/persimmonhinge/upstreams/context.py
@@ -13,8 +13,8 @@
 from persimmonhinge.coap import transmission as transmissions
 from persimmonhinge.contracts import store as stores
 from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.upstreams import arrival
 from persimmonhinge.upstreams import event_budget
+from persimmonhinge.upstreams import upstream_socket
 
 logger = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
     contracts: stores.ContractStore
     counts: host_counts.Counts
     randomness: random.Random
-    open_socket: arrival.SocketOpener
+    open_socket: upstream_socket.SocketOpener
     timers: transmissions.Transmission
     nursery: trio.Nursery
     event_budget: event_budget.EventBudget
--- a/persimmonhinge/upstreams/dispatching.py
+++ b/persimmonhinge/upstreams/dispatching.py
@@ -14,7 +14,7 @@
 from persimmonhinge.peers.messages import work
 from persimmonhinge.upstreams import executed as executed_tables
 from persimmonhinge.upstreams import job as jobs
-from persimmonhinge.upstreams import kept as kept_parts
+from persimmonhinge.upstreams import kept_upstream as kept_parts
 from persimmonhinge.upstreams import requests
 from persimmonhinge.upstreams import roles as role_parts
 from persimmonhinge.upstreams import target as targets
@@ -103,7 +103,7 @@
                 _Outcome.STALE, reason="call class is not in the contract"
             )
         try:
-            request = requests.read_request(dispatch.request, target.service)
+            request = requests.decode_request(dispatch.request, target.service)
         except errors.MalformedDatagramError as error:
             return _refuse(str(error))
         return jobs.Job(
--- a/persimmonhinge/upstreams/endpoint.py
+++ b/persimmonhinge/upstreams/endpoint.py
@@ -16,15 +16,15 @@
 
 from persimmonhinge import errors
 from persimmonhinge.coap import codec
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.upstreams import arrival
-from persimmonhinge.upstreams import listener as listeners
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.upstreams import listener as listener_module
 from persimmonhinge.upstreams import message_ids
+from persimmonhinge.upstreams import upstream_socket
 
 logger = logging.getLogger(__name__)
 
 _TOKEN_OCTETS = 8
-_FINISHED_TOKENS = 4096
+_MAX_FINISHED_TOKENS = 4096
 
 
 class Sender(Protocol):
@@ -32,13 +32,13 @@
 
     token: bytes
 
-    def acknowledge(self) -> None:
+    def handle_acknowledgement(self) -> None:
         """Takes in an acknowledgement."""
 
-    def reset(self) -> None:
+    def handle_reset(self) -> None:
         """Takes in a reset."""
 
-    def refuse(self) -> None:
+    def handle_refusal(self) -> None:
         """Takes in that ICMP refused the message."""
 
 
@@ -56,13 +56,13 @@
 
     def __init__(
         self,
-        socket: arrival.UpstreamSocket,
+        socket: upstream_socket.UpstreamSocket,
         peer: str,
         may_send: Callable[[], bool],
-        counts: host_counts.Counts,
+        counts: counts_module.Counts,
         randomness: random.Random,
     ) -> None:
-        self.heard_at = -math.inf
+        self.last_received_at = -math.inf
         self.peer = peer
         self._socket = socket
         self._may_send = may_send
@@ -70,7 +70,7 @@
         self._ids = message_ids.MessageIds(
             randomness.getrandbits(16), trio.current_time
         )
-        self._listeners: dict[bytes, listeners.Listener] = {}
+        self._listeners: dict[bytes, listener_module.Listener] = {}
         self._senders: dict[int, Sender] = {}
         self._finished: dict[bytes, None] = {}
 
@@ -92,7 +92,7 @@
             except trio.ClosedResourceError:
                 return
             for arrived in arrivals:
-                self._take_in_safely(arrived)
+                self._handle_event_safely(arrived)
 
     def close(self) -> None:
         """Closes the socket."""
@@ -115,10 +115,10 @@
         self._socket.send(codec.encode(message))
         return True
 
-    def send_empty(self, kind: aiocoap.Type, message_id: int) -> None:
+    def send_empty(self, message_type: aiocoap.Type, message_id: int) -> None:
         """Sends an empty acknowledgement or reset."""
         message = codec.Message(code=aiocoap.EMPTY)
-        message.mtype = kind
+        message.mtype = message_type
         message.mid = message_id
         self.send(message)
 
@@ -130,7 +130,7 @@
         """Returns a token that was never used."""
         return secrets.token_bytes(_TOKEN_OCTETS)
 
-    def listen(self, token: bytes, listener: listeners.Listener) -> None:
+    def listen(self, token: bytes, listener: listener_module.Listener) -> None:
         """Gives a listener the answers on a token, until `stop_listening`."""
         self._listeners[token] = listener
 
@@ -143,7 +143,7 @@
             self._remember_finished(token)
 
     @contextlib.contextmanager
-    def await_acknowledgement(
+    def expect_acknowledgement(
         self, message_id: int, sender: Sender
     ) -> Iterator[None]:
         """Gives a sender the acknowledgement of its message while inside."""
@@ -154,21 +154,23 @@
             if self._senders.get(message_id) is sender:
                 del self._senders[message_id]
 
-    def _take_in_safely(self, arrived: arrival.Arrival) -> None:
+    def _handle_event_safely(
+        self, arrived: upstream_socket.SocketEvent
+    ) -> None:
         """Takes in a datagram, whatever it holds.
 
         Guards against an upstream that stops this host for all services
         with a message that no one has thought of.
         """
         try:
-            self._take_in(arrived)
+            self._handle_event(arrived)
         except Exception:
             self._counts.add("upstream_datagrams_failed_total")
             logger.exception("Datagram of %s was passed over.", self.peer)
 
-    def _take_in(self, arrived: arrival.Arrival) -> None:
+    def _handle_event(self, arrived: upstream_socket.SocketEvent) -> None:
         if arrived.refused:
-            self._take_in_refusal(arrived.data)
+            self._handle_refusal(arrived.data)
             return
         try:
             message = codec.decode(arrived.data, self.peer)
@@ -176,31 +178,31 @@
             self._counts.add("upstream_datagrams_malformed_total")
             logger.debug("Malformed datagram: %s.", error)
             return
-        self.heard_at = trio.current_time()
+        self.last_received_at = trio.current_time()
         if message.mtype in (aiocoap.ACK, aiocoap.RST):
-            self._take_in_reply(message)
+            self._handle_reply(message)
         else:
-            self._take_in_message(message)
+            self._handle_message(message)
 
-    def _take_in_refusal(self, data: bytes) -> None:
+    def _handle_refusal(self, data: bytes) -> None:
         # Routers may quote too little to tell which datagram it was.
         if len(data) < 4:
             return
         sender = self._senders.get(int.from_bytes(data[2:4], "big"))
         if sender is not None:
             self._counts.add("upstream_datagrams_refused_total")
-            sender.refuse()
+            sender.handle_refusal()
 
-    def _take_in_reply(self, message: codec.Message) -> None:
+    def _handle_reply(self, message: codec.Message) -> None:
         sender = self._senders.get(message.mid)
         if sender is None:
             self._counts.add("upstream_replies_unmatched_total")
             return
         if message.mtype is aiocoap.RST:
-            sender.reset()
+            sender.handle_reset()
             return
         if message.code == aiocoap.EMPTY:
-            sender.acknowledge()
+            sender.handle_acknowledgement()
             return
         if message.token != sender.token:
             self._counts.add("upstream_replies_unmatched_total")
@@ -209,15 +211,15 @@
         if listener is not None:
             listener.receive(message)
 
-    def _take_in_message(self, message: codec.Message) -> None:
+    def _handle_message(self, message: codec.Message) -> None:
         accepted = False
         if message.code.is_response():
-            accepted = self._offer(message)
+            accepted = self._deliver_response(message)
         if message.mtype is aiocoap.CON or not accepted:
             kind = aiocoap.ACK if accepted else aiocoap.RST
             self.send_empty(kind, message.mid)
 
-    def _offer(self, message: codec.Message) -> bool:
+    def _deliver_response(self, message: codec.Message) -> bool:
         listener = self._listeners.get(message.token)
         if listener is not None:
             return listener.receive(message)
@@ -229,5 +231,5 @@
 
     def _remember_finished(self, token: bytes) -> None:
         self._finished[token] = None
-        if len(self._finished) > _FINISHED_TOKENS:
+        if len(self._finished) > _MAX_FINISHED_TOKENS:
             del self._finished[next(iter(self._finished))]
--- a/persimmonhinge/upstreams/endpoints.py
+++ b/persimmonhinge/upstreams/endpoints.py
@@ -5,9 +5,9 @@
 import logging
 
 from persimmonhinge import ids
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.upstreams import context as contexts
-from persimmonhinge.upstreams import endpoint as endpoint_parts
+from persimmonhinge.contracts import contract
+from persimmonhinge.upstreams import context as context_module
+from persimmonhinge.upstreams import endpoint as endpoint_module
 
 logger = logging.getLogger(__name__)
 
@@ -23,17 +23,17 @@
 
     def __init__(
         self,
-        context: contexts.KeeperContext,
+        context: context_module.KeeperContext,
         service: ids.ServiceName,
-        address: contracts.Address,
+        address: contract.Address,
     ) -> None:
         self._context = context
         self._service = service
         self._address = address
-        self._current: endpoint_parts.Endpoint | None = None
-        self._former: list[endpoint_parts.Endpoint] = []
+        self._current: endpoint_module.Endpoint | None = None
+        self._retired: list[endpoint_module.Endpoint] = []
 
-    def get(self) -> endpoint_parts.Endpoint:
+    def get(self) -> endpoint_module.Endpoint:
         """Returns the socket for new work."""
         current = self._current
         if current is not None and not current.is_exhausted:
@@ -44,10 +44,10 @@
         return self._current
 
     def report_silence(
-        self, endpoint: endpoint_parts.Endpoint, since: float
+        self, endpoint: endpoint_module.Endpoint, since: float
     ) -> None:
         """Takes in that a request got no sign; replaces a dead socket."""
-        if endpoint is self._current and endpoint.heard_at < since:
+        if endpoint is self._current and endpoint.last_received_at < since:
             logger.info("Nothing comes from %s; new socket.", self._address)
             self._context.counts.add("upstream_sockets_replaced_total")
             self._retire(endpoint)
@@ -55,21 +55,21 @@
 
     def close_idle(self) -> None:
         """Closes former sockets on which nothing waits any more."""
-        for endpoint in [e for e in self._former if e.is_idle]:
-            self._former.remove(endpoint)
+        for endpoint in [e for e in self._retired if e.is_idle]:
+            self._retired.remove(endpoint)
             endpoint.close()
 
     def close(self) -> None:
         """Closes all sockets."""
         if self._current is not None:
-            self._former.append(self._current)
+            self._retired.append(self._current)
             self._current = None
-        for endpoint in self._former:
+        for endpoint in self._retired:
             endpoint.close()
-        self._former.clear()
+        self._retired.clear()
 
-    def _open(self) -> endpoint_parts.Endpoint:
-        endpoint = endpoint_parts.Endpoint(
+    def _open(self) -> endpoint_module.Endpoint:
+        endpoint = endpoint_module.Endpoint(
             self._context.open_socket(self._address),
             str(self._address),
             self._may_send,
@@ -79,8 +79,8 @@
         self._context.start_soon(endpoint.run)
         return endpoint
 
-    def _retire(self, endpoint: endpoint_parts.Endpoint) -> None:
-        self._former.append(endpoint)
+    def _retire(self, endpoint: endpoint_module.Endpoint) -> None:
+        self._retired.append(endpoint)
         self.close_idle()
 
     def _may_send(self) -> bool:
--- a/persimmonhinge/upstreams/given_events.py
+++ b/persimmonhinge/upstreams/event_stream.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-from persimmonhinge.peers.messages import feeds as messages
+from persimmonhinge.peers.messages import feeds
 from persimmonhinge.upstreams import event_budget
-from persimmonhinge.upstreams import unconfirmed
+from persimmonhinge.upstreams import unconfirmed_events
 
 
-class GivenEvents:
+class EventStream:
     """Numbers the events of a feed, and holds what no home has confirmed.
 
     Guards against events that are lost with a host: what it did not confirm
@@ -30,7 +30,7 @@
     )
 
     def __init__(
-        self, opened: messages.FeedOpen, budget: event_budget.EventBudget
+        self, opened: feeds.FeedOpen, budget: event_budget.EventBudget
     ) -> None:
         """Begins above all numbers that may be in use.
 
@@ -45,7 +45,7 @@
         self._recent = opened.recent
         # 0 until a home has confirmed an event of this stream.
         self._confirmed = 0
-        self._events = unconfirmed.UnconfirmedEvents(budget)
+        self._events = unconfirmed_events.UnconfirmedEvents(budget)
 
     @property
     def is_confirmed(self) -> bool:
@@ -57,22 +57,22 @@
         """True if no event is held."""
         return not self._events.list_all()
 
-    def add(self, answer: bytes) -> messages.FeedEvent:
+    def add(self, answer: bytes) -> feeds.FeedEvent:
         """Numbers an event and holds it."""
         used = max(self.sequence, self._sent)
-        self.sequence = used + messages.SEQUENCE_STRIDE
-        event = messages.FeedEvent(self.sequence, answer)
+        self.sequence = used + feeds.SEQUENCE_STRIDE
+        event = feeds.FeedEvent(self.sequence, answer)
         self._events.add(event)
         return event
 
-    def note_ack(self, ack: messages.FeedAck) -> None:
+    def record_acknowledgement(self, ack: feeds.FeedAck) -> None:
         """Takes in what the home has sent to the caller."""
         self._sent = max(self._sent, ack.sequence)
         self._recent = ack.recent
         # A host of an earlier release tells one number for both.
         self._confirm(ack.confirmed or ack.sequence)
 
-    def resume(self, opened: messages.FeedOpen) -> list[messages.FeedEvent]:
+    def resume(self, opened: feeds.FeedOpen) -> list[feeds.FeedEvent]:
         """Goes on for a home that opens the feed again.
 
         Returns:
@@ -86,14 +86,14 @@
             for event in self._events.list_all()
         ]
 
-    def describe(self, opened: messages.FeedOpen) -> messages.FeedOpen:
+    def make_feed_open(self, opened: feeds.FeedOpen) -> feeds.FeedOpen:
         """Returns a feed as another home is to open it."""
         return msgspec.structs.replace(
             opened,
             last_sequence=self._sent,
             recent=self._recent,
             confirmed=self._confirmed,
-            floor=max(self.sequence, self._sent) + messages.SEQUENCE_STRIDE,
+            floor=max(self.sequence, self._sent) + feeds.SEQUENCE_STRIDE,
             resumes=False,
         )
 
--- a/persimmonhinge/upstreams/exchange.py
+++ b/persimmonhinge/upstreams/exchange.py
@@ -10,11 +10,11 @@
 import trio
 
 from persimmonhinge.coap import codec
-from persimmonhinge.coap import transmission as transmissions
-from persimmonhinge.upstreams import endpoint as endpoints
+from persimmonhinge.coap import transmission
+from persimmonhinge.upstreams import endpoint as endpoint_module
 
 
-class ExchangeEnd(enum.Enum):
+class ExchangeStatus(enum.Enum):
     """How an exchange ended.
 
     ANSWERED: The upstream answered.
@@ -39,7 +39,7 @@
         answer: The answer; None unless the end is ANSWERED.
     """
 
-    end: ExchangeEnd
+    status: ExchangeStatus
     answer: codec.Message | None = None
 
 
@@ -55,7 +55,7 @@
     """
 
     silence_s: float
-    until: float = 0.0
+    answer_deadline: float = 0.0
 
 
 class Exchange:
@@ -67,9 +67,9 @@
 
     def __init__(
         self,
-        endpoint: endpoints.Endpoint,
+        endpoint: endpoint_module.Endpoint,
         request: codec.Message,
-        timers: transmissions.Transmission,
+        timers: transmission.Transmission,
         randomness: random.Random,
         token: bytes | None = None,
     ) -> None:
@@ -84,14 +84,14 @@
                 answers on to `receive`; None for a new one.
         """
         self.token = token or endpoint.make_token()
-        self._listens = token is None
+        self._owns_token = token is None
         self._endpoint = endpoint
         self._timers = timers
         self._randomness = randomness
         self._request = request
-        self._sign = trio.Event()
-        self._done = trio.Event()
-        self._transmitted = 0
+        self._reply_received = trio.Event()
+        self._finished = trio.Event()
+        self._transmission_count = 0
         self._acknowledged_at: float | None = None
         self._refused = False
         self._abandoned = False
@@ -106,32 +106,32 @@
         until then or to its limit, because the upstream may go on.
         """
         self._abandoned = True
-        if self._acknowledged_at is not None and not self._done.is_set():
-            self._reject()
+        if self._acknowledged_at is not None and not self._finished.is_set():
+            self._send_reset()
 
     def receive(self, answer: codec.Message) -> bool:
         """Takes the answer; see `listener.Listener`."""
         if self._answer is None:
             self._answer = answer
-        self._sign.set()
-        self._done.set()
+        self._reply_received.set()
+        self._finished.set()
         return not self._abandoned
 
-    def acknowledge(self) -> None:
+    def handle_acknowledgement(self) -> None:
         """Takes in that the upstream works on the request."""
         if self._acknowledged_at is None:
             self._acknowledged_at = trio.current_time()
         if self._abandoned:
-            self._reject()
-        self._sign.set()
+            self._send_reset()
+        self._reply_received.set()
 
-    def reset(self) -> None:
+    def handle_reset(self) -> None:
         """Takes in that the upstream reset the request."""
-        self._end_refused()
+        self._finish_refused()
 
-    def refuse(self) -> None:
+    def handle_refusal(self) -> None:
         """Takes in that ICMP refused a transmission."""
-        self._end_refused()
+        self._finish_refused()
 
     async def run(self, limits: WaitLimits) -> ExchangeResult:
         """Runs the exchange to its end."""
@@ -139,19 +139,21 @@
         message.mtype = aiocoap.CON
         message.mid = self._endpoint.next_message_id()
         message.token = self.token
-        if self._listens:
+        if self._owns_token:
             self._endpoint.listen(self.token, self)
         try:
-            with self._endpoint.await_acknowledgement(message.mid, self):
+            with self._endpoint.expect_acknowledgement(message.mid, self):
                 until = trio.current_time() + limits.silence_s
                 await self._transmit(message, until)
-                await self._wait_answer(limits)
+                await self._wait_for_answer(limits)
         finally:
-            if self._listens:
+            if self._owns_token:
                 self._endpoint.stop_listening(self.token)
         return self._make_result()
 
-    async def _transmit(self, message: codec.Message, until: float) -> None:
+    async def _transmit(
+        self, message: codec.Message, give_up_at: float
+    ) -> None:
         """Sends a message until there is a sign, or the time is over."""
         timeout_s = self._randomness.uniform(
             self._timers.ack_timeout_s,
@@ -162,47 +164,53 @@
                 break
             if not self._endpoint.send(message):
                 break
-            self._transmitted += 1
+            self._transmission_count += 1
             # One scope for each wait and none around all: most requests
             # wait once, and a scope is not cheap on the packet path.
-            if await self._wait_sign(trio.current_time() + timeout_s, until):
+            if await self._wait_for_reply(
+                trio.current_time() + timeout_s, give_up_at
+            ):
                 return
             timeout_s *= 2
-        if self._transmitted:
-            await self._wait_sign(until, until)
+        if self._transmission_count:
+            await self._wait_for_reply(give_up_at, give_up_at)
 
-    async def _wait_sign(self, deadline: float, until: float) -> bool:
+    async def _wait_for_reply(self, deadline: float, until: float) -> bool:
         """Returns False if the exchange is to go on sending."""
         with trio.move_on_at(min(deadline, until)):
-            await self._sign.wait()
+            await self._reply_received.wait()
             return True
         return deadline >= until
 
-    async def _wait_answer(self, limits: WaitLimits) -> None:
+    async def _wait_for_answer(self, limits: WaitLimits) -> None:
         if self._acknowledged_at is None:
             return
-        until = max(self._acknowledged_at + limits.silence_s, limits.until)
+        until = max(
+            self._acknowledged_at + limits.silence_s, limits.answer_deadline
+        )
         with trio.move_on_at(until):
-            await self._done.wait()
+            await self._finished.wait()
 
-    def _reject(self) -> None:
+    def _send_reset(self) -> None:
         self._endpoint.send_empty(aiocoap.RST, self._request.mid)
 
-    def _end_refused(self) -> None:
+    def _finish_refused(self) -> None:
         # Guards against taking a request for refused that did run: the
         # first transmission may have been taken in, and a later one met
         # the restarted program. It shows as a reset or an ICMP error after
         # a retransmission or an acknowledgement. Only the refusal of the
         # one and only transmission tells that nothing was taken in.
-        self._refused = self._transmitted == 1 and self._acknowledged_at is None
-        self._sign.set()
-        self._done.set()
+        self._refused = (
+            self._transmission_count == 1 and self._acknowledged_at is None
+        )
+        self._reply_received.set()
+        self._finished.set()
 
     def _make_result(self) -> ExchangeResult:
         if self._answer is not None:
-            return ExchangeResult(ExchangeEnd.ANSWERED, self._answer)
-        if self._transmitted == 0:
-            return ExchangeResult(ExchangeEnd.UNSENT)
+            return ExchangeResult(ExchangeStatus.ANSWERED, self._answer)
+        if self._transmission_count == 0:
+            return ExchangeResult(ExchangeStatus.UNSENT)
         if self._refused:
-            return ExchangeResult(ExchangeEnd.REFUSED)
-        return ExchangeResult(ExchangeEnd.SILENT)
+            return ExchangeResult(ExchangeStatus.REFUSED)
+        return ExchangeResult(ExchangeStatus.SILENT)
--- a/persimmonhinge/upstreams/feed.py
+++ b/persimmonhinge/upstreams/feed.py
@@ -8,20 +8,20 @@
 
 from persimmonhinge import errors
 from persimmonhinge.coap import codec
-from persimmonhinge.membership import member as members
-from persimmonhinge.peers import network as networks
-from persimmonhinge.peers.messages import feeds as messages
-from persimmonhinge.upstreams import context as contexts
-from persimmonhinge.upstreams import given_events
-from persimmonhinge.upstreams import kept as kept_parts
-from persimmonhinge.upstreams import observation as observations
+from persimmonhinge.membership import member
+from persimmonhinge.peers import network
+from persimmonhinge.peers.messages import feeds
+from persimmonhinge.upstreams import context as context_module
+from persimmonhinge.upstreams import event_stream
+from persimmonhinge.upstreams import kept_upstream
+from persimmonhinge.upstreams import observation as observation_module
 from persimmonhinge.upstreams import requests
-from persimmonhinge.upstreams import transfer as transfers
+from persimmonhinge.upstreams import transfer as transfer_module
 
 logger = logging.getLogger(__name__)
 
-_Cause = messages.FeedEndCause
-_State = observations.ObservationState
+_Cause = feeds.FeedEndCause
+_State = observation_module.ObservationState
 
 
 class Feed:
@@ -37,50 +37,52 @@
 
     def __init__(
         self,
-        context: contexts.KeeperContext,
-        opened: messages.FeedOpen,
-        observation: observations.Observation,
-        kept: kept_parts.KeptUpstream,
-        home: members.Member | None,
+        context: context_module.KeeperContext,
+        opened: feeds.FeedOpen,
+        observation: observation_module.Observation,
+        upstream: kept_upstream.KeptUpstream,
+        home: member.Member | None,
     ) -> None:
         self.opened = opened
         self.observation = observation
-        self.kept = kept
+        self.upstream = upstream
         self.home = home
-        self.given = given_events.GivenEvents(opened, context.event_budget)
+        self.events = event_stream.EventStream(opened, context.event_budget)
         self._context = context
-        self._due: messages.FeedEndCause | None = None
-        self._told: messages.FeedEndCause | None = None
-        self._replays: list[messages.FeedEvent] = []
-        self._gave_last = False
+        self._pending_end: feeds.FeedEndCause | None = None
+        self._sent_end: feeds.FeedEndCause | None = None
+        self._replays: list[feeds.FeedEvent] = []
+        self._final_event_sent = False
         self._collecting: trio.CancelScope | None = None
         self._collected: trio.Event | None = None
 
     def resume(self, former: Feed) -> None:
         """Goes on where the stream to a former home, or to this one, ended."""
-        self._due = former._told or former._due
-        self._gave_last = former._gave_last
-        self.given = former.given
-        self._replays = self.given.resume(self.opened)
+        self._pending_end = former._sent_end or former._pending_end
+        self._final_event_sent = former._final_event_sent
+        self.events = former.events
+        self._replays = self.events.resume(self.opened)
 
     def is_open(self) -> bool:
         """Tells whether a home has something to take from it."""
         if self.observation.state is _State.OPEN:
             return True
-        return not self.given.is_empty
+        return not self.events.is_empty
 
-    def ask_to_move(self, cause: messages.FeedEndCause) -> None:
+    def request_move(self, cause: feeds.FeedEndCause) -> None:
         """Has the home asked to move the feed; events go on meanwhile."""
-        if self._told is None and self._due is None:
-            self._due = cause
+        if self._sent_end is None and self._pending_end is None:
+            self._pending_end = cause
             self.observation.wake()
 
-    def doubt(self, silent_since: float) -> None:
+    def request_check(self, silent_since: float) -> None:
         """Has the feed checked as if it were silent since a time."""
-        self.observation.heard_at = min(self.observation.heard_at, silent_since)
+        self.observation.last_received_at = min(
+            self.observation.last_received_at, silent_since
+        )
         self.observation.wake()
 
-    def begin_collecting(self) -> None:
+    def start_collecting(self) -> None:
         """Takes in what comes while no home has the feed.
 
         Guards against large states that are gone when the next home opens the
@@ -94,9 +96,11 @@
         try:
             with scope:
                 while self.observation.state is _State.OPEN:
-                    await self.observation.wait_news()
-                    while (answer := self.observation.take()) is not None:
-                        await self._take_in(answer)
+                    await self.observation.wait_for_change()
+                    while (
+                        answer := self.observation.pop_notification()
+                    ) is not None:
+                        await self._add_event(answer)
         finally:
             self._collected.set()
 
@@ -107,31 +111,31 @@
         if self._collected is not None:
             await self._collected.wait()
 
-    async def end(self) -> None:
+    async def cancel(self) -> None:
         """Cancels the feed at its upstream; it counts until that is done."""
         await self.stop_collecting()
-        silence_s = self.kept.target.limits.upstream_timeout_s
+        silence_s = self.upstream.target.limits.upstream_timeout_s
         try:
             await self.observation.cancel(silence_s)
         finally:
-            self.given.clear()
-            self.kept.feeds -= 1
+            self.events.clear()
+            self.upstream.feed_count -= 1
 
-    def describe(self) -> messages.FeedOpen:
+    def make_feed_open(self) -> feeds.FeedOpen:
         """Returns the feed as another home is to open it."""
-        return self.given.describe(self.opened)
+        return self.events.make_feed_open(self.opened)
 
-    async def follow_home(self, caller: networks.Caller) -> None:
+    async def receive_acknowledgements(self, caller: network.Caller) -> None:
         """Takes in what the home says, until it closes the call."""
         try:
             while True:
                 message = await caller.receive()
-                if isinstance(message, messages.FeedAck):
-                    self.given.note_ack(message)
+                if isinstance(message, feeds.FeedAck):
+                    self.events.record_acknowledgement(message)
         except errors.PeerLinkLostError:
             return
 
-    async def forward(self, caller: networks.Caller) -> None:
+    async def forward(self, caller: network.Caller) -> None:
         """Pushes notifications until the feed ends at the upstream.
 
         Raises:
@@ -139,41 +143,39 @@
         """
         await self._push_replays(caller)
         while True:
-            await self._push_waiting(caller)
-            if self._due is not None:
+            await self._push_notifications(caller)
+            if self._pending_end is not None:
                 await self._push_end(caller)
             if self.observation.state is not _State.OPEN:
-                await self._push_lost(caller)
+                await self._push_lost_end(caller)
                 return
-            if not await self._wait():
-                self._find_silent()
+            if not await self._wait_for_notification():
+                self._handle_silence()
 
-    async def _push_replays(self, caller: networks.Caller) -> None:
+    async def _push_replays(self, caller: network.Caller) -> None:
         replays, self._replays = self._replays, []
         for event in replays:
             await caller.push(event)
         self._context.counts.add("feed_events_replayed_total", len(replays))
 
-    async def _push_waiting(self, caller: networks.Caller) -> None:
-        while (answer := self.observation.take()) is not None:
-            event = await self._take_in(answer)
+    async def _push_notifications(self, caller: network.Caller) -> None:
+        while (answer := self.observation.pop_notification()) is not None:
+            event = await self._add_event(answer)
             if event is not None:
                 await caller.push(event)
                 self._context.counts.add("feed_events_total")
 
-    async def _take_in(
-        self, answer: codec.Message
-    ) -> messages.FeedEvent | None:
+    async def _add_event(self, answer: codec.Message) -> feeds.FeedEvent | None:
         """Returns the event of a notification, None if it can't be had."""
         # Not cancelled with the link: later, only a newer state is left.
         with trio.CancelScope(shield=True):
-            whole = await self._complete(answer)
+            whole = await self._fetch_whole(answer)
         if whole is None:
             self._context.counts.add("feed_events_incomplete_total")
             return None
-        return self.given.add(requests.write_answer(whole))
+        return self.events.add(requests.encode_answer(whole))
 
-    async def _complete(self, answer: codec.Message) -> codec.Message | None:
+    async def _fetch_whole(self, answer: codec.Message) -> codec.Message | None:
         """Returns a notification with its whole body."""
         block2 = answer.opt.block2
         if block2 is None or not block2.more:
@@ -181,74 +183,78 @@
             whole.opt.observe = None
             whole.opt.block2 = None
             return whole
-        silence_s = self.kept.target.limits.upstream_timeout_s
-        transfer = transfers.Transfer(
+        silence_s = self.upstream.target.limits.upstream_timeout_s
+        transfer = transfer_module.Transfer(
             self.observation.endpoint,
-            requests.read_request(self.opened.request, self.opened.service),
+            requests.decode_request(self.opened.request, self.opened.service),
             trio.current_time() + silence_s,
             silence_s,
             self._context.timers,
             self._context.randomness,
         )
-        return await transfer.fetch_rest(answer)
+        return await transfer.fetch_remaining_blocks(answer)
 
-    async def _push_end(self, caller: networks.Caller) -> None:
-        assert self._due is not None
-        self._told, self._due = self._due, None
-        load = self.kept.read_load()
-        await caller.push(messages.FeedEnd(self._told, load=load))
+    async def _push_end(self, caller: network.Caller) -> None:
+        assert self._pending_end is not None
+        self._sent_end, self._pending_end = self._pending_end, None
+        load = self.upstream.read_load()
+        await caller.push(feeds.FeedEnd(self._sent_end, load=load))
         self._context.counts.add(
-            "keeper_feed_ends_total", cause=self._told.value
+            "keeper_feed_ends_total", cause=self._sent_end.value
         )
 
-    async def _push_lost(self, caller: networks.Caller) -> None:
-        last = self.observation.last
+    async def _push_lost_end(self, caller: network.Caller) -> None:
+        last = self.observation.final_answer
         answer = b""
         if last is not None and not last.code.is_successful():
-            answer = requests.write_answer(last)
-        elif last is not None and not self._gave_last:
-            await self._push_last(caller, last)
-        load = self.kept.read_load()
-        await caller.push(messages.FeedEnd(_Cause.LOST, answer, load=load))
+            answer = requests.encode_answer(last)
+        elif last is not None and not self._final_event_sent:
+            await self._push_final_event(caller, last)
+        load = self.upstream.read_load()
+        await caller.push(feeds.FeedEnd(_Cause.LOST, answer, load=load))
         self._context.counts.add(
             "keeper_feed_ends_total", cause=_Cause.LOST.value
         )
 
-    async def _push_last(
-        self, caller: networks.Caller, last: codec.Message
+    async def _push_final_event(
+        self, caller: network.Caller, final_answer: codec.Message
     ) -> None:
-        self._gave_last = True
-        event = await self._take_in(last)
+        self._final_event_sent = True
+        event = await self._add_event(final_answer)
         if event is not None:
             await caller.push(event)
 
-    async def _wait(self) -> bool:
+    async def _wait_for_notification(self) -> bool:
         """Waits for something to push; checks a feed that is silent.
 
         Returns:
             False if the feed is silent and does not answer.
         """
-        silent_s = self.kept.target.limits.silent_feed_s
-        with trio.move_on_at(self.observation.heard_at + silent_s) as scope:
-            await self.observation.wait_news()
+        silent_s = self.upstream.target.limits.silent_feed_s
+        with trio.move_on_at(
+            self.observation.last_received_at + silent_s
+        ) as scope:
+            await self.observation.wait_for_change()
         if not scope.cancelled_caught:
             return True
-        if self.observation.heard_at + silent_s > trio.current_time():
+        if self.observation.last_received_at + silent_s > trio.current_time():
             return True
-        async with self.kept.checks:
-            return await self._check()
+        async with self.upstream.check_limiter:
+            return await self._check_upstream()
 
-    async def _check(self) -> bool:
-        limits = self.kept.target.limits
+    async def _check_upstream(self) -> bool:
+        limits = self.upstream.target.limits
         limit_s = min(limits.upstream_timeout_s, limits.silent_feed_s)
         began_at = trio.current_time()
         self._context.counts.add("feed_checks_total")
         if await self.observation.check(limit_s):
             return True
-        self.kept.endpoints.report_silence(self.observation.endpoint, began_at)
+        self.upstream.endpoints.report_silence(
+            self.observation.endpoint, began_at
+        )
         return False
 
-    def _find_silent(self) -> None:
+    def _handle_silence(self) -> None:
         """Has a silent feed moved.
 
         Guards against feeds that go silent for good while new work is
@@ -257,7 +263,7 @@
         upstream was asked.
         """
         # Counts as a sign, so that the next check comes after the full time.
-        self.observation.heard_at = trio.current_time()
-        if self._told is not _Cause.SILENT:
+        self.observation.last_received_at = trio.current_time()
+        if self._sent_end is not _Cause.SILENT:
             self._context.counts.add("feeds_silent_total")
-            self.ask_to_move(_Cause.SILENT)
+            self.request_move(_Cause.SILENT)
--- /dev/null
+++ b/persimmonhinge/upstreams/feed_server.py
@@ -0,0 +1,217 @@
+"""Serves the feeds that homes open at this keeper."""
+
+from __future__ import annotations
+
+import logging
+
+import trio
+
+from persimmonhinge import errors
+from persimmonhinge import ids
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.peers import network
+from persimmonhinge.peers.messages import feeds
+from persimmonhinge.policies import admission
+from persimmonhinge.upstreams import context as context_module
+from persimmonhinge.upstreams import exchange
+from persimmonhinge.upstreams import feed as feed_module
+from persimmonhinge.upstreams import kept_upstream
+from persimmonhinge.upstreams import observation as observation_module
+from persimmonhinge.upstreams import orphaned_feeds
+from persimmonhinge.upstreams import requests
+from persimmonhinge.upstreams import roles as roles_module
+from persimmonhinge.upstreams import shedding
+from persimmonhinge.upstreams import upstreams as upstreams_module
+
+logger = logging.getLogger(__name__)
+
+# A caller that finds no connection free may come back after so long.
+_FULL_RETRY_S = 2
+
+_Cause = feeds.FeedEndCause
+_Status = exchange.ExchangeStatus
+_State = observation_module.ObservationState
+
+
+class FeedServer:
+    """Opens each feed at its upstream and carries it until its home closes.
+
+    Each feed has two tasks: one takes what the home says, one passes on
+    what the upstream sends.
+    """
+
+    def __init__(
+        self,
+        context: context_module.KeeperContext,
+        view: view_module.View,
+        roles: roles_module.Roles,
+        upstreams: upstreams_module.KeptUpstreams,
+        orphans: orphaned_feeds.OrphanedFeeds,
+    ) -> None:
+        self._context = context
+        self._view = view
+        self._roles = roles
+        self._upstreams = upstreams
+        self._orphans = orphans
+
+    async def handle(
+        self, caller: network.Caller, opened: feeds.FeedOpen
+    ) -> None:
+        """Carries one feed from its opening to its end."""
+        try:
+            # A request that can't be read is found before a task relies on it.
+            requests.decode_request(opened.request, opened.service)
+            if self._orphans.has_other_home(caller.host, opened):
+                await caller.push(feeds.FeedTaken())
+                self._context.counts.add("keeper_feeds_taken_total")
+                return
+            found = self._find_upstream(opened)
+            if isinstance(found, feeds.FeedEnd):
+                await self._send_end(caller, found)
+                return
+            await self._serve_feed(caller, opened, found)
+        except errors.PeerLinkLostError:
+            return
+        except errors.MalformedDatagramError as error:
+            logger.warning("Feed can't be read: %s.", error)
+            await self._send_end(caller, feeds.FeedEnd(_Cause.REFUSED))
+
+    def _find_upstream(
+        self, opened: feeds.FeedOpen
+    ) -> kept_upstream.KeptUpstream | feeds.FeedEnd:
+        held = self._orphans.find(opened)
+        if held is not None:
+            # Also where the role has moved: no other keeper has its events.
+            return held.upstream
+        target = self._roles.find_target(
+            opened.service, opened.revision, opened.upstream
+        )
+        if target is None or not self._roles.keeps(target):
+            # Hosts differ for a moment; the home looks again.
+            return feeds.FeedEnd(_Cause.MOVED)
+        kept = self._upstreams.get(target)
+        load = kept.read_load()
+        if not kept.is_accepting:
+            return feeds.FeedEnd(_Cause.REFUSED, load=load)
+        if kept.feed_count >= target.upstream.connections:
+            retry_s = admission.spread_s(
+                _FULL_RETRY_S, self._context.randomness
+            )
+            return feeds.FeedEnd(
+                _Cause.REFUSED, retry_after_s=retry_s, load=load
+            )
+        return kept
+
+    async def _send_end(
+        self, caller: network.Caller, end: feeds.FeedEnd
+    ) -> None:
+        await caller.push(end)
+        self._context.counts.add(
+            "keeper_feed_ends_total", cause=end.cause.value
+        )
+
+    async def _serve_feed(
+        self,
+        caller: network.Caller,
+        opened: feeds.FeedOpen,
+        upstream: kept_upstream.KeptUpstream,
+    ) -> None:
+        feed = await self._make_feed(caller, opened, upstream)
+        upstream.open_feeds.add(feed)
+        try:
+            async with trio.open_nursery() as nursery:
+                nursery.start_soon(_cancel_when_closed, feed, caller, nursery)
+                if feed.observation.state is _State.OPENING:
+                    await self._open_feed(caller, feed)
+                if feed.is_open():
+                    await feed.forward(caller)
+                    # What ends it may be lost with the home, too.
+                    await caller.wait_closed()
+                nursery.cancel_scope.cancel()
+        except* errors.PeerLinkLostError:
+            # The push that failed tells what `receive` tells, too.
+            pass
+        finally:
+            upstream.open_feeds.discard(feed)
+            self._close_feed(caller, feed)
+
+    async def _make_feed(
+        self,
+        caller: network.Caller,
+        opened: feeds.FeedOpen,
+        upstream: kept_upstream.KeptUpstream,
+    ) -> feed_module.Feed:
+        home = self._view.get(caller.host)
+        former = await self._orphans.claim(caller.host, opened)
+        if former is not None:
+            feed = feed_module.Feed(
+                self._context, opened, former.observation, upstream, home
+            )
+            feed.resume(former)
+            self._request_missed_move(feed)
+            return feed
+        observation = observation_module.Observation(
+            self._context, upstream.endpoints.get(), opened
+        )
+        upstream.feed_count += 1
+        return feed_module.Feed(
+            self._context, opened, observation, upstream, home
+        )
+
+    def _request_missed_move(self, feed: feed_module.Feed) -> None:
+        """Has a feed moved whose home was not there to be asked."""
+        opened = feed.opened
+        target = self._roles.find_target(
+            opened.service, ids.Revision(0), opened.upstream
+        )
+        if target is None or not feed.upstream.is_accepting:
+            feed.request_move(_Cause.DRAINING)
+        elif not self._roles.keeps(target):
+            feed.request_move(_Cause.MOVED)
+
+    async def _open_feed(
+        self, caller: network.Caller, feed: feed_module.Feed
+    ) -> None:
+        kept = feed.upstream
+        began_at = trio.current_time()
+        silence_s = kept.target.limits.upstream_timeout_s
+        end = await feed.observation.open(silence_s)
+        if end is _Status.SILENT:
+            kept.endpoints.report_silence(feed.observation.endpoint, began_at)
+        if end is not _Status.ANSWERED:
+            kept.record_feed_failure()
+            cause = _Cause.SILENT if end is _Status.SILENT else _Cause.LOST
+            load = kept.read_load()
+            await self._send_end(caller, feeds.FeedEnd(cause, load=load))
+        elif feed.observation.state is _State.ENDED:
+            await self._send_end(caller, _make_refusal(feed))
+
+    def _close_feed(
+        self, caller: network.Caller, feed: feed_module.Feed
+    ) -> None:
+        """Ends the feed at the upstream, unless its home has died."""
+        lost = not caller.closed_by_caller
+        if lost and feed.is_open():
+            self._orphans.hold(feed)
+            return
+        self._context.start_soon(feed.cancel)
+
+
+async def _cancel_when_closed(
+    feed: feed_module.Feed, caller: network.Caller, nursery: trio.Nursery
+) -> None:
+    await feed.receive_acknowledgements(caller)
+    nursery.cancel_scope.cancel()
+
+
+def _make_refusal(feed: feed_module.Feed) -> feeds.FeedEnd:
+    last = feed.observation.final_answer
+    assert last is not None
+    if shedding.is_shed(last):
+        feed.upstream.handle_shed(last)
+    return feeds.FeedEnd(
+        _Cause.REFUSED,
+        requests.encode_answer(last),
+        shedding.read_retry_s(last),
+        feed.upstream.read_load(),
+    )
--- a/persimmonhinge/upstreams/freshness.py
+++ b/persimmonhinge/upstreams/freshness.py
@@ -11,26 +11,26 @@
     """Tells late notifications from fresh ones by observe number and time."""
 
     def __init__(self) -> None:
-        self._number: int | None = None
-        self._at = 0.0
+        self._newest_number: int | None = None
+        self._received_at = 0.0
 
-    def admit(self, number: int, now: float) -> bool:
+    def accept(self, number: int, now: float) -> bool:
         """Takes in the number of a notification.
 
         Returns:
             False if it is late or a copy: a newer one has come before.
         """
-        if self._number is not None and not self._is_fresh(number, now):
+        if self._newest_number is not None and not self._is_fresh(number, now):
             return False
-        self._number = number
-        self._at = now
+        self._newest_number = number
+        self._received_at = now
         return True
 
     def _is_fresh(self, number: int, now: float) -> bool:
-        assert self._number is not None
-        if now > self._at + _STALE_AFTER_S:
+        assert self._newest_number is not None
+        if now > self._received_at + _STALE_AFTER_S:
             return True
-        former = self._number
+        former = self._newest_number
         if former < number:
             return number - former < _HALF_RANGE
         return former - number > _HALF_RANGE
--- a/persimmonhinge/upstreams/handing.py
+++ b/persimmonhinge/upstreams/handing.py
@@ -16,7 +16,7 @@
 from persimmonhinge.upstreams import executed as executed_tables
 from persimmonhinge.upstreams import executed_entry as entries
 from persimmonhinge.upstreams import inheritance as inheritances
-from persimmonhinge.upstreams import kept as kept_parts
+from persimmonhinge.upstreams import kept_upstream as kept_parts
 from persimmonhinge.upstreams import roles as role_parts
 from persimmonhinge.upstreams import upstreams as upstream_sets
 
--- a/persimmonhinge/upstreams/trust.py
+++ b/persimmonhinge/upstreams/health_score.py
@@ -4,18 +4,18 @@
 
 import enum
 
-_LEAST = 0.02
+_MIN_SCORE = 0.02
 # A trusted upstream that fails once is back within a minute unasked; one
 # that goes on failing is pushed down faster than it rises.
-_RISE_PER_S = 1.0 / 60
-_RISE_PER_SUCCESS = 0.05
-_SLOW_FACTOR = 10.0
+_RECOVERY_PER_S = 1.0 / 60
+_RECOVERY_PER_SUCCESS = 0.05
+_SLOW_RUN_RATIO = 10.0
 # Below this a run that took many times longer than usual is mere noise.
-_SLOW_S = 0.1
+_MIN_SLOW_RUN_S = 0.1
 _AVERAGE_WEIGHT = 0.2
 
 
-class Sign(enum.Enum):
+class HealthSignal(enum.Enum):
     """What an upstream did with a request.
 
     ANSWERED: It answered.
@@ -31,10 +31,14 @@
 
 
 # A few bad signs in a row leave a trickle only.
-_FACTORS = {Sign.FAILED: 0.7, Sign.SHED: 0.85, Sign.STALLED: 0.5}
+_FAILURE_FACTORS = {
+    HealthSignal.FAILED: 0.7,
+    HealthSignal.SHED: 0.85,
+    HealthSignal.STALLED: 0.5,
+}
 
 
-class Trust:
+class HealthScore:
     """A number from near 0 to 1 that falls by factors and rises by steps.
 
     The upstream's own word on its health and load plays no part: it lags
@@ -47,17 +51,21 @@
     """
 
     def __init__(self, now: float) -> None:
-        self.service_s = 0.0
-        self._value = 1.0
+        self.service_time_s = 0.0
+        self._score = 1.0
         self._changed_at = now
 
     def read(self, now: float) -> float:
         """Returns the trust at a time."""
-        risen = self._value + (now - self._changed_at) * _RISE_PER_S
+        risen = self._score + (now - self._changed_at) * _RECOVERY_PER_S
         return min(1.0, risen)
 
-    def note(
-        self, sign: Sign, now: float, run_s: float = 0.0, slowdown: float = 1.0
+    def record_signal(
+        self,
+        signal: HealthSignal,
+        now: float,
+        run_s: float = 0.0,
+        slowdown: float = 1.0,
     ) -> None:
         """Takes in what became of a request.
 
@@ -68,19 +76,19 @@
             slowdown: How many times longer that is than is usual.
         """
         value = self.read(now)
-        if sign is not Sign.ANSWERED:
-            value *= _FACTORS[sign]
-        elif slowdown >= _SLOW_FACTOR and run_s >= _SLOW_S:
-            value *= _FACTORS[Sign.FAILED]
+        if signal is not HealthSignal.ANSWERED:
+            value *= _FAILURE_FACTORS[signal]
+        elif slowdown >= _SLOW_RUN_RATIO and run_s >= _MIN_SLOW_RUN_S:
+            value *= _FAILURE_FACTORS[HealthSignal.FAILED]
         else:
-            value += _RISE_PER_SUCCESS
-        if sign is Sign.ANSWERED:
-            self._average(run_s)
-        self._value = min(1.0, max(_LEAST, value))
+            value += _RECOVERY_PER_SUCCESS
+        if signal is HealthSignal.ANSWERED:
+            self._update_average(run_s)
+        self._score = min(1.0, max(_MIN_SCORE, value))
         self._changed_at = now
 
-    def _average(self, run_s: float) -> None:
-        if self.service_s <= 0:
-            self.service_s = run_s
+    def _update_average(self, run_s: float) -> None:
+        if self.service_time_s <= 0:
+            self.service_time_s = run_s
             return
-        self.service_s += _AVERAGE_WEIGHT * (run_s - self.service_s)
+        self.service_time_s += _AVERAGE_WEIGHT * (run_s - self.service_time_s)
--- a/persimmonhinge/upstreams/keeper.py
+++ b/persimmonhinge/upstreams/keeper.py
@@ -22,19 +22,19 @@
 from persimmonhinge.peers.messages import handover
 from persimmonhinge.peers.messages import work
 from persimmonhinge.settings import entry as settings_entry
-from persimmonhinge.upstreams import arrival
 from persimmonhinge.upstreams import context as contexts
 from persimmonhinge.upstreams import dispatching as dispatching_parts
 from persimmonhinge.upstreams import event_budget
 from persimmonhinge.upstreams import executed as executed_tables
-from persimmonhinge.upstreams import feeding as feeding_parts
+from persimmonhinge.upstreams import feed_server as feeding_parts
 from persimmonhinge.upstreams import handing as handing_parts
 from persimmonhinge.upstreams import inheritance as inheritances
-from persimmonhinge.upstreams import orphans as orphan_parts
+from persimmonhinge.upstreams import orphaned_feeds as orphan_parts
 from persimmonhinge.upstreams import recovering as recovering_parts
 from persimmonhinge.upstreams import roles as role_parts
 from persimmonhinge.upstreams import taking as taking_parts
 from persimmonhinge.upstreams import udp
+from persimmonhinge.upstreams import upstream_socket
 from persimmonhinge.upstreams import upstreams as upstream_sets
 from persimmonhinge.upstreams import uptimes as home_uptimes
 
@@ -58,7 +58,7 @@
         contracts: stores.ContractStore,
         network: networks.PeerNetwork,
         counts: host_counts.Counts,
-        open_socket: arrival.SocketOpener | None = None,
+        open_socket: upstream_socket.SocketOpener | None = None,
         timers: transmissions.Transmission | None = None,
     ) -> None:
         """Makes the keeper of a host.
@@ -182,10 +182,10 @@
             self._inheritance,
             self._counts,
         )
-        orphans = orphan_parts.Orphans(
+        orphans = orphan_parts.OrphanedFeeds(
             context, self._view, self._placement, self._network
         )
-        feeding = feeding_parts.Feeding(
+        feeding = feeding_parts.FeedServer(
             context, self._view, self._roles, upstreams, orphans
         )
         self._network.handle(work.Dispatch, dispatching.handle)
@@ -193,7 +193,7 @@
         self._network.handle(work.LoadQuery, self._report_loads)
         self._network.handle(handover.KeeperHandover, taking.handle)
         self._network.handle(feeds.FeedOpen, feeding.handle)
-        self._network.handle(feeds.FeedLeft, orphans.release)
+        self._network.handle(feeds.FeedLeft, orphans.handle_feed_left)
 
     def _make_handing(
         self, upstreams: upstream_sets.KeptUpstreams
--- a/persimmonhinge/upstreams/message_ids.py
+++ b/persimmonhinge/upstreams/message_ids.py
@@ -6,8 +6,8 @@
 
 from persimmonhinge.coap import transmission
 
-_IDS = 1 << 16
-_CHUNK = 1 << 8
+_ID_COUNT = 1 << 16
+_CHUNK_SIZE = 1 << 8
 
 
 class MessageIds:
@@ -20,16 +20,16 @@
     """
 
     def __init__(self, first: int, clock: Callable[[], float]) -> None:
-        self._next = first % _IDS
+        self._next = first % _ID_COUNT
         self._clock = clock
-        self._left_at: dict[int, float] = {}
+        self._chunk_used_at: dict[int, float] = {}
 
     def next(self) -> int:
         """Returns the next id."""
         message_id = self._next
-        self._next = (message_id + 1) % _IDS
-        if self._next % _CHUNK == 0:
-            self._left_at[message_id // _CHUNK] = self._clock()
+        self._next = (message_id + 1) % _ID_COUNT
+        if self._next % _CHUNK_SIZE == 0:
+            self._chunk_used_at[message_id // _CHUNK_SIZE] = self._clock()
         return message_id
 
     def is_exhausted(self) -> bool:
@@ -39,9 +39,9 @@
         all of its ids. The chunk after the present one counts too, so that
         what is under way when this turns true has ids left.
         """
-        chunk = self._next // _CHUNK
+        chunk = self._next // _CHUNK_SIZE
         return any(
             self._clock() - left_at < transmission.EXCHANGE_LIFETIME_S
-            for place in (chunk, (chunk + 1) % (_IDS // _CHUNK))
-            if (left_at := self._left_at.get(place)) is not None
+            for place in (chunk, (chunk + 1) % (_ID_COUNT // _CHUNK_SIZE))
+            if (left_at := self._chunk_used_at.get(place)) is not None
         )
--- a/persimmonhinge/upstreams/observation.py
+++ b/persimmonhinge/upstreams/observation.py
@@ -7,18 +7,18 @@
 import trio
 
 from persimmonhinge.coap import codec
-from persimmonhinge.coap import transmission as transmissions
-from persimmonhinge.peers.messages import feeds as messages
-from persimmonhinge.upstreams import context as contexts
-from persimmonhinge.upstreams import endpoint as endpoints
-from persimmonhinge.upstreams import exchange as exchanges
+from persimmonhinge.coap import transmission
+from persimmonhinge.peers.messages import feeds
+from persimmonhinge.upstreams import context as context_module
+from persimmonhinge.upstreams import endpoint as endpoint_module
+from persimmonhinge.upstreams import exchange
 from persimmonhinge.upstreams import freshness
 from persimmonhinge.upstreams import requests
 
 _REGISTER = 0
 _DEREGISTER = 1
 # Notifications that may wait for a slow link to the home.
-_MOST_WAITING = 64
+_MAX_WAITING_NOTIFICATIONS = 64
 
 
 class ObservationState(enum.Enum):
@@ -47,9 +47,9 @@
 
     def __init__(
         self,
-        context: contexts.KeeperContext,
-        endpoint: endpoints.Endpoint,
-        opened: messages.FeedOpen,
+        context: context_module.KeeperContext,
+        endpoint: endpoint_module.Endpoint,
+        opened: feeds.FeedOpen,
     ) -> None:
         """Makes an observation that is not registered yet.
 
@@ -59,22 +59,22 @@
             opened: What the home asked for.
         """
         self.state = ObservationState.OPENING
-        self.heard_at = trio.current_time()
-        self.last: codec.Message | None = None
+        self.last_received_at = trio.current_time()
+        self.final_answer: codec.Message | None = None
         self.endpoint = endpoint
         self._context = context
         # Read anew when it is sent: read, it takes ten times the memory.
         self._opened = opened
-        self._newest: tuple[int, bytes] | None = None
+        self._newest_state: tuple[int, bytes] | None = None
         self._token = endpoint.make_token()
         self._freshness = freshness.Freshness()
         # A list, because an empty deque takes ten times the memory.
         self._waiting: list[codec.Message] = []
-        self._news = trio.Event()
-        self._exchange: exchanges.Exchange | None = None
+        self._changed = trio.Event()
+        self._exchange: exchange.Exchange | None = None
         self._checking = False
 
-    async def open(self, silence_s: float) -> exchanges.ExchangeEnd:
+    async def open(self, silence_s: float) -> exchange.ExchangeStatus:
         """Registers at the upstream.
 
         Args:
@@ -87,9 +87,9 @@
         result = await self._exchange_once(
             _REGISTER, silence_s, self._context.timers
         )
-        if result.end is not exchanges.ExchangeEnd.ANSWERED:
+        if result.status is not exchange.ExchangeStatus.ANSWERED:
             self.state = ObservationState.ENDED
-        return result.end
+        return result.status
 
     async def check(self, silence_s: float) -> bool:
         """Asks on the token of the feed whether the upstream still has it.
@@ -107,7 +107,7 @@
             result = await self._exchange_once(_REGISTER, silence_s, timers)
         finally:
             self._checking = False
-        return result.end is exchanges.ExchangeEnd.ANSWERED
+        return result.status is exchange.ExchangeStatus.ANSWERED
 
     async def cancel(self, silence_s: float) -> None:
         """Deregisters at the upstream; stray notifications are reset."""
@@ -122,25 +122,25 @@
             )
         self.endpoint.stop_listening(self._token)
 
-    async def wait_news(self) -> None:
+    async def wait_for_change(self) -> None:
         """Returns once there is something to take, or `wake` was called."""
         if self._waiting or self.state is not ObservationState.OPEN:
             await trio.lowlevel.checkpoint()
             return
-        await self._news.wait()
+        await self._changed.wait()
 
-    def take(self) -> codec.Message | None:
+    def pop_notification(self) -> codec.Message | None:
         """Returns the oldest notification that waits, None if none does."""
         return self._waiting.pop(0) if self._waiting else None
 
     def wake(self) -> None:
         """Makes `wait_news` return."""
-        self._news.set()
-        self._news = trio.Event()
+        self._changed.set()
+        self._changed = trio.Event()
 
     def receive(self, answer: codec.Message) -> bool:
         """Takes a notification; see `listener.Listener`."""
-        self.heard_at = trio.current_time()
+        self.last_received_at = trio.current_time()
         observed = answer.opt.observe is not None
         if self.state is ObservationState.CANCELLED:
             if not observed:
@@ -149,26 +149,28 @@
         if self.state is ObservationState.ENDED:
             return False
         self._pass_to_exchange(answer)
-        self._take_in(answer, observed)
+        self._handle_answer(answer, observed)
         return True
 
-    def _take_in(self, answer: codec.Message, observed: bool) -> None:
+    def _handle_answer(self, answer: codec.Message, observed: bool) -> None:
         if not observed or not answer.code.is_successful():
             # RFC 7641 sections 3.2 and 4.2: the upstream ended it.
             self.state = ObservationState.ENDED
-            self.last = answer
+            self.final_answer = answer
             self.wake()
             return
-        if not self._freshness.admit(answer.opt.observe, self.heard_at):
+        if not self._freshness.accept(
+            answer.opt.observe, self.last_received_at
+        ):
             self._context.counts.add("feed_events_late_total")
             return
         self.state = ObservationState.OPEN
-        if self._checking and self._newest == _describe(answer):
+        if self._checking and self._newest_state == _get_state(answer):
             # The answer to a check says nothing new.
             return
-        self._newest = _describe(answer)
+        self._newest_state = _get_state(answer)
         self._waiting.append(answer)
-        if len(self._waiting) > _MOST_WAITING:
+        if len(self._waiting) > _MAX_WAITING_NOTIFICATIONS:
             self._waiting.pop(0)
             self._context.counts.add("feed_events_dropped_total")
         self.wake()
@@ -181,13 +183,13 @@
         self,
         observe: int,
         silence_s: float,
-        timers: transmissions.Transmission,
-    ) -> exchanges.ExchangeResult:
-        request = requests.read_request(
+        timers: transmission.Transmission,
+    ) -> exchange.ExchangeResult:
+        request = requests.decode_request(
             self._opened.request, self._opened.service
         )
         request.opt.observe = observe
-        self._exchange = exchanges.Exchange(
+        self._exchange = exchange.Exchange(
             self.endpoint,
             request,
             timers,
@@ -195,11 +197,11 @@
             self._token,
         )
         try:
-            return await self._exchange.run(exchanges.WaitLimits(silence_s))
+            return await self._exchange.run(exchange.WaitLimits(silence_s))
         finally:
             self._exchange = None
 
 
-def _describe(answer: codec.Message) -> tuple[int, bytes]:
+def _get_state(answer: codec.Message) -> tuple[int, bytes]:
     """Returns what decides whether two answers say the same."""
     return int(answer.code), answer.payload
--- a/persimmonhinge/upstreams/requests.py
+++ b/persimmonhinge/upstreams/requests.py
@@ -9,7 +9,7 @@
 from persimmonhinge.coap import codec
 
 
-def read_request(data: bytes, service: ids.ServiceName) -> codec.Message:
+def decode_request(data: bytes, service: ids.ServiceName) -> codec.Message:
     """Reads the request that a home sent on and addresses it.
 
     Uri-Host names the service, so that an upstream can refuse what is not
@@ -37,7 +37,7 @@
     return request
 
 
-def write_answer(answer: codec.Message) -> bytes:
+def encode_answer(answer: codec.Message) -> bytes:
     """Writes a whole answer for the home; its token and id mean nothing."""
     plain = copy_message(answer)
     plain.mtype = aiocoap.NON
--- a/persimmonhinge/upstreams/shedding.py
+++ b/persimmonhinge/upstreams/shedding.py
@@ -19,7 +19,7 @@
     return answer.code in _SHED_CODES
 
 
-def says_drain(answer: codec.Message) -> bool:
+def announces_drain(answer: codec.Message) -> bool:
     """Tells whether a refusal says that the upstream leaves."""
     return _DRAIN_WORD in answer.payload.lower()
 
--- a/persimmonhinge/upstreams/slots.py
+++ b/persimmonhinge/upstreams/slots.py
@@ -11,19 +11,19 @@
 
 from persimmonhinge import ids
 from persimmonhinge.peers.messages import work
-from persimmonhinge.policies import admission as admissions
+from persimmonhinge.policies import admission
 from persimmonhinge.policies import builtin  # noqa: F401
-from persimmonhinge.policies import order as orders
-from persimmonhinge.upstreams import costs as run_costs
-from persimmonhinge.upstreams import job as jobs
-from persimmonhinge.upstreams import slow_start as slow_starts
-from persimmonhinge.upstreams import target as targets
+from persimmonhinge.policies import order
+from persimmonhinge.upstreams import costs
+from persimmonhinge.upstreams import job as job_module
+from persimmonhinge.upstreams import slow_start as slow_start_module
+from persimmonhinge.upstreams import target as target_module
 
 # What must be left for a class when others are guaranteed a share.
-_LEAST_PART = 0.1
+_MIN_UNRESERVED_SHARE = 0.1
 _SHED_PAUSE_S = 0.1
 # Runs differ, and the answer has a way to go.
-_COST_MARGIN = 1.5
+_RUN_TIME_MARGIN = 1.5
 
 
 class Slots:
@@ -36,9 +36,9 @@
 
     def __init__(
         self,
-        target: targets.Target,
-        slow_start: slow_starts.SlowStart,
-        start: Callable[[jobs.Job], None],
+        target: target_module.Target,
+        slow_start: slow_start_module.SlowStart,
+        start: Callable[[job_module.Job], None],
         randomness: random.Random,
     ) -> None:
         """Makes the slots of an upstream.
@@ -49,17 +49,17 @@
             start: Starts a job at the upstream.
             randomness: Spreads the returns of refused callers.
         """
-        self.running: set[jobs.Job] = set()
-        self.costs = run_costs.Costs()
+        self.running: set[job_module.Job] = set()
+        self.costs = costs.Costs()
         self._target = target
         self._slow_start = slow_start
         self._start = start
         self._randomness = randomness
         policies = target.entry.contract.policies
-        self._queue = orders.make_order(policies.order)
-        self._admission = admissions.make_admission(policies.admission)
+        self._queue = order.make_order(policies.order)
+        self._admission = admission.make_admission(policies.admission)
         self._paused_until = 0.0
-        self._handed_busy: dict[ids.HostRef, tuple[int, float]] = {}
+        self._former_keeper_requests: dict[ids.HostRef, tuple[int, float]] = {}
 
     @property
     def queued(self) -> int:
@@ -72,7 +72,7 @@
         now = trio.current_time()
         handed = sum(
             count
-            for count, expires_at in self._handed_busy.values()
+            for count, expires_at in self._former_keeper_requests.values()
             if expires_at > now
         )
         return len(self.running) + handed
@@ -85,49 +85,49 @@
             trio.current_time(),
         )
 
-    def update(self, target: targets.Target) -> None:
+    def update(self, target: target_module.Target) -> None:
         """Takes in a new contract."""
         former = self._target.entry.contract.policies
         policies = target.entry.contract.policies
         self._target = target
         if policies.order != former.order:
             waiting = list(self._queue)
-            self._queue = orders.make_order(policies.order)
+            self._queue = order.make_order(policies.order)
             for job in waiting:
                 self._queue.push(job)
         if policies.admission != former.admission:
-            self._admission = admissions.make_admission(policies.admission)
-        self.fill()
+            self._admission = admission.make_admission(policies.admission)
+        self.start_queued_jobs()
 
-    def submit(self, job: jobs.Job) -> None:
+    def submit(self, job: job_module.Job) -> None:
         """Takes a job in, or finishes it at once as not run."""
         job.cost_s = self.costs.estimate(job.call_class)
-        pressure = self._measure(job)
-        if not job.dispatch.waits and not self._starts_now(pressure):
+        pressure = self._measure_pressure(job)
+        if not job.dispatch.waits and not self._can_start_now(pressure):
             job.finish(work.Dispatched(work.Outcome.BUSY))
             return
         if not self._admit(job, pressure):
-            retry_s = admissions.spread_retry_s(pressure, self._randomness)
-            job.finish(_refuse("overloaded", retry_s))
+            retry_s = admission.spread_retry_s(pressure, self._randomness)
+            job.finish(_make_refusal("overloaded", retry_s))
             return
         job.withdraw = functools.partial(self._withdraw, job)
         self._queue.push(job)
-        self.fill()
+        self.start_queued_jobs()
 
-    def refuse_all(self, outcome: work.Dispatched) -> None:
+    def finish_queued_jobs(self, outcome: work.Dispatched) -> None:
         """Finishes all jobs that wait with one outcome."""
         for job in list(self._queue):
-            assert isinstance(job, jobs.Job)
+            assert isinstance(job, job_module.Job)
             self._queue.discard(job)
             job.finish(outcome)
 
-    def release(self, job: jobs.Job) -> None:
+    def release(self, job: job_module.Job) -> None:
         """Takes in that a job has left the upstream."""
         self.running.discard(job)
-        self.fill()
+        self.start_queued_jobs()
 
-    def hand_busy(
-        self, former: ids.HostRef, count: int, expires_at: float
+    def set_former_keeper_requests(
+        self, former_keeper: ids.HostRef, count: int, expires_at: float
     ) -> None:
         """Sets how many requests of a former keeper still run.
 
@@ -137,12 +137,12 @@
         `expires_at` in case it can't say so any more.
         """
         if count <= 0:
-            self._handed_busy.pop(former, None)
+            self._former_keeper_requests.pop(former_keeper, None)
         else:
-            self._handed_busy[former] = (count, expires_at)
-        self.fill()
+            self._former_keeper_requests[former_keeper] = (count, expires_at)
+        self.start_queued_jobs()
 
-    def fill(self) -> None:
+    def start_queued_jobs(self) -> None:
         """Starts jobs while slots are free.
 
         To be called from time to time: slots also come free by time alone.
@@ -151,15 +151,15 @@
             return
         while len(self._queue) and self.busy < self.count_usable():
             job = self._queue.pop()
-            assert isinstance(job, jobs.Job)
-            if self._comes_too_late(job):
-                self._drop_late(job)
+            assert isinstance(job, job_module.Job)
+            if self._would_miss_deadline(job):
+                self._refuse_late_job(job)
                 continue
-            job.state = jobs.JobState.RUNNING
+            job.state = job_module.JobState.RUNNING
             self.running.add(job)
             self._start(job)
 
-    def _comes_too_late(self, job: jobs.Job) -> bool:
+    def _would_miss_deadline(self, job: job_module.Job) -> bool:
         """Tells whether a job that is next would end after its deadline.
 
         Guards against slots spent on answers that nobody waits for any
@@ -170,18 +170,20 @@
         left_s = job.deadline - trio.current_time()
         if not len(self._queue):
             return left_s <= 0
-        return left_s <= _COST_MARGIN * self.costs.estimate(job.call_class)
+        return left_s <= _RUN_TIME_MARGIN * self.costs.estimate(job.call_class)
 
-    def _drop_late(self, job: jobs.Job) -> None:
+    def _refuse_late_job(self, job: job_module.Job) -> None:
         """Finishes a job that would end too late.
 
         Guards against a wave of returns: a caller that is told no time to
         wait comes back at once, and finds the same queue.
         """
-        retry_s = admissions.spread_retry_s(
-            self._measure(job), self._randomness
+        retry_s = admission.spread_retry_s(
+            self._measure_pressure(job), self._randomness
+        )
+        job.finish(
+            _make_refusal("deadline came too near in the queue", retry_s)
         )
-        job.finish(_refuse("deadline came too near in the queue", retry_s))
 
     def pause(self) -> None:
         """Starts nothing for a moment, because the upstream has shed work.
@@ -192,61 +194,63 @@
         """
         self._paused_until = trio.current_time() + _SHED_PAUSE_S
 
-    def _withdraw(self, job: jobs.Job) -> bool:
-        if job.state is not jobs.JobState.WAITING:
+    def _withdraw(self, job: job_module.Job) -> bool:
+        if job.state is not job_module.JobState.WAITING:
             return False
         self._queue.discard(job)
-        job.finish(_refuse("dropped from the queue", 0))
+        job.finish(_make_refusal("dropped from the queue", 0))
         return True
 
-    def _starts_now(self, pressure: admissions.Pressure) -> bool:
+    def _can_start_now(self, pressure: admission.Pressure) -> bool:
         if len(self._queue) or pressure.free_slots <= 0:
             return False
         return trio.current_time() >= self._paused_until
 
-    def _admit(self, job: jobs.Job, pressure: admissions.Pressure) -> bool:
+    def _admit(self, job: job_module.Job, pressure: admission.Pressure) -> bool:
         if not self._admission.admits(pressure):
             return False
         if pressure.free_slots > 0 and not len(self._queue):
             return True
         if len(self._queue) < self._target.limits.queue:
             return True
-        return self._make_room(job, pressure)
+        return self._evict_less_urgent(job, pressure)
 
-    def _make_room(self, job: jobs.Job, pressure: admissions.Pressure) -> bool:
+    def _evict_less_urgent(
+        self, job: job_module.Job, pressure: admission.Pressure
+    ) -> bool:
         """Gives the place of less urgent work to a job, if there is any.
 
         A class with a share keeps that part of the places, so that it
         always has something waiting to which its slots can go.
         """
         for last in self._queue.list_last():
-            assert isinstance(last, jobs.Job)
+            assert isinstance(last, job_module.Job)
             if self._queue.sort_key(last) < self._queue.sort_key(job):
                 return False
             kept = math.ceil(last.share * self._target.limits.queue)
             if self._queue.count(last.call_class) <= kept:
                 continue
             self._queue.discard(last)
-            retry_s = admissions.spread_retry_s(pressure, self._randomness)
-            last.finish(_refuse("gave way to more urgent work", retry_s))
+            retry_s = admission.spread_retry_s(pressure, self._randomness)
+            last.finish(_make_refusal("gave way to more urgent work", retry_s))
             return True
         return False
 
-    def _measure(self, job: jobs.Job) -> admissions.Pressure:
+    def _measure_pressure(self, job: job_module.Job) -> admission.Pressure:
         usable = self.count_usable()
         busy = self.busy
         running_s = sum(running.cost_s for running in self.running) / 2
-        return admissions.Pressure(
+        return admission.Pressure(
             slots=usable,
             free_slots=max(0, usable - busy),
             left_s=job.deadline - trio.current_time(),
             cost_s=job.cost_s,
             running_s=running_s,
-            ahead_s=self._measure_ahead(job),
+            ahead_s=self._estimate_ahead_s(job),
             queued_s=sum(waiting.cost_s for waiting in self._queue),
         )
 
-    def _measure_ahead(self, job: jobs.Job) -> float:
+    def _estimate_ahead_s(self, job: job_module.Job) -> float:
         ahead = self._queue.list_ahead(job)
         ahead_s = sum(waiting.cost_s for waiting in ahead)
         shares = {
@@ -255,7 +259,7 @@
             if waiting.call_class != job.call_class
             and waiting.priority > job.priority
         }
-        ahead_s /= max(_LEAST_PART, 1 - sum(shares.values()))
+        ahead_s /= max(_MIN_UNRESERVED_SHARE, 1 - sum(shares.values()))
         if job.share <= 0:
             return ahead_s
         own_s = sum(
@@ -266,7 +270,7 @@
         return min(ahead_s, (own_s + job.cost_s) / job.share)
 
 
-def _refuse(reason: str, retry_after_s: int) -> work.Dispatched:
+def _make_refusal(reason: str, retry_after_s: int) -> work.Dispatched:
     return work.Dispatched(
         work.Outcome.NOT_RUN, retry_after_s=retry_after_s, reason=reason
     )
--- a/persimmonhinge/upstreams/slow_start.py
+++ b/persimmonhinge/upstreams/slow_start.py
@@ -12,10 +12,10 @@
         begun_at: When the upstream was new; None if it is warm.
     """
 
-    def __init__(self, begun_at: float | None = None) -> None:
-        self.begun_at = begun_at
+    def __init__(self, started_at: float | None = None) -> None:
+        self.started_at = started_at
 
-    def count_slots(self, slots: int, length_s: float, now: float) -> int:
+    def count_slots(self, slots: int, duration_s: float, now: float) -> int:
         """Returns the slots that may be used now, at least 1.
 
         Args:
@@ -23,10 +23,10 @@
             length_s: Time until it gets all of them, seconds.
             now: The time.
         """
-        if self.begun_at is None or length_s <= 0:
+        if self.started_at is None or duration_s <= 0:
             return slots
-        warmth = (now - self.begun_at) / length_s
+        warmth = (now - self.started_at) / duration_s
         if warmth >= 1:
-            self.begun_at = None
+            self.started_at = None
             return slots
         return max(1, math.floor(slots * warmth))
--- a/persimmonhinge/upstreams/taking.py
+++ b/persimmonhinge/upstreams/taking.py
@@ -81,4 +81,4 @@
             return
         expires_at = trio.current_time() + target.limits.upstream_timeout_s
         kept = self._upstreams.get(target)
-        kept.slots.hand_busy(former, count, expires_at)
+        kept.slots.set_former_keeper_requests(former, count, expires_at)
--- a/persimmonhinge/upstreams/transfer.py
+++ b/persimmonhinge/upstreams/transfer.py
@@ -9,17 +9,17 @@
 import trio
 
 from persimmonhinge.coap import codec
-from persimmonhinge.coap import transmission as transmissions
-from persimmonhinge.upstreams import endpoint as endpoints
-from persimmonhinge.upstreams import exchange as exchanges
+from persimmonhinge.coap import transmission
+from persimmonhinge.upstreams import endpoint as endpoint_module
+from persimmonhinge.upstreams import exchange
 from persimmonhinge.upstreams import requests
 from persimmonhinge.upstreams import shedding
-from persimmonhinge.upstreams import transfer_result as results
+from persimmonhinge.upstreams import transfer_result
 
 # Block size is 2 ** (exponent + 4) octets, RFC 7959 section 2.2.
-_LARGEST_EXPONENT = 6
-_MOST_ANSWER_OCTETS = 4_194_304
-_MOST_DOWNLOADS = 3
+_MAX_BLOCK_EXPONENT = 6
+_MAX_ANSWER_OCTETS = 4_194_304
+_MAX_DOWNLOADS = 3
 _INCOMPLETE = aiocoap.REQUEST_ENTITY_INCOMPLETE
 
 BlockOption = optiontypes.BlockOption.BlockwiseTuple
@@ -40,11 +40,11 @@
 
     def __init__(
         self,
-        endpoint: endpoints.Endpoint,
+        endpoint: endpoint_module.Endpoint,
         request: codec.Message,
         deadline: float,
         silence_s: float,
-        timers: transmissions.Transmission,
+        timers: transmission.Transmission,
         randomness: random.Random,
     ) -> None:
         """Makes a transfer.
@@ -60,10 +60,10 @@
         self._endpoint = endpoint
         self._request = request
         self._deadline = deadline
-        self._limits = exchanges.WaitLimits(silence_s, deadline)
+        self._limits = exchange.WaitLimits(silence_s, deadline)
         self._timers = timers
         self._randomness = randomness
-        self._exchange: exchanges.Exchange | None = None
+        self._exchange: exchange.Exchange | None = None
         self._abandoned = False
         self.may_run = False
         self._in_blocks = False
@@ -74,30 +74,35 @@
         if self._exchange is not None:
             self._exchange.abandon()
 
-    async def run(self) -> results.TransferResult:
+    async def run(self) -> transfer_result.TransferResult:
         """Runs the transfer to its end."""
         result = await self._upload()
-        if result.end is not exchanges.ExchangeEnd.ANSWERED:
-            return self._end_without_answer(result.end)
+        if result.status is not exchange.ExchangeStatus.ANSWERED:
+            return self._make_unanswered_result(result.status)
         answer = result.answer
         assert answer is not None
         if shedding.is_shed(answer):
-            return results.TransferResult(
-                results.TransferEnd.SHED, answer, "shed by the upstream"
+            return transfer_result.TransferResult(
+                transfer_result.TransferStatus.SHED,
+                answer,
+                "shed by the upstream",
             )
         if self._in_blocks and answer.code == _INCOMPLETE:
             # About blocks of this host, of which the caller knows nothing.
-            return results.TransferResult(
-                results.TransferEnd.NOT_RUN, reason="upstream lost a block"
+            return transfer_result.TransferResult(
+                transfer_result.TransferStatus.NOT_RUN,
+                reason="upstream lost a block",
             )
         if answer.code == aiocoap.CONTINUE:
-            return results.TransferResult(
-                results.TransferEnd.UNKNOWN,
+            return transfer_result.TransferResult(
+                transfer_result.TransferStatus.UNKNOWN,
                 reason="asked for more than there is",
             )
         return await self._download(answer)
 
-    async def fetch_rest(self, first: codec.Message) -> codec.Message | None:
+    async def fetch_remaining_blocks(
+        self, first: codec.Message
+    ) -> codec.Message | None:
         """Returns a whole answer of which the first block is there.
 
         Returns:
@@ -106,16 +111,16 @@
         result = await self._download(first)
         return result.answer
 
-    async def _upload(self) -> exchanges.ExchangeResult:
+    async def _upload(self) -> exchange.ExchangeResult:
         body = self._request.payload
-        if len(body) <= _block_octets(_LARGEST_EXPONENT):
+        if len(body) <= _block_octets(_MAX_BLOCK_EXPONENT):
             self.may_run = True
             return await self._exchange_once(
                 requests.copy_message(self._request)
             )
         self._in_blocks = True
         tag = self._endpoint.make_token()
-        exponent = _LARGEST_EXPONENT
+        exponent = _MAX_BLOCK_EXPONENT
         offset = 0
         while True:
             block = self._make_block(tag, offset, exponent)
@@ -145,14 +150,16 @@
             block.opt.size1 = len(body)
         return block
 
-    async def _download(self, first: codec.Message) -> results.TransferResult:
-        for _ in range(_MOST_DOWNLOADS):
+    async def _download(
+        self, first: codec.Message
+    ) -> transfer_result.TransferResult:
+        for _ in range(_MAX_DOWNLOADS):
             block2 = first.opt.block2
             if block2 is None or not block2.more:
-                return self._end_whole(first, first.payload)
+                return self._make_answered_result(first, first.payload)
             body, problem = await self._fetch_blocks(first)
             if body is not None:
-                return self._end_whole(first, body)
+                return self._make_answered_result(first, body)
             if problem != "changed" or self._abandoned:
                 break
             # The resource changed between two blocks. Only a request that
@@ -165,8 +172,8 @@
             if again.answer is None:
                 break
             first = again.answer
-        return results.TransferResult(
-            results.TransferEnd.UNKNOWN,
+        return transfer_result.TransferResult(
+            transfer_result.TransferStatus.UNKNOWN,
             reason=f"answer is incomplete: {problem}",
         )
 
@@ -175,11 +182,11 @@
     ) -> tuple[bytes | None, str]:
         body = b""
         answer = first
-        while _continues(first, answer, len(body)):
+        while _is_next_block(first, answer, len(body)):
             body += answer.payload
             if not answer.opt.block2.more:
                 return body, ""
-            if len(body) > _MOST_ANSWER_OCTETS:
+            if len(body) > _MAX_ANSWER_OCTETS:
                 return None, "too large"
             exponent = answer.opt.block2.size_exponent
             number = len(body) // _block_octets(exponent)
@@ -198,47 +205,51 @@
 
     async def _exchange_once(
         self, request: codec.Message
-    ) -> exchanges.ExchangeResult:
+    ) -> exchange.ExchangeResult:
         if self._abandoned:
-            return exchanges.ExchangeResult(exchanges.ExchangeEnd.UNSENT)
+            return exchange.ExchangeResult(exchange.ExchangeStatus.UNSENT)
         left_s = max(0.0, self._deadline - trio.current_time())
         codec.write_deadline_ms(request, int(left_s * 1000))
-        self._exchange = exchanges.Exchange(
+        self._exchange = exchange.Exchange(
             self._endpoint, request, self._timers, self._randomness
         )
         return await self._exchange.run(self._limits)
 
-    def _end_without_answer(
-        self, end: exchanges.ExchangeEnd
-    ) -> results.TransferResult:
-        if end is exchanges.ExchangeEnd.UNSENT:
-            return results.TransferResult(
-                results.TransferEnd.NOT_RUN, reason="not sent"
+    def _make_unanswered_result(
+        self, status: exchange.ExchangeStatus
+    ) -> transfer_result.TransferResult:
+        if status is exchange.ExchangeStatus.UNSENT:
+            return transfer_result.TransferResult(
+                transfer_result.TransferStatus.NOT_RUN, reason="not sent"
             )
-        if end is exchanges.ExchangeEnd.REFUSED:
-            return results.TransferResult(
-                results.TransferEnd.REFUSED,
+        if status is exchange.ExchangeStatus.REFUSED:
+            return transfer_result.TransferResult(
+                transfer_result.TransferStatus.REFUSED,
                 reason="refused by the upstream's host",
             )
         if not self.may_run:
-            return results.TransferResult(
-                results.TransferEnd.NOT_RUN, reason="upload was cut off"
+            return transfer_result.TransferResult(
+                transfer_result.TransferStatus.NOT_RUN,
+                reason="upload was cut off",
             )
-        return results.TransferResult(
-            results.TransferEnd.UNKNOWN, reason="no sign of the upstream"
+        return transfer_result.TransferResult(
+            transfer_result.TransferStatus.UNKNOWN,
+            reason="no sign of the upstream",
         )
 
-    def _end_whole(
+    def _make_answered_result(
         self, first: codec.Message, body: bytes
-    ) -> results.TransferResult:
+    ) -> transfer_result.TransferResult:
         answer = requests.copy_message(first, body)
         del answer.opt.block1
         del answer.opt.block2
         del answer.opt.observe
-        return results.TransferResult(results.TransferEnd.ANSWERED, answer)
+        return transfer_result.TransferResult(
+            transfer_result.TransferStatus.ANSWERED, answer
+        )
 
 
-def _continues(
+def _is_next_block(
     first: codec.Message, answer: codec.Message, offset: int
 ) -> bool:
     """Tells whether an answer is the block at an offset of the first one's.
@@ -257,4 +268,4 @@
 
 
 def _block_octets(exponent: int) -> int:
-    return 1 << (min(exponent, _LARGEST_EXPONENT) + 4)
+    return 1 << (min(exponent, _MAX_BLOCK_EXPONENT) + 4)
--- a/persimmonhinge/upstreams/transfer_result.py
+++ b/persimmonhinge/upstreams/transfer_result.py
@@ -9,7 +9,7 @@
 from persimmonhinge.upstreams import shedding
 
 
-class TransferEnd(enum.Enum):
+class TransferStatus(enum.Enum):
     """How a transfer ended.
 
     ANSWERED: The whole answer is there.
@@ -36,7 +36,7 @@
         reason: Why it did not end with an answer, for people.
     """
 
-    end: TransferEnd
+    status: TransferStatus
     answer: codec.Message | None = None
     reason: str = ""
 
@@ -49,6 +49,6 @@
     @property
     def retry_after_s(self) -> int:
         """Max-Age of the refusal, seconds; 0 without one."""
-        if self.end is not TransferEnd.SHED or self.answer is None:
+        if self.status is not TransferStatus.SHED or self.answer is None:
             return 0
         return shedding.read_retry_s(self.answer)
--- a/persimmonhinge/upstreams/udp.py
+++ b/persimmonhinge/upstreams/udp.py
@@ -9,15 +9,15 @@
 import trio
 
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.upstreams import arrival
+from persimmonhinge.contracts import contract
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.upstreams import upstream_socket
 
 # From linux/in.h and linux/in6.h; the socket module lacks them.
 _IP_RECVERR = 11
 _IPV6_RECVERR = 25
 _ANCILLARY_OCTETS = 512
-_BATCH = 64
+_MAX_BATCH_EVENTS = 64
 
 
 class UdpSocket:
@@ -31,8 +31,8 @@
     def __init__(
         self,
         local_address: str,
-        remote: contracts.Address,
-        counts: host_counts.Counts,
+        remote: contract.Address,
+        counts: counts_module.Counts,
     ) -> None:
         self._remote = remote.as_pair()
         self._counts = counts
@@ -50,7 +50,7 @@
         except OSError:
             self._counts.add("upstream_datagrams_unsent_total")
 
-    async def receive(self) -> list[arrival.Arrival]:
+    async def receive(self) -> list[upstream_socket.SocketEvent]:
         """Waits for datagrams and returns those that are there.
 
         Raises:
@@ -58,7 +58,7 @@
         """
         await trio.lowlevel.wait_readable(self._socket)
         arrivals = self._read_refusals()
-        while len(arrivals) < _BATCH:
+        while len(arrivals) < _MAX_BATCH_EVENTS:
             try:
                 data, source = self._socket.recvfrom(
                     codec.MAX_DATAGRAM_OCTETS + 1
@@ -71,7 +71,7 @@
             if source[:2] != self._remote:
                 self._counts.add("upstream_datagrams_foreign_total")
                 continue
-            arrivals.append(arrival.Arrival(data))
+            arrivals.append(upstream_socket.SocketEvent(data))
         return arrivals
 
     def close(self) -> None:
@@ -85,9 +85,9 @@
         except OSError:
             self._counts.add("upstream_datagrams_unsent_total")
 
-    def _read_refusals(self) -> list[arrival.Arrival]:
-        refusals: list[arrival.Arrival] = []
-        while len(refusals) < _BATCH:
+    def _read_refusals(self) -> list[upstream_socket.SocketEvent]:
+        refusals: list[upstream_socket.SocketEvent] = []
+        while len(refusals) < _MAX_BATCH_EVENTS:
             try:
                 data, ancillary, _, _ = self._socket.recvmsg(
                     codec.MAX_DATAGRAM_OCTETS,
@@ -96,12 +96,12 @@
                 )
             except OSError:
                 break
-            if _says_port_closed(ancillary):
-                refusals.append(arrival.Arrival(data, refused=True))
+            if _reports_closed_port(ancillary):
+                refusals.append(upstream_socket.SocketEvent(data, refused=True))
         return refusals
 
 
-def _says_port_closed(ancillary: list[tuple[int, int, bytes]]) -> bool:
+def _reports_closed_port(ancillary: list[tuple[int, int, bytes]]) -> bool:
     # Of struct sock_extended_err, the first field is the error's number.
     # Others, such as an unreachable network, may pass: they are no refusal.
     for _, _, data in ancillary:
--- a/persimmonhinge/upstreams/unconfirmed.py
+++ b/persimmonhinge/upstreams/unconfirmed_events.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from persimmonhinge.peers.messages import feeds as messages
+from persimmonhinge.peers.messages import feeds
 from persimmonhinge.upstreams import event_budget
 
-_MOST_EVENTS = 256
+_MAX_EVENTS = 256
 
 
 class UnconfirmedEvents:
@@ -20,20 +20,20 @@
     def __init__(self, budget: event_budget.EventBudget) -> None:
         self._budget = budget
         # A list, because an empty deque takes ten times the memory.
-        self._events: list[messages.FeedEvent] = []
+        self._events: list[feeds.FeedEvent] = []
 
-    def list_all(self) -> tuple[messages.FeedEvent, ...]:
+    def list_all(self) -> tuple[feeds.FeedEvent, ...]:
         """Returns the events, oldest first."""
         return tuple(self._events)
 
-    def add(self, event: messages.FeedEvent) -> None:
+    def add(self, event: feeds.FeedEvent) -> None:
         """Holds one more event, and the oldest no more if there is no room."""
         octets = len(event.answer)
-        while len(self._events) >= _MOST_EVENTS:
+        while len(self._events) >= _MAX_EVENTS:
             self._drop_oldest()
-        while not self._budget.take(octets):
+        while not self._budget.reserve(octets):
             if not self._events:
-                self._budget.note_drop(event.sequence)
+                self._budget.record_drop(event.sequence)
                 return
             self._drop_oldest()
         self._events.append(event)
@@ -41,17 +41,17 @@
     def confirm(self, sequence: int) -> None:
         """Forgets events up to a number, except the newest."""
         while len(self._events) > 1 and self._events[0].sequence <= sequence:
-            self._forget_oldest()
+            self._remove_oldest()
 
     def clear(self) -> None:
         """Forgets all events."""
         while self._events:
-            self._forget_oldest()
+            self._remove_oldest()
 
     def _drop_oldest(self) -> None:
-        self._budget.note_drop(self._events[0].sequence)
-        self._forget_oldest()
+        self._budget.record_drop(self._events[0].sequence)
+        self._remove_oldest()
 
-    def _forget_oldest(self) -> None:
+    def _remove_oldest(self) -> None:
         event = self._events.pop(0)
-        self._budget.give_back(len(event.answer))
+        self._budget.release(len(event.answer))
--- a/persimmonhinge/upstreams/arrival.py
+++ b/persimmonhinge/upstreams/upstream_socket.py
@@ -6,11 +6,11 @@
 import dataclasses
 from typing import Protocol
 
-from persimmonhinge.contracts import contract as contracts
+from persimmonhinge.contracts import contract
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Arrival:
+class SocketEvent:
     """A datagram of the upstream, or the news that it refused one of ours.
 
     Attributes:
@@ -28,7 +28,7 @@
     def send(self, data: bytes) -> None:
         """Sends one datagram, or drops it when the buffer is full."""
 
-    async def receive(self) -> list[Arrival]:
+    async def receive(self) -> list[SocketEvent]:
         """Waits for datagrams and returns those that are there.
 
         Raises:
@@ -39,4 +39,4 @@
         """Closes the socket."""
 
 
-SocketOpener = Callable[[contracts.Address], UpstreamSocket]
+SocketOpener = Callable[[contract.Address], UpstreamSocket]
--- a/persimmonhinge/upstreams/upstreams.py
+++ b/persimmonhinge/upstreams/upstreams.py
@@ -9,7 +9,7 @@
 from persimmonhinge.peers.messages import feeds
 from persimmonhinge.peers.messages import work
 from persimmonhinge.upstreams import context as contexts
-from persimmonhinge.upstreams import kept as kept_parts
+from persimmonhinge.upstreams import kept_upstream as kept_parts
 from persimmonhinge.upstreams import newcomers
 from persimmonhinge.upstreams import roles as role_parts
 from persimmonhinge.upstreams import slow_start as slow_starts
@@ -70,7 +70,7 @@
     def tidy(self) -> None:
         """Does what only time brings about."""
         for kept in self.list_all():
-            kept.slots.fill()
+            kept.slots.start_queued_jobs()
             kept.endpoints.close_idle()
             if kept.is_idle and not self._is_kept(kept):
                 kept.endpoints.close()
@@ -96,12 +96,14 @@
     def _check_role(self, kept: kept_parts.KeptUpstream) -> None:
         current = self._find_current(kept)
         if current is None:
-            kept.slots.refuse_all(work.Dispatched(work.Outcome.STALE))
-            kept.move_feeds(feeds.FeedEndCause.DRAINING)
+            kept.slots.finish_queued_jobs(work.Dispatched(work.Outcome.STALE))
+            kept.request_feed_moves(feeds.FeedEndCause.DRAINING)
         elif not self._roles.keeps(current):
             keeper = self._roles.find_keeper(current)
-            kept.slots.refuse_all(refuse_role(keeper.host if keeper else None))
-            kept.move_feeds(feeds.FeedEndCause.MOVED)
+            kept.slots.finish_queued_jobs(
+                refuse_role(keeper.host if keeper else None)
+            )
+            kept.request_feed_moves(feeds.FeedEndCause.MOVED)
 
 
 def refuse_role(keeper: ids.HostId | None) -> work.Dispatched:
--- a/tests/test_upstreams/fake_upstream.py
+++ b/tests/test_upstreams/fake_upstream.py
@@ -9,8 +9,8 @@
 import trio
 
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.upstreams import arrival
+from persimmonhinge.contracts import contract
+from persimmonhinge.upstreams import upstream_socket
 
 Answer = Callable[["FakeSocket", codec.Message], None]
 
@@ -19,19 +19,19 @@
     """A socket of the keeper; what it sends goes to the upstream at once."""
 
     def __init__(
-        self, upstream: FakeUpstream, address: contracts.Address
+        self, upstream: FakeUpstream, address: contract.Address
     ) -> None:
         self.address = address
         self._upstream = upstream
-        self._send, self._receive = trio.open_memory_channel[arrival.Arrival](
-            math.inf
-        )
+        self._send, self._receive = trio.open_memory_channel[
+            upstream_socket.SocketEvent
+        ](math.inf)
 
     def send(self, data: bytes) -> None:
         """Gives a datagram to the upstream."""
-        self._upstream.take(self, codec.decode(data))
+        self._upstream.handle_message(self, codec.decode(data))
 
-    async def receive(self) -> list[arrival.Arrival]:
+    async def receive(self) -> list[upstream_socket.SocketEvent]:
         """Returns the next datagram of the upstream."""
         try:
             return [await self._receive.receive()]
@@ -44,16 +44,18 @@
 
     def deliver(self, message: codec.Message) -> None:
         """Gives a message of the upstream to the keeper."""
-        self._send.send_nowait(arrival.Arrival(codec.encode(message)))
+        self._send.send_nowait(
+            upstream_socket.SocketEvent(codec.encode(message))
+        )
 
     def deliver_data(self, data: bytes, *, refused: bool = False) -> None:
         """Gives any octets to the keeper."""
-        self._send.send_nowait(arrival.Arrival(data, refused))
+        self._send.send_nowait(upstream_socket.SocketEvent(data, refused))
 
     def refuse(self, message: codec.Message) -> None:
         """Tells the keeper that ICMP refused a datagram of its own."""
         data = codec.encode(message)
-        self._send.send_nowait(arrival.Arrival(data, refused=True))
+        self._send.send_nowait(upstream_socket.SocketEvent(data, refused=True))
 
 
 class FakeUpstream:
@@ -71,13 +73,15 @@
         self.answer: Answer = answer or reply
         self._next_id = 0
 
-    def open(self, address: contracts.Address) -> FakeSocket:
+    def open(self, address: contract.Address) -> FakeSocket:
         """Opens a socket of the keeper."""
         socket = FakeSocket(self, address)
         self.sockets.append(socket)
         return socket
 
-    def take(self, socket: FakeSocket, message: codec.Message) -> None:
+    def handle_message(
+        self, socket: FakeSocket, message: codec.Message
+    ) -> None:
         """Takes in a message of the keeper."""
         self.received.append(message)
         if message.code.is_request():
@@ -151,5 +155,5 @@
     socket.deliver(answer)
 
 
-def swallow(socket: FakeSocket, request: codec.Message) -> None:
+def ignore_request(socket: FakeSocket, request: codec.Message) -> None:
     """Gives no sign."""
--- a/tests/test_upstreams/test_upstreams_feeds.py
+++ b/tests/test_upstreams/test_upstreams_feeds.py
@@ -11,7 +11,7 @@
 import trio
 
 from persimmonhinge.coap import codec
-from persimmonhinge.membership import member as members
+from persimmonhinge.membership import member
 from persimmonhinge.peers.messages import feeds
 from tests.support import trios
 from tests.test_upstreams import fake_network
@@ -242,7 +242,7 @@
         assert not here.network.sent
         home = here.view.get(scene.make_member("west-1").host)
         assert home is not None
-        dead = members.MemberState.DEAD
+        dead = member.MemberState.DEAD
         here.view.put(dataclasses.replace(home, state=dead))
         await trio.sleep(1)
         [(host, offer)] = here.network.sent
--- a/tests/test_upstreams/test_upstreams_trust.py
+++ b/tests/test_upstreams/test_upstreams_health_score.py
@@ -7,9 +7,9 @@
 
 from persimmonhinge import ids
 from persimmonhinge.upstreams import costs
-from persimmonhinge.upstreams import trust as trusts
+from persimmonhinge.upstreams import health_score
 
-_Sign = trusts.Sign
+_Sign = health_score.HealthSignal
 _BAD = (_Sign.FAILED, _Sign.SHED, _Sign.STALLED)
 
 
@@ -24,14 +24,14 @@
     )
 )
 def test_trust_stays_within_its_bounds(
-    signs: list[tuple[trusts.Sign, float, float]],
+    signs: list[tuple[health_score.HealthSignal, float, float]],
 ) -> None:
     now = 0.0
-    trust = trusts.Trust(now)
+    trust = health_score.HealthScore(now)
     for sign, pause_s, run_s in signs:
         now += pause_s
         before = trust.read(now)
-        trust.note(sign, now, run_s)
+        trust.record_signal(sign, now, run_s)
         after = trust.read(now)
         assert 0 < after <= 1
         if sign in _BAD:
@@ -43,9 +43,9 @@
 
     It would draw more and more reservations if speed alone counted.
     """
-    trust = trusts.Trust(0.0)
+    trust = health_score.HealthScore(0.0)
     for number in range(20):
-        trust.note(_Sign.FAILED, number / 10)
+        trust.record_signal(_Sign.FAILED, number / 10)
     assert trust.read(2.0) < 0.1
     assert trust.read(62.0) == 1.0
 
@@ -55,7 +55,7 @@
 
     Manifests always take long, and must not count as slow reservations.
     """
-    trust = trusts.Trust(0.0)
+    trust = health_score.HealthScore(0.0)
     cost = costs.Costs()
     now = 0.0
 
@@ -63,8 +63,8 @@
         nonlocal now
         for _ in range(times):
             now += run_s
-            slowdown = cost.note(ids.CallClassName(name), run_s)
-            trust.note(_Sign.ANSWERED, now, run_s, slowdown)
+            slowdown = cost.record_run(ids.CallClassName(name), run_s)
+            trust.record_signal(_Sign.ANSWERED, now, run_s, slowdown)
         return trust.read(now)
 
     assert run("reservations", 0.04, 50) == 1.0
--- a/tests/test_upstreams/test_upstreams_links.py
+++ b/tests/test_upstreams/test_upstreams_links.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from persimmonhinge.peers import network as networks
+from persimmonhinge.peers import network as network_module
 from persimmonhinge.peers.messages import feeds
 from tests.support import trios
 from tests.test_peers import pairs
@@ -21,7 +21,9 @@
     seen: list[bool] = []
     ended = trio.Event()
 
-    async def serve(caller: networks.Caller, message: feeds.FeedOpen) -> None:
+    async def serve(
+        caller: network_module.Caller, message: feeds.FeedOpen
+    ) -> None:
         await caller.push(feeds.FeedEvent(1, b""))
         await caller.wait_closed()
         seen.append(caller.closed_by_caller)
--- a/tests/test_upstreams/test_upstreams_message_layer.py
+++ b/tests/test_upstreams/test_upstreams_message_layer.py
@@ -66,7 +66,7 @@
     passed = [
         place
         for place in places
-        if fresh.admit((start + place) % (1 << 24), 0.0)
+        if fresh.accept((start + place) % (1 << 24), 0.0)
     ]
     assert passed == sorted(set(passed))
     if places:
@@ -75,9 +75,9 @@
 
 def test_freshness_begins_anew_after_a_long_time() -> None:
     fresh = freshness.Freshness()
-    assert fresh.admit(500, 0.0)
-    assert not fresh.admit(3, 100.0)
-    assert fresh.admit(3, 130.0)
+    assert fresh.accept(500, 0.0)
+    assert not fresh.accept(3, 100.0)
+    assert fresh.accept(3, 130.0)
 
 
 class LossyUpstream(fake_upstream.FakeUpstream):
@@ -93,16 +93,16 @@
         self._fates = iter(fates)
         self._seen: set[int] = set()
 
-    def take(
+    def handle_message(
         self, socket: fake_upstream.FakeSocket, message: codec.Message
     ) -> None:
         """Loses a datagram of the keeper, doubles it, or takes it in."""
         fate = next(self._fates, "pass")
         if fate == "lose":
             return
-        super().take(socket, message)
+        super().handle_message(socket, message)
         if fate == "double":
-            super().take(socket, message)
+            super().handle_message(socket, message)
 
     def serve(
         self, socket: fake_upstream.FakeSocket, request: codec.Message
--- a/tests/test_upstreams/test_upstreams_outcomes.py
+++ b/tests/test_upstreams/test_upstreams_outcomes.py
@@ -90,7 +90,7 @@
 
 @trios.clock_test
 async def test_silence_ends_at_the_limit_and_frees_the_slot() -> None:
-    async with open_upstream(fake_upstream.swallow) as (here, upstream):
+    async with open_upstream(fake_upstream.ignore_request) as (here, upstream):
         began_at = trio.current_time()
         dispatch = scene.make_dispatch(deadline_ms=60_000)
         result = await here.ask(dispatch)
@@ -166,7 +166,7 @@
 
 @trios.clock_test
 async def test_queued_work_of_a_home_that_is_gone_is_never_sent() -> None:
-    async with open_upstream(fake_upstream.swallow) as (here, upstream):
+    async with open_upstream(fake_upstream.ignore_request) as (here, upstream):
         for number in (1, 2):
             here.nursery.start_soon(
                 here.ask, scene.make_dispatch(number=number)
@@ -311,7 +311,7 @@
     The retransmission would reach an upstream of the other service, which
     could take it for one of its own.
     """
-    async with open_upstream(fake_upstream.swallow) as (here, upstream):
+    async with open_upstream(fake_upstream.ignore_request) as (here, upstream):
         here.nursery.start_soon(here.ask, scene.make_dispatch())
         await trio.sleep(0.1)
         other = scene.make_contract({"v1": 9}, service="grower-intake")
--- a/tests/test_upstreams/test_upstreams_overload.py
+++ b/tests/test_upstreams/test_upstreams_overload.py
@@ -7,19 +7,19 @@
 import trio
 
 from persimmonhinge import ids
-from persimmonhinge.contracts import store as stores
+from persimmonhinge.contracts import store
 from persimmonhinge.peers.messages import work
-from persimmonhinge.upstreams import job as jobs
-from persimmonhinge.upstreams import slots as slot_parts
+from persimmonhinge.upstreams import job as job_module
+from persimmonhinge.upstreams import slots
 from persimmonhinge.upstreams import slow_start
-from persimmonhinge.upstreams import target as targets
+from persimmonhinge.upstreams import target
 from tests.support import trios
 from tests.test_upstreams import scene
 
 _RUN_S = 1.0
 
 
-class _Bench:
+class _SlotsHarness:
     """Slots whose jobs take a time that a test sets."""
 
     def __init__(self, nursery: trio.Nursery, run_s: float = _RUN_S) -> None:
@@ -29,32 +29,34 @@
         contract = scene.make_contract(
             {"u1": 9}, policies={"admission": "open"}
         )
-        entry = stores.ContractEntry(contract, ids.Revision(1))
+        entry = store.ContractEntry(contract, ids.Revision(1))
         self._nursery = nursery
         self._contract = contract
-        self.slots = slot_parts.Slots(
-            targets.Target(entry, contract.upstreams[0]),
+        self.slots = slots.Slots(
+            target.Target(entry, contract.upstreams[0]),
             slow_start.SlowStart(None),
             self._start,
             random.Random(1),
         )
         self._count = 0
 
-    def submit(self, deadline_s: float, name: str = "reservations") -> jobs.Job:
+    def submit(
+        self, deadline_s: float, name: str = "reservations"
+    ) -> job_module.Job:
         """Submits a job."""
         self._count += 1
         job = scene.make_job(self._contract, name, self._count, deadline_s)
         self.slots.submit(job)
         return job
 
-    def _start(self, job: jobs.Job) -> None:
+    def _start(self, job: job_module.Job) -> None:
         self._nursery.start_soon(self._run, job)
 
-    async def _run(self, job: jobs.Job) -> None:
+    async def _run(self, job: job_module.Job) -> None:
         await trio.sleep(self.run_s)
         self.ran += 1
         self.late += trio.current_time() > job.deadline
-        self.slots.costs.note(job.call_class, self.run_s)
+        self.slots.costs.record_run(job.call_class, self.run_s)
         job.finish(work.Dispatched(work.Outcome.ANSWERED))
         self.slots.release(job)
 
@@ -68,7 +70,7 @@
     few callers get an answer.
     """
     async with trio.open_nursery() as nursery:
-        bench = _Bench(nursery)
+        bench = _SlotsHarness(nursery)
         submitted = []
         for _ in range(160):
             submitted.append(bench.submit(6.0))
@@ -93,7 +95,7 @@
     too near, and they were told to wait for no time at all.
     """
     async with trio.open_nursery() as nursery:
-        bench = _Bench(nursery)
+        bench = _SlotsHarness(nursery)
         first = bench.submit(6.0)
         await first.wait()
         submitted = [bench.submit(4.0) for _ in range(40)]
@@ -117,13 +119,13 @@
     without a run nobody learns that this has changed.
     """
     async with trio.open_nursery() as nursery:
-        bench = _Bench(nursery, run_s=20.0)
+        bench = _SlotsHarness(nursery, run_s=20.0)
         await bench.submit(100.0).wait()
         bench.run_s = 0.1
         jobs_ = [bench.submit(5.0) for _ in range(5)]
         for job in jobs_:
             await job.wait()
-        assert bench.submit(5.0).state is not jobs.JobState.DONE
+        assert bench.submit(5.0).state is not job_module.JobState.DONE
         nursery.cancel_scope.cancel()
     outcomes = [job.outcome.outcome for job in jobs_]
     assert work.Outcome.ANSWERED in outcomes
--- a/tests/test_upstreams/test_upstreams_unconfirmed.py
+++ b/tests/test_upstreams/test_upstreams_unconfirmed_events.py
@@ -5,23 +5,23 @@
 import logging
 import unittest
 
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.metrics import counts as counts_module
 from persimmonhinge.peers.messages import feeds
 from persimmonhinge.upstreams import event_budget
-from persimmonhinge.upstreams import unconfirmed
+from persimmonhinge.upstreams import unconfirmed_events
 
 _ANSWER = b"x" * 100
 
 
 def _make(
     octets: int,
-) -> tuple[unconfirmed.UnconfirmedEvents, host_counts.Counts]:
-    counts = host_counts.Counts()
+) -> tuple[unconfirmed_events.UnconfirmedEvents, counts_module.Counts]:
+    counts = counts_module.Counts()
     budget = event_budget.EventBudget(counts, octets)
-    return unconfirmed.UnconfirmedEvents(budget), counts
+    return unconfirmed_events.UnconfirmedEvents(budget), counts
 
 
-def _list_sequences(events: unconfirmed.UnconfirmedEvents) -> list[int]:
+def _list_sequences(events: unconfirmed_events.UnconfirmedEvents) -> list[int]:
     return [event.sequence for event in events.list_all()]
 
 
@@ -53,10 +53,10 @@
 
 
 def test_a_feed_that_ends_leaves_its_room_to_others() -> None:
-    counts = host_counts.Counts()
+    counts = counts_module.Counts()
     budget = event_budget.EventBudget(counts, 150)
-    first = unconfirmed.UnconfirmedEvents(budget)
-    second = unconfirmed.UnconfirmedEvents(budget)
+    first = unconfirmed_events.UnconfirmedEvents(budget)
+    second = unconfirmed_events.UnconfirmedEvents(budget)
     first.add(feeds.FeedEvent(16, _ANSWER))
     second.add(feeds.FeedEvent(16, _ANSWER))
     assert _list_sequences(second) == []
