--- a/persimmonhinge/upstreams/adoptions.py
+++ b/persimmonhinge/upstreams/adoptions.py
@@ -58,12 +58,12 @@
         A home that the feed was handed to since has confirmed nothing, or an
         event with a higher number.
         """
-        rescue = self._by_key.get(key)
-        if rescue is None or rescue.home == caller:
+        adoption = self._by_key.get(key)
+        if adoption is None or adoption.home == caller:
             return False
-        if trio.current_time() > rescue.adopted_at + _RETENTION_S:
+        if trio.current_time() > adoption.adopted_at + _RETENTION_S:
             return False
-        return 0 < opened.confirmed <= rescue.sequence
+        return 0 < opened.confirmed <= adoption.sequence
 
     def _remove_old(self) -> None:
         oldest = trio.current_time() - _RETENTION_S
--- a/persimmonhinge/upstreams/costs.py
+++ b/persimmonhinge/upstreams/costs.py
@@ -45,6 +45,6 @@
             return 1.0
         slowdown = run_s / cost.baseline_s
         cost.average_s += _AVERAGE_WEIGHT * (run_s - cost.average_s)
-        pulled_s = min(run_s, _MAX_BASELINE_RATIO * cost.baseline_s)
-        cost.baseline_s += _BASELINE_WEIGHT * (pulled_s - cost.baseline_s)
+        limited_s = min(run_s, _MAX_BASELINE_RATIO * cost.baseline_s)
+        cost.baseline_s += _BASELINE_WEIGHT * (limited_s - cost.baseline_s)
         return slowdown
--- a/persimmonhinge/upstreams/endpoint.py
+++ b/persimmonhinge/upstreams/endpoint.py
@@ -88,11 +88,11 @@
         """Takes in datagrams until the endpoint is closed."""
         while True:
             try:
-                arrivals = await self._socket.receive()
+                events = await self._socket.receive()
             except trio.ClosedResourceError:
                 return
-            for arrived in arrivals:
-                self._handle_event_safely(arrived)
+            for event in events:
+                self._handle_event_safely(event)
 
     def close(self) -> None:
         """Closes the socket."""
@@ -154,26 +154,24 @@
             if self._senders.get(message_id) is sender:
                 del self._senders[message_id]
 
-    def _handle_event_safely(
-        self, arrived: upstream_socket.SocketEvent
-    ) -> None:
+    def _handle_event_safely(self, event: upstream_socket.SocketEvent) -> None:
         """Takes in a datagram, whatever it holds.
 
         Guards against an upstream that stops this host for all services
         with a message that no one has thought of.
         """
         try:
-            self._handle_event(arrived)
+            self._handle_event(event)
         except Exception:
             self._counts.add("upstream_datagrams_failed_total")
             logger.exception("Datagram of %s was passed over.", self.peer)
 
-    def _handle_event(self, arrived: upstream_socket.SocketEvent) -> None:
-        if arrived.refused:
-            self._handle_refusal(arrived.data)
+    def _handle_event(self, event: upstream_socket.SocketEvent) -> None:
+        if event.refused:
+            self._handle_refusal(event.data)
             return
         try:
-            message = codec.decode(arrived.data, self.peer)
+            message = codec.decode(event.data, self.peer)
         except errors.MalformedDatagramError as error:
             self._counts.add("upstream_datagrams_malformed_total")
             logger.debug("Malformed datagram: %s.", error)
@@ -216,8 +214,8 @@
         if message.code.is_response():
             accepted = self._deliver_response(message)
         if message.mtype is aiocoap.CON or not accepted:
-            kind = aiocoap.ACK if accepted else aiocoap.RST
-            self.send_empty(kind, message.mid)
+            reply_type = aiocoap.ACK if accepted else aiocoap.RST
+            self.send_empty(reply_type, message.mid)
 
     def _deliver_response(self, message: codec.Message) -> bool:
         listener = self._listeners.get(message.token)
--- a/persimmonhinge/upstreams/exchange.py
+++ b/persimmonhinge/upstreams/exchange.py
@@ -143,8 +143,8 @@
             self._endpoint.listen(self.token, self)
         try:
             with self._endpoint.expect_acknowledgement(message.mid, self):
-                until = trio.current_time() + limits.silence_s
-                await self._transmit(message, until)
+                give_up_at = trio.current_time() + limits.silence_s
+                await self._transmit(message, give_up_at)
                 await self._wait_for_answer(limits)
         finally:
             if self._owns_token:
@@ -175,20 +175,22 @@
         if self._transmission_count:
             await self._wait_for_reply(give_up_at, give_up_at)
 
-    async def _wait_for_reply(self, deadline: float, until: float) -> bool:
+    async def _wait_for_reply(
+        self, retransmit_at: float, give_up_at: float
+    ) -> bool:
         """Returns False if the exchange is to go on sending."""
-        with trio.move_on_at(min(deadline, until)):
+        with trio.move_on_at(min(retransmit_at, give_up_at)):
             await self._reply_received.wait()
             return True
-        return deadline >= until
+        return retransmit_at >= give_up_at
 
     async def _wait_for_answer(self, limits: WaitLimits) -> None:
         if self._acknowledged_at is None:
             return
-        until = max(
+        give_up_at = max(
             self._acknowledged_at + limits.silence_s, limits.answer_deadline
         )
-        with trio.move_on_at(until):
+        with trio.move_on_at(give_up_at):
             await self._finished.wait()
 
     def _send_reset(self) -> None:
--- a/persimmonhinge/upstreams/feed.py
+++ b/persimmonhinge/upstreams/feed.py
@@ -245,12 +245,12 @@
     async def _check_upstream(self) -> bool:
         limits = self.upstream.target.limits
         limit_s = min(limits.upstream_timeout_s, limits.silent_feed_s)
-        began_at = trio.current_time()
+        started_at = trio.current_time()
         self._context.counts.add("feed_checks_total")
         if await self.observation.check(limit_s):
             return True
         self.upstream.endpoints.report_silence(
-            self.observation.endpoint, began_at
+            self.observation.endpoint, started_at
         )
         return False
 
--- a/persimmonhinge/upstreams/feed_server.py
+++ b/persimmonhinge/upstreams/feed_server.py
@@ -89,18 +89,18 @@
         if target is None or not self._roles.keeps(target):
             # Hosts differ for a moment; the home looks again.
             return feeds.FeedEnd(_Cause.MOVED)
-        kept = self._upstreams.get(target)
-        load = kept.read_load()
-        if not kept.is_accepting:
+        upstream = self._upstreams.get(target)
+        load = upstream.read_load()
+        if not upstream.is_accepting:
             return feeds.FeedEnd(_Cause.REFUSED, load=load)
-        if kept.feed_count >= target.upstream.connections:
+        if upstream.feed_count >= target.upstream.connections:
             retry_s = admission.spread_s(
                 _FULL_RETRY_S, self._context.randomness
             )
             return feeds.FeedEnd(
                 _Cause.REFUSED, retry_after_s=retry_s, load=load
             )
-        return kept
+        return upstream
 
     async def _send_end(
         self, caller: network.Caller, end: feeds.FeedEnd
@@ -172,16 +172,18 @@
     async def _open_feed(
         self, caller: network.Caller, feed: feed_module.Feed
     ) -> None:
-        kept = feed.upstream
-        began_at = trio.current_time()
-        silence_s = kept.target.limits.upstream_timeout_s
+        upstream = feed.upstream
+        started_at = trio.current_time()
+        silence_s = upstream.target.limits.upstream_timeout_s
         end = await feed.observation.open(silence_s)
         if end is _Status.SILENT:
-            kept.endpoints.report_silence(feed.observation.endpoint, began_at)
+            upstream.endpoints.report_silence(
+                feed.observation.endpoint, started_at
+            )
         if end is not _Status.ANSWERED:
-            kept.record_feed_failure()
+            upstream.record_feed_failure()
             cause = _Cause.SILENT if end is _Status.SILENT else _Cause.LOST
-            load = kept.read_load()
+            load = upstream.read_load()
             await self._send_end(caller, feeds.FeedEnd(cause, load=load))
         elif feed.observation.state is _State.ENDED:
             await self._send_end(caller, _make_refusal(feed))
@@ -190,8 +192,8 @@
         self, caller: network.Caller, feed: feed_module.Feed
     ) -> None:
         """Ends the feed at the upstream, unless its home has died."""
-        lost = not caller.closed_by_caller
-        if lost and feed.is_open():
+        is_home_lost = not caller.closed_by_caller
+        if is_home_lost and feed.is_open():
             self._orphans.hold(feed)
             return
         self._context.start_soon(feed.cancel)
--- a/persimmonhinge/upstreams/health_score.py
+++ b/persimmonhinge/upstreams/health_score.py
@@ -57,8 +57,8 @@
 
     def read(self, now: float) -> float:
         """Returns the trust at a time."""
-        risen = self._score + (now - self._changed_at) * _RECOVERY_PER_S
-        return min(1.0, risen)
+        recovered = self._score + (now - self._changed_at) * _RECOVERY_PER_S
+        return min(1.0, recovered)
 
     def record_signal(
         self,
--- a/persimmonhinge/upstreams/kept_upstream.py
+++ b/persimmonhinge/upstreams/kept_upstream.py
@@ -101,9 +101,9 @@
 
     def update(self, target: target_module.Target) -> None:
         """Takes in a new contract."""
-        began_again = self.target.is_draining and not target.is_draining
+        is_reopened = self.target.is_draining and not target.is_draining
         self.target = target
-        if began_again:
+        if is_reopened:
             self._draining_until = 0.0
         if not self.is_accepting:
             self._stop_accepting()
@@ -158,11 +158,11 @@
             self._context.randomness,
         )
         job.transfer = transfer
-        began_at = trio.current_time()
+        started_at = trio.current_time()
         try:
             result = await transfer.run()
-            self._record_result(result, job, began_at)
-            self._check_socket(result, endpoint, began_at)
+            self._record_result(result, job, started_at)
+            self._check_socket(result, endpoint, started_at)
             job.finish(_make_dispatched(result))
         except Exception:
             # An answer that no one has thought of must not stop the host.
--- a/persimmonhinge/upstreams/message_ids.py
+++ b/persimmonhinge/upstreams/message_ids.py
@@ -41,7 +41,7 @@
         """
         chunk = self._next // _CHUNK_SIZE
         return any(
-            self._clock() - left_at < transmission.EXCHANGE_LIFETIME_S
-            for place in (chunk, (chunk + 1) % (_ID_COUNT // _CHUNK_SIZE))
-            if (left_at := self._chunk_used_at.get(place)) is not None
+            self._clock() - used_at < transmission.EXCHANGE_LIFETIME_S
+            for index in (chunk, (chunk + 1) % (_ID_COUNT // _CHUNK_SIZE))
+            if (used_at := self._chunk_used_at.get(index)) is not None
         )
--- a/persimmonhinge/upstreams/orphaned_feeds.py
+++ b/persimmonhinge/upstreams/orphaned_feeds.py
@@ -94,14 +94,14 @@
     ) -> feed_module.Feed | None:
         """Returns a feed that a home goes on with, and holds it no more."""
         key = _make_key(opened)
-        found = self.find(opened)
-        if found is not None:
+        feed = self.find(opened)
+        if feed is not None:
             del self._feeds[key]
             self._context.counts.add("feeds_resumed_total")
-            await found.stop_collecting()
-            self._adoptions.record_adoption(key, caller, found.events.sequence)
-            self._log_resumed(caller, opened, found)
-            return found
+            await feed.stop_collecting()
+            self._adoptions.record_adoption(key, caller, feed.events.sequence)
+            self._log_resumed(caller, opened, feed)
+            return feed
         held = self._feeds.get(key)
         if held is not None and held.opened.request != opened.request:
             # The token was given to another resource.
@@ -113,7 +113,7 @@
         self,
         caller: ids.HostId,
         opened: feeds.FeedOpen,
-        found: feed_module.Feed,
+        feed: feed_module.Feed,
     ) -> None:
         if not self._log_budget.take():
             return
@@ -123,8 +123,8 @@
             _format_feed(opened),
             caller,
             opened.confirmed,
-            found.events.sequence,
-            found.home.host if found.home is not None else "unknown",
+            feed.events.sequence,
+            feed.home.host if feed.home is not None else "unknown",
         )
 
     async def handle_feed_left(
@@ -167,11 +167,11 @@
     def _has_ended(self, home: member_module.Member | None) -> bool:
         if home is None:
             return True
-        now = self._view.get(home.host)
-        if now is None or now.incarnation != home.incarnation:
+        current = self._view.get(home.host)
+        if current is None or current.incarnation != home.incarnation:
             return True
         # A host that leaves hands its feeds over before it closes links.
-        return now.state in (
+        return current.state in (
             member_module.MemberState.DEAD,
             member_module.MemberState.LEAVING,
         )
--- a/persimmonhinge/upstreams/slots.py
+++ b/persimmonhinge/upstreams/slots.py
@@ -70,12 +70,12 @@
     def busy(self) -> int:
         """Requests at the upstream, those of a former keeper included."""
         now = trio.current_time()
-        handed = sum(
+        former_keeper_count = sum(
             count
             for count, expires_at in self._former_keeper_requests.values()
             if expires_at > now
         )
-        return len(self.running) + handed
+        return len(self.running) + former_keeper_count
 
     def count_usable(self) -> int:
         """Returns the slots that may be used now, at least 1."""
@@ -227,8 +227,8 @@
             assert isinstance(last, job_module.Job)
             if self._queue.sort_key(last) < self._queue.sort_key(job):
                 return False
-            kept = math.ceil(last.share * self._target.limits.queue)
-            if self._queue.count(last.call_class) <= kept:
+            reserved_places = math.ceil(last.share * self._target.limits.queue)
+            if self._queue.count(last.call_class) <= reserved_places:
                 continue
             self._queue.discard(last)
             retry_s = admission.spread_retry_s(pressure, self._randomness)
--- a/persimmonhinge/upstreams/slow_start.py
+++ b/persimmonhinge/upstreams/slow_start.py
@@ -25,8 +25,8 @@
         """
         if self.started_at is None or duration_s <= 0:
             return slots
-        warmth = (now - self.started_at) / duration_s
-        if warmth >= 1:
+        progress = (now - self.started_at) / duration_s
+        if progress >= 1:
             self.started_at = None
             return slots
-        return max(1, math.floor(slots * warmth))
+        return max(1, math.floor(slots * progress))
--- a/persimmonhinge/upstreams/udp.py
+++ b/persimmonhinge/upstreams/udp.py
@@ -57,8 +57,8 @@
             trio.ClosedResourceError: The socket was closed.
         """
         await trio.lowlevel.wait_readable(self._socket)
-        arrivals = self._read_refusals()
-        while len(arrivals) < _MAX_BATCH_EVENTS:
+        events = self._read_refusals()
+        while len(events) < _MAX_BATCH_EVENTS:
             try:
                 data, source = self._socket.recvfrom(
                     codec.MAX_DATAGRAM_OCTETS + 1
@@ -66,13 +66,13 @@
             except BlockingIOError:
                 break
             except OSError:
-                arrivals += self._read_refusals()
+                events += self._read_refusals()
                 break
             if source[:2] != self._remote:
                 self._counts.add("upstream_datagrams_foreign_total")
                 continue
-            arrivals.append(upstream_socket.SocketEvent(data))
-        return arrivals
+            events.append(upstream_socket.SocketEvent(data))
+        return events
 
     def close(self) -> None:
         """Closes the socket."""
--- a/tests/test_upstreams/fake_upstream.py
+++ b/tests/test_upstreams/fake_upstream.py
@@ -92,16 +92,16 @@
         by_id = {m.mid: m for m in self.received if m.code.is_request()}
         return list(by_id.values())
 
-    def replies(self, kind: aiocoap.Type) -> list[codec.Message]:
+    def replies(self, message_type: aiocoap.Type) -> list[codec.Message]:
         """Returns the acknowledgements or resets of the keeper."""
-        return [m for m in self.received if m.mtype is kind]
+        return [m for m in self.received if m.mtype is message_type]
 
     def notify(
         self,
         registration: codec.Message,
         number: int | None,
         payload: bytes,
-        kind: aiocoap.Type = aiocoap.NON,
+        message_type: aiocoap.Type = aiocoap.NON,
         **options: object,
     ) -> None:
         """Sends a notification on the token of a registration."""
@@ -109,7 +109,7 @@
         message.opt.observe = number
         for name, value in options.items():
             setattr(message.opt, name, value)
-        message.mtype = kind
+        message.mtype = message_type
         self._next_id += 1
         message.mid = self._next_id
         message.token = registration.token
@@ -133,10 +133,12 @@
     socket.deliver(answer)
 
 
-def send_empty(socket: FakeSocket, kind: aiocoap.Type, message_id: int) -> None:
+def send_empty(
+    socket: FakeSocket, message_type: aiocoap.Type, message_id: int
+) -> None:
     """Sends an empty acknowledgement or a reset."""
     message = codec.Message(code=aiocoap.EMPTY)
-    message.mtype = kind
+    message.mtype = message_type
     message.mid = message_id
     socket.deliver(message)
 
--- a/tests/test_upstreams/test_upstreams_feeds.py
+++ b/tests/test_upstreams/test_upstreams_feeds.py
@@ -53,13 +53,15 @@
             socket, request, payload=self.state, observe=self.number
         )
 
-    def publish(self, state: bytes, kind: aiocoap.Type = aiocoap.NON) -> None:
+    def publish(
+        self, state: bytes, message_type: aiocoap.Type = aiocoap.NON
+    ) -> None:
         """Notifies all observers of a new state."""
         self.number += 1
         self.state = state
         for token, registration in self.registrations.items():
             if token not in self.silent:
-                self.notify(registration, self.number, state, kind)
+                self.notify(registration, self.number, state, message_type)
 
 
 @contextlib.asynccontextmanager
