--- a/persimmonhinge/upstreams/adoptions.py
+++ b/persimmonhinge/upstreams/adoptions.py
@@ -1,4 +1,4 @@
-"""Feeds that other homes have carried on since their home was given up."""
+"""Feeds that were adopted by another home after theirs was lost."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 
 FeedKey = tuple[object, ...]
 
-# A host that was paused for longer goes on as if nobody had its feeds.
+# A home that was paused for longer than this is not detected: it opens its
+# feeds as if no other home had adopted them.
 _RETENTION_S = 300.0
 _MAX_ADOPTIONS = 16_384
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Adoption:
-    """A feed that was given to another home.
+    """The adoption of a feed by a home.
 
     Attributes:
-        home: The host that has it.
-        sequence: Highest number that an event had by then.
-        at: When, trio's time.
+        home: The host that adopted the feed.
+        sequence: Sequence number of the newest event at that time.
+        adopted_at: Time of the adoption on the clock of trio.
     """
 
     home: ids.HostId
@@ -32,11 +33,11 @@
 
 
 class Adoptions:
-    """Remembers which feeds were given to other homes, the oldest first.
+    """Stores which feeds were adopted by which homes, the oldest first.
 
-    Guards against a home that was paused and does not know that it was given
-    up: it would open its feeds once more and send their events beside the
-    present homes.
+    Prevents a home that was paused, and does not know that it was declared
+    failed, from opening its feeds again: it would send their events to the
+    callers in addition to the current homes.
     """
 
     def __init__(self) -> None:
@@ -45,7 +46,7 @@
     def record_adoption(
         self, key: FeedKey, home: ids.HostId, sequence: int
     ) -> None:
-        """Takes in that a feed was given to a home."""
+        """Records that a home has adopted or resumed a feed."""
         self._by_key.pop(key, None)
         self._by_key[key] = Adoption(home, sequence, trio.current_time())
         self._remove_old()
@@ -53,10 +54,10 @@
     def has_other_home(
         self, key: FeedKey, caller: ids.HostId, opened: feeds.FeedOpen
     ) -> bool:
-        """Tells whether a feed that a home opens was given to another one.
+        """Returns whether a feed was adopted by a home other than `caller`.
 
-        A home that the feed was handed to since has confirmed nothing, or an
-        event with a higher number.
+        If the feed was moved to the caller after that adoption, the caller
+        has confirmed no event yet, or one with a higher sequence number.
         """
         adoption = self._by_key.get(key)
         if adoption is None or adoption.home == caller:
--- a/persimmonhinge/upstreams/costs.py
+++ b/persimmonhinge/upstreams/costs.py
@@ -1,4 +1,4 @@
-"""How long requests hold a slot, by call class."""
+"""Run times of requests at one upstream, per call class."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 from persimmonhinge import ids
 
 _AVERAGE_WEIGHT = 0.2
-# Before the first measurement; short, so that nothing is refused on a guess.
+# Used until a request of the class has run. It is short, so that no request is
+# refused because of an assumed run time.
 _DEFAULT_ESTIMATE_S = 0.01
-# The usual time has a long memory, and one run moves it by a little only, so
-# that an upstream that has become slow does not soon pass for one that
-# always was.
+# The baseline adapts slowly, and the effect of a single run on it is limited.
+# Otherwise the slow runs of a degraded upstream would soon become its normal
+# run time, and the slowdown would no longer be detected.
 _BASELINE_WEIGHT = 0.02
 _MAX_BASELINE_RATIO = 2.0
 
@@ -23,21 +24,21 @@
 
 
 class Costs:
-    """Moving averages of run times at one upstream."""
+    """Moving averages of run times at one upstream, per call class."""
 
     def __init__(self) -> None:
         self._by_class: dict[ids.CallClassName, _Cost] = {}
 
     def estimate(self, call_class: ids.CallClassName) -> float:
-        """Returns how long a request of a class will run, seconds."""
+        """Returns the expected run time of a request of a class, seconds."""
         cost = self._by_class.get(call_class)
         return _DEFAULT_ESTIMATE_S if cost is None else cost.average_s
 
     def record_run(self, call_class: ids.CallClassName, run_s: float) -> float:
-        """Takes in how long a request ran, seconds.
+        """Adds the run time of a request, seconds, to the averages.
 
         Returns:
-            How many times longer that is than is usual for its class.
+            The run time divided by the baseline of the call class.
         """
         cost = self._by_class.get(call_class)
         if cost is None or cost.baseline_s <= 0:
--- a/persimmonhinge/upstreams/endpoint.py
+++ b/persimmonhinge/upstreams/endpoint.py
@@ -28,30 +28,34 @@
 
 
 class Sender(Protocol):
-    """What sent a message and waits for its acknowledgement."""
+    """The sender of a message, which waits for its acknowledgement.
+
+    Attributes:
+        token: The token of the message.
+    """
 
     token: bytes
 
     def handle_acknowledgement(self) -> None:
-        """Takes in an acknowledgement."""
+        """Handles an acknowledgement of the message."""
 
     def handle_reset(self) -> None:
-        """Takes in a reset."""
+        """Handles a reset of the message."""
 
     def handle_refusal(self) -> None:
-        """Takes in that ICMP refused the message."""
+        """Handles an ICMP error that reports a closed port."""
 
 
 class Endpoint:
-    """Matches what comes from an upstream to what was sent to it.
+    """Matches datagrams of an upstream to the messages sent to it.
 
-    Answers are matched by token alone. Tokens are random, so that a late or
-    crossed answer, or one of a program that used the port before, meets no
-    other request.
+    Answers are matched by token alone. Tokens are random, so that an answer
+    that is late or meant for another request, or one for a program that used
+    the local port before, never matches a request of this host.
 
     Attributes:
-        heard_at: When the last datagram came.
-        peer: Address of the upstream, for errors.
+        last_received_at: Time at which the last valid datagram was received.
+        peer: Address of the upstream, for error and log messages.
     """
 
     def __init__(
@@ -76,16 +80,16 @@
 
     @property
     def is_idle(self) -> bool:
-        """True if nothing waits on any of its tokens."""
+        """True if no listener is registered for any token."""
         return not self._listeners
 
     @property
     def is_exhausted(self) -> bool:
-        """True if it has no message id left for the time being."""
+        """True if no message id is free at present."""
         return self._ids.is_exhausted()
 
     async def run(self) -> None:
-        """Takes in datagrams until the endpoint is closed."""
+        """Receives and handles datagrams until the endpoint is closed."""
         while True:
             try:
                 events = await self._socket.receive()
@@ -99,15 +103,16 @@
         self._socket.close()
 
     def send(self, message: codec.Message) -> bool:
-        """Sends a message; its type, id and token are set.
+        """Sends a message whose type, message id and token are set.
 
-        Guards against a packet for one service that reaches another: an
-        address may move to another service while a request to it is still
-        sent again. Each datagram asks anew whether the address is still
-        that of the service.
+        Prevents a datagram for one service from reaching another service:
+        an address may be reassigned to another service while a request is
+        still being retransmitted. So each datagram is sent only if the
+        address still belongs to the service.
 
         Returns:
-            False if it may not be sent.
+            False if the address no longer belongs to the service, so that
+            the message was not sent.
         """
         if not self._may_send():
             self._counts.add("upstream_datagrams_withheld_total")
@@ -123,21 +128,21 @@
         self.send(message)
 
     def next_message_id(self) -> int:
-        """Returns a message id that was not used lately."""
+        """Returns the next message id; see `is_exhausted` for its reuse."""
         return self._ids.next()
 
     def make_token(self) -> bytes:
-        """Returns a token that was never used."""
+        """Returns a new random token."""
         return secrets.token_bytes(_TOKEN_OCTETS)
 
     def listen(self, token: bytes, listener: listener_module.Listener) -> None:
-        """Gives a listener the answers on a token, until `stop_listening`."""
+        """Passes answers with a token to a listener until `stop_listening`."""
         self._listeners[token] = listener
 
     def stop_listening(self, token: bytes) -> None:
-        """Takes no more answers on a token.
+        """Stops passing on answers with a token.
 
-        Copies of the last one are still acknowledged.
+        Retransmitted answers with the token are still acknowledged.
         """
         if self._listeners.pop(token, None) is not None:
             self._remember_finished(token)
@@ -146,7 +151,7 @@
     def expect_acknowledgement(
         self, message_id: int, sender: Sender
     ) -> Iterator[None]:
-        """Gives a sender the acknowledgement of its message while inside."""
+        """Passes replies to a message to its sender within the context."""
         self._senders[message_id] = sender
         try:
             yield
@@ -155,16 +160,19 @@
                 del self._senders[message_id]
 
     def _handle_event_safely(self, event: upstream_socket.SocketEvent) -> None:
-        """Takes in a datagram, whatever it holds.
+        """Handles a socket event; logs any error.
 
-        Guards against an upstream that stops this host for all services
-        with a message that no one has thought of.
+        Without this, an unexpected message of one upstream could end the
+        task and stop this host for all services.
         """
         try:
             self._handle_event(event)
         except Exception:
             self._counts.add("upstream_datagrams_failed_total")
-            logger.exception("Datagram of %s was passed over.", self.peer)
+            logger.exception(
+                "Discarded a datagram of upstream %s: its handling failed.",
+                self.peer,
+            )
 
     def _handle_event(self, event: upstream_socket.SocketEvent) -> None:
         if event.refused:
@@ -174,7 +182,7 @@
             message = codec.decode(event.data, self.peer)
         except errors.MalformedDatagramError as error:
             self._counts.add("upstream_datagrams_malformed_total")
-            logger.debug("Malformed datagram: %s.", error)
+            logger.debug("Discarded a malformed datagram: %s.", error)
             return
         self.last_received_at = trio.current_time()
         if message.mtype in (aiocoap.ACK, aiocoap.RST):
@@ -183,7 +191,7 @@
             self._handle_message(message)
 
     def _handle_refusal(self, data: bytes) -> None:
-        # Routers may quote too little to tell which datagram it was.
+        # Some routers quote too few octets to identify the message.
         if len(data) < 4:
             return
         sender = self._senders.get(int.from_bytes(data[2:4], "big"))
@@ -222,7 +230,7 @@
         if listener is not None:
             return listener.receive(message)
         if message.token in self._finished:
-            # The acknowledgement was lost, so the answer came once more.
+            # The upstream retransmits: the acknowledgement was lost.
             return True
         self._counts.add("upstream_answers_unmatched_total")
         return False
--- a/persimmonhinge/upstreams/endpoints.py
+++ b/persimmonhinge/upstreams/endpoints.py
@@ -1,4 +1,4 @@
-"""The sockets towards one upstream: one in use, and those it replaced."""
+"""The sockets to one upstream: the current one and replaced ones."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 
 
 class Endpoints:
-    """Opens a new socket when the present one is of no use for new work.
+    """Provides a socket for new requests and replaces it when necessary.
 
-    A socket is replaced when its message ids have come round, and when
-    nothing comes back on it any more: what tracks flows on the way may have
-    lost this one while a new one works. What still waits on the former
-    socket stays there.
+    A socket is replaced when its message ids are exhausted, and when no
+    datagrams are received on it any more: a device on the path that tracks
+    connections, such as a NAT, may have lost its entry for this socket while
+    a new socket would work. Requests that are pending on a replaced socket
+    finish there.
     """
 
     def __init__(
@@ -34,7 +35,7 @@
         self._retired: list[endpoint_module.Endpoint] = []
 
     def get(self) -> endpoint_module.Endpoint:
-        """Returns the socket for new work."""
+        """Returns the endpoint for new requests."""
         current = self._current
         if current is not None and not current.is_exhausted:
             return current
@@ -46,21 +47,29 @@
     def report_silence(
         self, endpoint: endpoint_module.Endpoint, since: float
     ) -> None:
-        """Takes in that a request got no sign; replaces a dead socket."""
+        """Replaces the socket if it has received nothing since a request.
+
+        Args:
+            endpoint: Endpoint on which the request got no reply.
+            since: Time at which the request started.
+        """
         if endpoint is self._current and endpoint.last_received_at < since:
-            logger.info("Nothing comes from %s; new socket.", self._address)
+            logger.info(
+                "No datagram received from upstream %s; replacing the socket.",
+                self._address,
+            )
             self._context.counts.add("upstream_sockets_replaced_total")
             self._retire(endpoint)
             self._current = None
 
     def close_idle(self) -> None:
-        """Closes former sockets on which nothing waits any more."""
+        """Closes replaced sockets that have no pending requests."""
         for endpoint in [e for e in self._retired if e.is_idle]:
             self._retired.remove(endpoint)
             endpoint.close()
 
     def close(self) -> None:
-        """Closes all sockets."""
+        """Closes the current socket and all replaced ones."""
         if self._current is not None:
             self._retired.append(self._current)
             self._current = None
--- a/persimmonhinge/upstreams/event_budget.py
+++ b/persimmonhinge/upstreams/event_budget.py
@@ -1,4 +1,4 @@
-"""Octets of events that all feeds of a keeper may hold."""
+"""Limit of the octets of events that the feeds of a keeper store."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 
 
 class EventBudget:
-    """Bounds what is held for homes that have not confirmed it."""
+    """Limits the octets of stored events of all feeds of a keeper."""
 
     def __init__(
         self, counts: counts_module.Counts, max_octets: int = _MAX_OCTETS
     ) -> None:
-        """Makes an empty budget.
+        """Makes a budget of which nothing is reserved.
 
         Args:
             counts: Counters of the host.
-            most_octets: Octets of answers that may be held at a time.
+            max_octets: Octets of events that may be stored at a time.
         """
         self._counts = counts
         self._free_octets = max_octets
         self._log_budget = line_budgets.Budget()
 
     def reserve(self, octets: int) -> bool:
-        """Takes octets out of the budget; False if there are not enough."""
+        """Reserves octets; returns False if too few are free."""
         if octets > self._free_octets:
             return False
         self._free_octets -= octets
         return True
 
     def release(self, octets: int) -> None:
-        """Puts octets back that are held no more."""
+        """Releases reserved octets."""
         self._free_octets += octets
 
     def record_drop(self, sequence: int) -> None:
-        """Counts an event that would be lost with its home."""
+        """Counts and logs an unconfirmed event that is no longer stored."""
         self._counts.add("feed_events_unconfirmed_dropped_total")
         if self._log_budget.take():
             logger.warning(
-                "Event %d is held no more: its home has not confirmed it, and"
-                " there is no room.",
+                "Event %d of a feed discarded before its home confirmed it:"
+                " the limit of stored events is reached.",
                 sequence,
             )
--- a/persimmonhinge/upstreams/event_stream.py
+++ b/persimmonhinge/upstreams/event_stream.py
@@ -1,4 +1,4 @@
-"""Events of a feed that homes were given, and how far they have come."""
+"""Sequence numbers and confirmation of the events of a feed."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class EventStream:
-    """Numbers the events of a feed, and holds what no home has confirmed.
+    """Numbers the events of a feed and stores those not confirmed by a home.
 
-    Guards against events that are lost with a host: what it did not confirm
-    is given again, under the same numbers, so that a caller who had it drops
-    it as a copy (RFC 7641, 3.4).
+    Prevents the loss of events when a home fails: unconfirmed events are sent
+    again with the same sequence numbers, so that a caller that already has
+    one discards it as a duplicate (RFC 7641 section 3.4).
 
     Attributes:
-        sequence: Number of the newest event.
+        sequence: Sequence number of the newest event.
     """
 
     __slots__ = (
@@ -32,15 +32,15 @@
     def __init__(
         self, opened: feeds.FeedOpen, budget: event_budget.EventBudget
     ) -> None:
-        """Begins above all numbers that may be in use.
+        """Starts above all sequence numbers that may be in use.
 
         Args:
-            opened: The feed as a home opened it.
-            budget: Bounds the events that are held.
+            opened: Message with which a home opened the feed.
+            budget: Limits the octets of stored events.
         """
         self.sequence = max(opened.last_sequence, opened.floor)
         self._first = self.sequence
-        # The highest number that the caller was sent, as far as it is known.
+        # The highest sequence number that is known to be sent to the caller.
         self._sent = opened.last_sequence
         self._recent = opened.recent
         # 0 until a home has confirmed an event of this stream.
@@ -54,11 +54,11 @@
 
     @property
     def is_empty(self) -> bool:
-        """True if no event is held."""
+        """True if no event is stored."""
         return not self._events.list_all()
 
     def add(self, answer: bytes) -> feeds.FeedEvent:
-        """Numbers an event and holds it."""
+        """Numbers an event and stores it."""
         used = max(self.sequence, self._sent)
         self.sequence = used + feeds.SEQUENCE_STRIDE
         event = feeds.FeedEvent(self.sequence, answer)
@@ -66,17 +66,17 @@
         return event
 
     def record_acknowledgement(self, ack: feeds.FeedAck) -> None:
-        """Takes in what the home has sent to the caller."""
+        """Records which events the home has sent to the caller."""
         self._sent = max(self._sent, ack.sequence)
         self._recent = ack.recent
-        # A host of an earlier release tells one number for both.
+        # A host of an earlier release sends one number for both.
         self._confirm(ack.confirmed or ack.sequence)
 
     def resume(self, opened: feeds.FeedOpen) -> list[feeds.FeedEvent]:
-        """Goes on for a home that opens the feed again.
+        """Continues the stream for a home that opens the feed again.
 
         Returns:
-            What it is to be given first, marked as given before.
+            Unconfirmed events to send first, marked as sent before.
         """
         self._sent = max(self._sent, opened.last_sequence)
         self._recent = opened.recent
@@ -87,7 +87,7 @@
         ]
 
     def make_feed_open(self, opened: feeds.FeedOpen) -> feeds.FeedOpen:
-        """Returns a feed as another home is to open it."""
+        """Returns the message with which another home is to open a feed."""
         return msgspec.structs.replace(
             opened,
             last_sequence=self._sent,
@@ -98,7 +98,7 @@
         )
 
     def clear(self) -> None:
-        """Holds no event any more."""
+        """Removes all stored events."""
         self._events.clear()
 
     def _confirm(self, sequence: int) -> None:
--- a/persimmonhinge/upstreams/exchange.py
+++ b/persimmonhinge/upstreams/exchange.py
@@ -1,4 +1,4 @@
-"""One confirmable request and the answer to it."""
+"""One confirmable CoAP request and its answer."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
     """How an exchange ended.
 
     ANSWERED: The upstream answered.
-    REFUSED: The only transmission was reset or refused by ICMP; it surely
-        was not taken in.
-    UNSENT: Nothing was sent.
-    SILENT: Whether it was taken in can't be told.
+    REFUSED: The only transmission was reset, or ICMP reported a closed port,
+        so the upstream certainly did not accept the request.
+    UNSENT: The request was never sent.
+    SILENT: It is unknown whether the upstream accepted the request.
     """
 
     ANSWERED = "answered"
@@ -32,11 +32,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ExchangeResult:
-    """The end of an exchange.
+    """The result of an exchange.
 
     Attributes:
-        end: How it ended.
-        answer: The answer; None unless the end is ANSWERED.
+        status: How the exchange ended.
+        answer: The answer; None unless the status is ANSWERED.
     """
 
     status: ExchangeStatus
@@ -45,13 +45,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WaitLimits:
-    """How long an exchange may last.
+    """Time limits of an exchange.
 
     Attributes:
-        silence_s: Limit without any sign of the upstream, seconds; an
-            acknowledgement is a sign and starts it once more.
-        until: Time up to which an acknowledged request is waited for even
-            if it takes longer.
+        silence_s: Limit without any reply of the upstream, seconds; an
+            acknowledgement restarts it.
+        answer_deadline: Time until which the exchange waits for the answer
+            to an acknowledged request, even if `silence_s` has elapsed.
     """
 
     silence_s: float
@@ -59,7 +59,7 @@
 
 
 class Exchange:
-    """Sends a request until it is acknowledged and waits for its answer.
+    """Transmits a request until a reply arrives and waits for its answer.
 
     Attributes:
         token: The token of the request.
@@ -76,12 +76,12 @@
         """Makes an exchange.
 
         Args:
-            endpoint: Where it takes place.
+            endpoint: Endpoint on which to send the request.
             request: The request; type, message id and token are set here.
-            timers: Timers of retransmission.
-            randomness: Draws the first wait.
-            token: Token on which someone else listens, who then hands the
-                answers on to `receive`; None for a new one.
+            timers: Retransmission timers.
+            randomness: Randomizes the initial retransmission timeout.
+            token: Token for which another listener is registered, which
+                passes the answers to `receive`; None for a new token.
         """
         self.token = token or endpoint.make_token()
         self._owns_token = token is None
@@ -98,19 +98,21 @@
         self._answer: codec.Message | None = None
 
     def abandon(self) -> None:
-        """Stops sending, and tells an upstream that works on the request.
-
-        A reset under the id of the request rejects its acknowledgement; an
-        upstream may stop at it, and one that does not know it passes it
-        over. An answer that still comes is reset, too. The exchange goes on
-        until then or to its limit, because the upstream may go on.
+        """Stops retransmission, and resets an acknowledged request.
+
+        A reset with the message id of the request rejects its
+        acknowledgement. The upstream may then stop processing the request;
+        an upstream that does not support this ignores the reset. A later
+        answer is reset, too. The exchange continues until that answer or
+        its time limit, because the upstream may continue to process the
+        request.
         """
         self._abandoned = True
         if self._acknowledged_at is not None and not self._finished.is_set():
             self._send_reset()
 
     def receive(self, answer: codec.Message) -> bool:
-        """Takes the answer; see `listener.Listener`."""
+        """Stores the first answer; see `listener.Listener`."""
         if self._answer is None:
             self._answer = answer
         self._reply_received.set()
@@ -118,7 +120,7 @@
         return not self._abandoned
 
     def handle_acknowledgement(self) -> None:
-        """Takes in that the upstream works on the request."""
+        """Handles an acknowledgement: the upstream processes the request."""
         if self._acknowledged_at is None:
             self._acknowledged_at = trio.current_time()
         if self._abandoned:
@@ -126,15 +128,15 @@
         self._reply_received.set()
 
     def handle_reset(self) -> None:
-        """Takes in that the upstream reset the request."""
+        """Handles a reset of the request by the upstream."""
         self._finish_refused()
 
     def handle_refusal(self) -> None:
-        """Takes in that ICMP refused a transmission."""
+        """Handles an ICMP error that reports a closed port."""
         self._finish_refused()
 
     async def run(self, limits: WaitLimits) -> ExchangeResult:
-        """Runs the exchange to its end."""
+        """Sends the request and returns the result of the exchange."""
         message = self._request
         message.mtype = aiocoap.CON
         message.mid = self._endpoint.next_message_id()
@@ -154,7 +156,7 @@
     async def _transmit(
         self, message: codec.Message, give_up_at: float
     ) -> None:
-        """Sends a message until there is a sign, or the time is over."""
+        """Transmits a message until a reply arrives or the time is up."""
         timeout_s = self._randomness.uniform(
             self._timers.ack_timeout_s,
             self._timers.ack_timeout_s * self._timers.ack_random_factor,
@@ -165,8 +167,9 @@
             if not self._endpoint.send(message):
                 break
             self._transmission_count += 1
-            # One scope for each wait and none around all: most requests
-            # wait once, and a scope is not cheap on the packet path.
+            # Each wait has its own cancel scope, and there is none around
+            # the loop: most requests wait only once, and each scope costs
+            # time on the packet path.
             if await self._wait_for_reply(
                 trio.current_time() + timeout_s, give_up_at
             ):
@@ -178,7 +181,7 @@
     async def _wait_for_reply(
         self, retransmit_at: float, give_up_at: float
     ) -> bool:
-        """Returns False if the exchange is to go on sending."""
+        """Returns False if the message is to be retransmitted."""
         with trio.move_on_at(min(retransmit_at, give_up_at)):
             await self._reply_received.wait()
             return True
@@ -197,11 +200,11 @@
         self._endpoint.send_empty(aiocoap.RST, self._request.mid)
 
     def _finish_refused(self) -> None:
-        # Guards against taking a request for refused that did run: the
-        # first transmission may have been taken in, and a later one met
-        # the restarted program. It shows as a reset or an ICMP error after
-        # a retransmission or an acknowledgement. Only the refusal of the
-        # one and only transmission tells that nothing was taken in.
+        # Prevents a request that ran from being reported as refused: the
+        # upstream may have accepted the first transmission and restarted
+        # before a later one. That causes a reset or an ICMP error after a
+        # retransmission or an acknowledgement. Only the refusal of a single
+        # transmission proves that the request was not accepted.
         self._refused = (
             self._transmission_count == 1 and self._acknowledged_at is None
         )
--- a/persimmonhinge/upstreams/feed.py
+++ b/persimmonhinge/upstreams/feed.py
@@ -1,4 +1,4 @@
-"""A feed between its home and its upstream."""
+"""One feed: forwards notifications of an upstream to the home."""
 
 from __future__ import annotations
 
@@ -25,14 +25,16 @@
 
 
 class Feed:
-    """Passes notifications of an observation on to a home.
+    """Forwards the notifications of an observation to a home.
 
     Attributes:
-        opened: What the home asked for; the newest it told of the caller.
-        observation: The feed at the upstream.
-        kept: The upstream.
-        home: The home as it was known when it opened the feed.
-        given: What homes were given.
+        opened: Message with which the home opened the feed; it says which
+            events the caller was sent.
+        observation: Observation at the upstream.
+        upstream: The upstream.
+        home: Membership entry of the home when it opened the feed; None if
+            the home was unknown.
+        events: Events that were sent to homes.
     """
 
     def __init__(
@@ -57,36 +59,41 @@
         self._collected: trio.Event | None = None
 
     def resume(self, former: Feed) -> None:
-        """Goes on where the stream to a former home, or to this one, ended."""
+        """Continues a feed whose link to its home was lost.
+
+        Args:
+            former: The feed as it was served to a former home or to this one.
+        """
         self._pending_end = former._sent_end or former._pending_end
         self._final_event_sent = former._final_event_sent
         self.events = former.events
         self._replays = self.events.resume(self.opened)
 
     def is_open(self) -> bool:
-        """Tells whether a home has something to take from it."""
+        """Returns whether the feed has or may get events for a home."""
         if self.observation.state is _State.OPEN:
             return True
         return not self.events.is_empty
 
     def request_move(self, cause: feeds.FeedEndCause) -> None:
-        """Has the home asked to move the feed; events go on meanwhile."""
+        """Requests the home to move the feed; events continue meanwhile."""
         if self._sent_end is None and self._pending_end is None:
             self._pending_end = cause
             self.observation.wake()
 
     def request_check(self, silent_since: float) -> None:
-        """Has the feed checked as if it were silent since a time."""
+        """Causes a check of the feed, as if it were silent since a time."""
         self.observation.last_received_at = min(
             self.observation.last_received_at, silent_since
         )
         self.observation.wake()
 
     def start_collecting(self) -> None:
-        """Takes in what comes while no home has the feed.
+        """Starts to collect notifications while no home has the feed.
 
-        Guards against large states that are gone when the next home opens the
-        feed: an upstream gives later blocks of the newest one alone.
+        Large notifications are fetched at once: an upstream sends later
+        blocks only of its newest state, so an older one could no longer be
+        fetched when the next home opens the feed.
         """
         self._collecting = trio.CancelScope()
         self._context.start_soon(self._collect, self._collecting)
@@ -105,14 +112,17 @@
             self._collected.set()
 
     async def stop_collecting(self) -> None:
-        """Returns once nothing more is taken in without a home."""
+        """Stops collecting and waits until the current event is stored."""
         if self._collecting is not None:
             self._collecting.cancel()
         if self._collected is not None:
             await self._collected.wait()
 
     async def cancel(self) -> None:
-        """Cancels the feed at its upstream; it counts until that is done."""
+        """Cancels the feed at its upstream.
+
+        Until that is done, the feed occupies a connection of the upstream.
+        """
         await self.stop_collecting()
         silence_s = self.upstream.target.limits.upstream_timeout_s
         try:
@@ -122,11 +132,11 @@
             self.upstream.feed_count -= 1
 
     def make_feed_open(self) -> feeds.FeedOpen:
-        """Returns the feed as another home is to open it."""
+        """Returns the message with which another home is to open the feed."""
         return self.events.make_feed_open(self.opened)
 
     async def receive_acknowledgements(self, caller: network.Caller) -> None:
-        """Takes in what the home says, until it closes the call."""
+        """Records acknowledgements of the home until the call is closed."""
         try:
             while True:
                 message = await caller.receive()
@@ -139,7 +149,7 @@
         """Pushes notifications until the feed ends at the upstream.
 
         Raises:
-            PeerLinkLostError: The home is gone.
+            PeerLinkLostError: The link to the home was lost.
         """
         await self._push_replays(caller)
         while True:
@@ -166,8 +176,9 @@
                 self._context.counts.add("feed_events_total")
 
     async def _add_event(self, answer: codec.Message) -> feeds.FeedEvent | None:
-        """Returns the event of a notification, None if it can't be had."""
-        # Not cancelled with the link: later, only a newer state is left.
+        """Returns the event of a notification; None if it is incomplete."""
+        # Not cancelled when the link is lost, because later blocks of this
+        # state can not be fetched once the upstream has a newer one.
         with trio.CancelScope(shield=True):
             whole = await self._fetch_whole(answer)
         if whole is None:
@@ -176,7 +187,7 @@
         return self.events.add(requests.encode_answer(whole))
 
     async def _fetch_whole(self, answer: codec.Message) -> codec.Message | None:
-        """Returns a notification with its whole body."""
+        """Returns a notification with its whole body; None if that fails."""
         block2 = answer.opt.block2
         if block2 is None or not block2.more:
             whole = requests.copy_message(answer)
@@ -225,10 +236,10 @@
             await caller.push(event)
 
     async def _wait_for_notification(self) -> bool:
-        """Waits for something to push; checks a feed that is silent.
+        """Waits for something to push; checks the feed if it is silent.
 
         Returns:
-            False if the feed is silent and does not answer.
+            False if the feed is silent and the check gets no answer.
         """
         silent_s = self.upstream.target.limits.silent_feed_s
         with trio.move_on_at(
@@ -255,14 +266,13 @@
         return False
 
     def _handle_silence(self) -> None:
-        """Has a silent feed moved.
+        """Requests the home to move a feed that failed its check.
 
-        Guards against feeds that go silent for good while new work is
-        answered, because something between the two ends has lost track of
-        them. It shows only on the feed's own token, so that is where the
-        upstream was asked.
+        A feed may stay silent permanently although new requests are answered,
+        because a device on the path or the upstream has lost its entry for
+        the feed. Only a check with the token of the feed detects this.
         """
-        # Counts as a sign, so that the next check comes after the full time.
+        # Delays the next check by the whole silence limit.
         self.observation.last_received_at = trio.current_time()
         if self._sent_end is not _Cause.SILENT:
             self._context.counts.add("feeds_silent_total")
--- a/persimmonhinge/upstreams/feed_server.py
+++ b/persimmonhinge/upstreams/feed_server.py
@@ -25,7 +25,7 @@
 
 logger = logging.getLogger(__name__)
 
-# A caller that finds no connection free may come back after so long.
+# Base of the retry delay if the upstream has no free connection.
 _FULL_RETRY_S = 2
 
 _Cause = feeds.FeedEndCause
@@ -34,10 +34,10 @@
 
 
 class FeedServer:
-    """Opens each feed at its upstream and carries it until its home closes.
+    """Opens each feed at its upstream and serves it until its home closes it.
 
-    Each feed has two tasks: one takes what the home says, one passes on
-    what the upstream sends.
+    Each feed has two tasks: one receives messages of the home, the other
+    forwards notifications of the upstream.
     """
 
     def __init__(
@@ -57,9 +57,9 @@
     async def handle(
         self, caller: network.Caller, opened: feeds.FeedOpen
     ) -> None:
-        """Carries one feed from its opening to its end."""
+        """Serves one feed from its opening to its end."""
         try:
-            # A request that can't be read is found before a task relies on it.
+            # Detects a malformed request before any task decodes it.
             requests.decode_request(opened.request, opened.service)
             if self._orphans.has_other_home(caller.host, opened):
                 await caller.push(feeds.FeedTaken())
@@ -73,7 +73,7 @@
         except errors.PeerLinkLostError:
             return
         except errors.MalformedDatagramError as error:
-            logger.warning("Feed can't be read: %s.", error)
+            logger.warning("Feed refused: its request is malformed: %s.", error)
             await self._send_end(caller, feeds.FeedEnd(_Cause.REFUSED))
 
     def _find_upstream(
@@ -81,13 +81,15 @@
     ) -> kept_upstream.KeptUpstream | feeds.FeedEnd:
         held = self._orphans.find(opened)
         if held is not None:
-            # Also where the role has moved: no other keeper has its events.
+            # This also applies if the role of keeper has moved, because no
+            # other keeper has the events of the feed.
             return held.upstream
         target = self._roles.find_target(
             opened.service, opened.revision, opened.upstream
         )
         if target is None or not self._roles.keeps(target):
-            # Hosts differ for a moment; the home looks again.
+            # The hosts have different states for a moment; the home
+            # determines the keeper again.
             return feeds.FeedEnd(_Cause.MOVED)
         upstream = self._upstreams.get(target)
         load = upstream.read_load()
@@ -125,11 +127,11 @@
                     await self._open_feed(caller, feed)
                 if feed.is_open():
                     await feed.forward(caller)
-                    # What ends it may be lost with the home, too.
+                    # The home may fail before it receives the end of the feed.
                     await caller.wait_closed()
                 nursery.cancel_scope.cancel()
         except* errors.PeerLinkLostError:
-            # The push that failed tells what `receive` tells, too.
+            # Both tasks of the feed may report the loss of the same link.
             pass
         finally:
             upstream.open_feeds.discard(feed)
@@ -159,7 +161,7 @@
         )
 
     def _request_missed_move(self, feed: feed_module.Feed) -> None:
-        """Has a feed moved whose home was not there to be asked."""
+        """Requests a feed to be moved if its home missed the request."""
         opened = feed.opened
         target = self._roles.find_target(
             opened.service, ids.Revision(0), opened.upstream
@@ -191,7 +193,7 @@
     def _close_feed(
         self, caller: network.Caller, feed: feed_module.Feed
     ) -> None:
-        """Ends the feed at the upstream, unless its home has died."""
+        """Cancels the feed, or holds it if the link to its home was lost."""
         is_home_lost = not caller.closed_by_caller
         if is_home_lost and feed.is_open():
             self._orphans.hold(feed)
--- a/persimmonhinge/upstreams/freshness.py
+++ b/persimmonhinge/upstreams/freshness.py
@@ -1,4 +1,4 @@
-"""Which notifications of a feed are newer than the ones before."""
+"""Detection of outdated notifications of an observation."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class Freshness:
-    """Tells late notifications from fresh ones by observe number and time."""
+    """Detects outdated notifications by observe number and time."""
 
     def __init__(self) -> None:
         self._newest_number: int | None = None
         self._received_at = 0.0
 
     def accept(self, number: int, now: float) -> bool:
-        """Takes in the number of a notification.
+        """Records the observe number of a notification if it is newer.
 
         Returns:
-            False if it is late or a copy: a newer one has come before.
+            False if the notification is outdated or a duplicate.
         """
         if self._newest_number is not None and not self._is_fresh(number, now):
             return False
--- a/persimmonhinge/upstreams/health_score.py
+++ b/persimmonhinge/upstreams/health_score.py
@@ -1,27 +1,27 @@
-"""How far an upstream is trusted, from what its keeper sees first-hand."""
+"""Health score of an upstream, computed from the results of its requests."""
 
 from __future__ import annotations
 
 import enum
 
 _MIN_SCORE = 0.02
-# A trusted upstream that fails once is back within a minute unasked; one
-# that goes on failing is pushed down faster than it rises.
+# After a single failure, the score is 1 again within a minute without any
+# request. If failures continue, the score falls faster than it recovers.
 _RECOVERY_PER_S = 1.0 / 60
 _RECOVERY_PER_SUCCESS = 0.05
 _SLOW_RUN_RATIO = 10.0
-# Below this a run that took many times longer than usual is mere noise.
+# In shorter runs, a run time far above the baseline is noise.
 _MIN_SLOW_RUN_S = 0.1
 _AVERAGE_WEIGHT = 0.2
 
 
 class HealthSignal(enum.Enum):
-    """What an upstream did with a request.
+    """How an upstream handled a request.
 
     ANSWERED: It answered.
     FAILED: It answered with a server error.
-    SHED: It refused the request as too much.
-    STALLED: It gave no answer, or the request did not reach it.
+    SHED: It refused the request because of overload.
+    STALLED: It sent no answer, or the request did not reach it.
     """
 
     ANSWERED = "answered"
@@ -30,7 +30,7 @@
     STALLED = "stalled"
 
 
-# A few bad signs in a row leave a trickle only.
+# After a few consecutive failures the upstream gets only a few requests.
 _FAILURE_FACTORS = {
     HealthSignal.FAILED: 0.7,
     HealthSignal.SHED: 0.85,
@@ -39,15 +39,17 @@
 
 
 class HealthScore:
-    """A number from near 0 to 1 that falls by factors and rises by steps.
+    """A number above 0 and up to 1, which is reported as `UpstreamLoad.trust`.
 
-    The upstream's own word on its health and load plays no part: it lags
-    and misleads. Trust never reaches 0, so that a little work still shows
-    when the upstream has recovered.
+    A failure multiplies the score by a factor below 1; a success adds a fixed
+    step, and so does elapsed time. Health and load that the upstream itself
+    reports are not used: they lag and mislead. The score never reaches 0, so
+    that the upstream still gets a few requests, which show when it has
+    recovered.
 
     Attributes:
-        service_s: Moving average of the run time of answered requests; 0
-            before the first.
+        service_time_s: Moving average of the run times of answered requests,
+            seconds; 0 before the first answer.
     """
 
     def __init__(self, now: float) -> None:
@@ -56,7 +58,7 @@
         self._changed_at = now
 
     def read(self, now: float) -> float:
-        """Returns the trust at a time."""
+        """Returns the score at a time."""
         recovered = self._score + (now - self._changed_at) * _RECOVERY_PER_S
         return min(1.0, recovered)
 
@@ -67,13 +69,13 @@
         run_s: float = 0.0,
         slowdown: float = 1.0,
     ) -> None:
-        """Takes in what became of a request.
+        """Updates the score with the result of a request.
 
         Args:
-            sign: What the upstream did.
-            now: The time.
-            run_s: How long it took, for ANSWERED.
-            slowdown: How many times longer that is than is usual.
+            signal: How the upstream handled the request.
+            now: Current time.
+            run_s: Run time of the request, seconds; used for ANSWERED.
+            slowdown: Run time divided by the baseline of the call class.
         """
         value = self.read(now)
         if signal is not HealthSignal.ANSWERED:
--- a/persimmonhinge/upstreams/kept_upstream.py
+++ b/persimmonhinge/upstreams/kept_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream that this host keeps, or kept until lately."""
+"""An upstream whose keeper is or recently was this host."""
 
 from __future__ import annotations
 
@@ -42,14 +42,16 @@
 
 
 class KeptUpstream:
-    """Runs jobs at one upstream and knows its state first-hand.
+    """Runs jobs at one upstream and tracks its state.
+
+    The state is taken from the results of requests that this host sent.
 
     Attributes:
         target: The upstream and its contract.
         slots: Its slots and queue.
-        feeds: Open feeds, those that are being cancelled included.
-        open_feeds: Feeds that a home holds open.
-        checks: Limits how many silent feeds are checked at a time.
+        feed_count: Number of feeds, including those that are being cancelled.
+        open_feeds: Feeds with an open connection to a home.
+        check_limiter: Limits the number of concurrent checks of silent feeds.
     """
 
     def __init__(
@@ -76,18 +78,18 @@
 
     @property
     def is_accepting(self) -> bool:
-        """False while the contract or the upstream says that it leaves."""
+        """False while the contract or the upstream announces a drain."""
         if self.target.is_draining:
             return False
         return trio.current_time() >= self._draining_until
 
     @property
     def is_idle(self) -> bool:
-        """True if nothing is left of it here."""
+        """True if it has no requests, queued jobs or feeds on this host."""
         return not (self.slots.busy or self.slots.queued or self.feed_count)
 
     def read_load(self) -> work.UpstreamLoad:
-        """Returns its state; the name is that of its contract."""
+        """Returns its load; the upstream id is the one of its contract."""
         return work.UpstreamLoad(
             ids.UpstreamId(self.target.upstream.id),
             self.slots.count_usable(),
@@ -100,7 +102,7 @@
         )
 
     def update(self, target: target_module.Target) -> None:
-        """Takes in a new contract."""
+        """Applies a new version of the contract."""
         is_reopened = self.target.is_draining and not target.is_draining
         self.target = target
         if is_reopened:
@@ -110,14 +112,18 @@
         self.slots.update(target)
 
     def submit(self, job: job_module.Job) -> None:
-        """Takes a job in, or finishes it at once as not run."""
+        """Accepts a job, or finishes it at once as not run."""
         if not self.is_accepting:
             job.finish(_make_not_run("upstream drains"))
             return
         self.slots.submit(job)
 
     def handle_shed(self, answer: codec.Message) -> None:
-        """Takes in that the upstream refused work or a feed with 5.03."""
+        """Handles an answer that refused a request or a feed.
+
+        Args:
+            answer: The refusal; see `shedding.is_shed`.
+        """
         if not shedding.announces_drain(answer):
             self._context.counts.add("keeper_sheds_total")
             self._health.record_signal(_Signal.SHED, trio.current_time())
@@ -126,21 +132,23 @@
         max_age = answer.opt.max_age
         drain_s = max(_MIN_DRAIN_S, max_age or 0)
         if self.is_accepting:
-            logger.info("Upstream %s says that it drains.", self.target.key)
+            logger.info(
+                "Upstream %s has announced that it drains.", self.target.key
+            )
         self._draining_until = trio.current_time() + drain_s
         self._stop_accepting()
 
     def record_feed_failure(self) -> None:
-        """Takes in that a feed could not be opened for want of an answer."""
+        """Records that a feed was not opened because no answer came."""
         self._health.record_signal(_Signal.STALLED, trio.current_time())
 
     def request_feed_moves(self, cause: feeds.FeedEndCause) -> None:
-        """Has the homes asked to move all feeds."""
+        """Requests the homes to move all open feeds."""
         for feed in self.open_feeds:
             feed.request_move(cause)
 
     def _stop_accepting(self) -> None:
-        """Gives the upstream up: nothing new, and its feeds are to move."""
+        """Refuses all queued jobs and requests that all feeds be moved."""
         self.slots.finish_queued_jobs(_make_not_run("upstream drains"))
         self.request_feed_moves(feeds.FeedEndCause.DRAINING)
 
@@ -165,10 +173,12 @@
             self._check_socket(result, endpoint, started_at)
             job.finish(_make_dispatched(result))
         except Exception:
-            # An answer that no one has thought of must not stop the host.
-            logger.exception("Request at %s failed.", self.target.key)
+            # An unexpected answer must not stop the host.
+            logger.exception(
+                "Error while running a request at upstream %s.", self.target.key
+            )
         finally:
-            # Counts only if nothing above has ended the job.
+            # Has no effect if the job is already finished.
             job.finish(_UNFINISHED)
             self.slots.release(job)
             self.endpoints.close_idle()
@@ -190,12 +200,12 @@
                 self._check_feeds_now()
             return
         if self._was_down:
-            # It is back, most likely as a new process.
+            # It answers again, most likely as a new process.
             self._was_down = False
             self._slow_start.started_at = now
         code = result.received.code
         if code == aiocoap.GATEWAY_TIMEOUT:
-            # The caller's deadline was short; it says nothing bad.
+            # The deadline was too short; this is no sign of a fault.
             return
         if code.class_ == _SERVER_ERROR_CLASS:
             self._health.record_signal(_Signal.FAILED, now)
@@ -205,7 +215,7 @@
         self._health.record_signal(_Signal.ANSWERED, now, run_s, slowdown)
 
     def _check_feeds_now(self) -> None:
-        """Has all feeds checked now: nothing listens at the address."""
+        """Checks all open feeds: no process listens at the address."""
         silent_s = self.target.limits.silent_feed_s
         for feed in self.open_feeds:
             feed.request_check(trio.current_time() - silent_s)
--- a/persimmonhinge/upstreams/listener.py
+++ b/persimmonhinge/upstreams/listener.py
@@ -1,4 +1,4 @@
-"""What takes the answers that come on one token."""
+"""Interface of a receiver of answers."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class Listener(Protocol):
-    """Takes all answers on one token."""
+    """Receives all answers with one token."""
 
     def receive(self, answer: codec.Message) -> bool:
-        """Takes an answer.
+        """Handles an answer.
 
         Returns:
-            False if it is unwanted: the upstream is told so by a reset.
+            False if the answer is unwanted; the upstream is then sent a reset.
         """
--- a/persimmonhinge/upstreams/message_ids.py
+++ b/persimmonhinge/upstreams/message_ids.py
@@ -1,4 +1,4 @@
-"""Message ids of one socket."""
+"""Allocation of the CoAP message ids of one socket."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 
 
 class MessageIds:
-    """Counts message ids up and knows when they would come round too soon.
+    """Allocates consecutive message ids and detects reuse that is too early.
 
-    Guards against a request that an upstream takes for the retransmission
-    of an older one: it would be answered with the older answer and not run.
-    RFC 7252 section 4.4 forbids to reuse an id within the lifetime of an
-    exchange. Times are kept for each chunk of 256 ids, not for each id.
+    If an id is reused too early, the upstream takes the new request for a
+    retransmission of an older one: it sends the older answer again and does
+    not run the new request. RFC 7252 section 4.4 forbids the reuse of an id
+    within the lifetime of an exchange. Times are stored for each chunk of
+    256 ids, not for each id.
     """
 
     def __init__(self, first: int, clock: Callable[[], float]) -> None:
@@ -33,11 +34,11 @@
         return message_id
 
     def is_exhausted(self) -> bool:
-        """Tells whether ids come round that were used within the lifetime.
+        """Returns whether the next ids were used within the lifetime.
 
-        The time of a chunk is that of its last use, so it is a bound for
-        all of its ids. The chunk after the present one counts too, so that
-        what is under way when this turns true has ids left.
+        The time of a chunk is that of the last use of any of its ids. The
+        chunk after the current one is checked, too, so that exchanges in
+        progress still have free ids when this becomes true.
         """
         chunk = self._next // _CHUNK_SIZE
         return any(
--- a/persimmonhinge/upstreams/observation.py
+++ b/persimmonhinge/upstreams/observation.py
@@ -1,4 +1,4 @@
-"""A feed at its upstream: CoAP observe, RFC 7641, as the client."""
+"""Client side of a CoAP observation (RFC 7641) at an upstream."""
 
 from __future__ import annotations
 
@@ -17,17 +17,18 @@
 
 _REGISTER = 0
 _DEREGISTER = 1
-# Notifications that may wait for a slow link to the home.
+# Notifications that wait while the link to the home is slow.
 _MAX_WAITING_NOTIFICATIONS = 64
 
 
 class ObservationState(enum.Enum):
-    """Where an observation stands.
+    """State of an observation.
 
-    OPENING: The upstream has not answered yet.
+    OPENING: The upstream has not answered the registration yet.
     OPEN: The upstream sends notifications.
-    ENDED: The upstream ended or refused it.
-    CANCELLED: This host ended it.
+    ENDED: The upstream ended or refused the observation, or did not answer
+        the registration.
+    CANCELLED: This host cancelled the observation.
     """
 
     OPENING = "opening"
@@ -37,12 +38,13 @@
 
 
 class Observation:
-    """Observes a resource on one token and keeps what comes.
+    """Observes a resource with one token and queues its notifications.
 
     Attributes:
-        state: Where it stands.
-        heard_at: When the upstream last gave a sign on its token.
-        last: The answer with which it ended; None before.
+        state: State of the observation.
+        last_received_at: Time of the last answer with its token.
+        final_answer: The answer that ended the observation; None before.
+        endpoint: Endpoint on which the resource is observed.
     """
 
     def __init__(
@@ -54,16 +56,17 @@
         """Makes an observation that is not registered yet.
 
         Args:
-            context: What the parts of the keeper share.
-            endpoint: The socket that it stays on.
-            opened: What the home asked for.
+            context: Objects that all parts of the keeper share.
+            endpoint: Endpoint on which to observe the resource.
+            opened: Message with which the home opened the feed.
         """
         self.state = ObservationState.OPENING
         self.last_received_at = trio.current_time()
         self.final_answer: codec.Message | None = None
         self.endpoint = endpoint
         self._context = context
-        # Read anew when it is sent: read, it takes ten times the memory.
+        # The request in it is decoded each time it is sent, because a decoded
+        # request takes ten times the memory.
         self._opened = opened
         self._newest_state: tuple[int, bytes] | None = None
         self._token = endpoint.make_token()
@@ -78,10 +81,11 @@
         """Registers at the upstream.
 
         Args:
-            silence_s: Limit without a sign of the upstream, seconds.
+            silence_s: Limit without any reply of the upstream, seconds.
 
         Returns:
-            ANSWERED if it answered, whatever it said; `state` tells more.
+            ANSWERED if the upstream sent any answer; `state` shows whether it
+            accepted the registration.
         """
         self.endpoint.listen(self._token, self)
         result = await self._exchange_once(
@@ -92,11 +96,14 @@
         return result.status
 
     async def check(self, silence_s: float) -> bool:
-        """Asks on the token of the feed whether the upstream still has it.
+        """Checks whether the upstream still has the observation.
 
-        Registering again with the same token renews the feed and brings its
-        present state (RFC 7641 section 3.3.1). Asking on any other token
-        would prove nothing about this one.
+        A registration with the same token renews the observation and returns
+        the current state of the resource (RFC 7641 section 3.3.1). A request
+        with another token would prove nothing about this observation.
+
+        Args:
+            silence_s: Limit without any reply of the upstream, seconds.
 
         Returns:
             False if no answer came.
@@ -110,7 +117,7 @@
         return result.status is exchange.ExchangeStatus.ANSWERED
 
     async def cancel(self, silence_s: float) -> None:
-        """Deregisters at the upstream; stray notifications are reset."""
+        """Deregisters at the upstream; later notifications are reset."""
         was_open = self.state in (
             ObservationState.OPEN,
             ObservationState.OPENING,
@@ -123,14 +130,14 @@
         self.endpoint.stop_listening(self._token)
 
     async def wait_for_change(self) -> None:
-        """Returns once there is something to take, or `wake` was called."""
+        """Waits for a notification, the end of the observation or `wake`."""
         if self._waiting or self.state is not ObservationState.OPEN:
             await trio.lowlevel.checkpoint()
             return
         await self._changed.wait()
 
     def pop_notification(self) -> codec.Message | None:
-        """Returns the oldest notification that waits, None if none does."""
+        """Removes and returns the oldest notification; None without one."""
         return self._waiting.pop(0) if self._waiting else None
 
     def wake(self) -> None:
@@ -139,7 +146,7 @@
         self._changed = trio.Event()
 
     def receive(self, answer: codec.Message) -> bool:
-        """Takes a notification; see `listener.Listener`."""
+        """Handles an answer or notification; see `listener.Listener`."""
         self.last_received_at = trio.current_time()
         observed = answer.opt.observe is not None
         if self.state is ObservationState.CANCELLED:
@@ -154,7 +161,7 @@
 
     def _handle_answer(self, answer: codec.Message, observed: bool) -> None:
         if not observed or not answer.code.is_successful():
-            # RFC 7641 sections 3.2 and 4.2: the upstream ended it.
+            # The upstream ended it (RFC 7641 sections 3.2 and 4.2).
             self.state = ObservationState.ENDED
             self.final_answer = answer
             self.wake()
@@ -166,7 +173,7 @@
             return
         self.state = ObservationState.OPEN
         if self._checking and self._newest_state == _get_state(answer):
-            # The answer to a check says nothing new.
+            # The answer to a check contains no new state.
             return
         self._newest_state = _get_state(answer)
         self._waiting.append(answer)
@@ -203,5 +210,5 @@
 
 
 def _get_state(answer: codec.Message) -> tuple[int, bytes]:
-    """Returns what decides whether two answers say the same."""
+    """Returns code and payload, by which two states are compared."""
     return int(answer.code), answer.payload
--- a/persimmonhinge/upstreams/orphaned_feeds.py
+++ b/persimmonhinge/upstreams/orphaned_feeds.py
@@ -1,4 +1,4 @@
-"""Feeds whose home is gone, until another home carries them on."""
+"""Feeds that have lost their home, until another home takes them over."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 
 logger = logging.getLogger(__name__)
 
-# Long enough for membership to find out that the home died, and for a new
-# home to look for an upstream.
+# Long enough for membership to detect the failure of the home, and for a new
+# home to select an upstream.
 HOLD_LIMIT_S = 10.0
 _CALL_TIMEOUT_S = 4.0
 _OFFER_INTERVAL_S = 0.3
-# Views of two keepers differ by less than this, seconds.
+# Upper bound of the delay between the membership views of two keepers.
 _MAX_VIEW_SKEW_S = 0.5
 _MAX_CONCURRENT_OFFERS = 64
 
 
 class OrphanedFeeds:
-    """Keeps feeds going whose link to the home was lost.
-
-    Guards against a feed that stands still after its home died: the caller
-    sends nothing by which another host would learn of it. Once membership
-    says that the home is gone, the feed is offered to the next home. As
-    long as it may still live, nothing is offered, because two homes would
-    then send to one caller; the home opens the feed anew by itself, and
-    gets what came meanwhile.
+    """Holds feeds whose link to the home was lost, and finds new homes.
+
+    Without this, a feed would stop after the failure of its home: the caller
+    sends nothing from which another host could learn of the feed. Once
+    membership reports that the home has failed or is leaving, the feed is
+    offered to the next home. While the home may still be alive, the feed is
+    not offered, because two homes would then send to one caller. A home that
+    is alive opens the feed again and gets the events it has missed.
     """
 
     def __init__(
@@ -61,11 +61,11 @@
         return len(self._feeds)
 
     def find(self, opened: feeds.FeedOpen) -> feed_module.Feed | None:
-        """Returns a feed that a home goes on with, None if it is not here."""
+        """Returns the held feed that a home resumes; None without one."""
         feed = self._feeds.get(_make_key(opened))
         if feed is None or feed.opened.request != opened.request:
             return None
-        # A host of an earlier release names no floor, and always goes on.
+        # A host of an earlier release sends no floor and always resumes.
         if not opened.resumes and opened.floor:
             return None
         return feed
@@ -73,7 +73,7 @@
     def has_other_home(
         self, caller: ids.HostId, opened: feeds.FeedOpen
     ) -> bool:
-        """Tells whether another home than the one that opens a feed has it."""
+        """Returns whether a feed was adopted by a home other than `caller`."""
         if self.find(opened) is not None:
             return False
         key = _make_key(opened)
@@ -81,8 +81,8 @@
             return False
         if self._log_budget.take():
             logger.info(
-                "Feed %s is not opened for %s, which has sent up to %d:"
-                " another home has it.",
+                "Feed %s not opened for home %s, which confirmed events up to"
+                " %d: another home has adopted the feed.",
                 _format_feed(opened),
                 caller,
                 opened.confirmed,
@@ -92,7 +92,7 @@
     async def claim(
         self, caller: ids.HostId, opened: feeds.FeedOpen
     ) -> feed_module.Feed | None:
-        """Returns a feed that a home goes on with, and holds it no more."""
+        """Removes and returns the held feed that a home resumes."""
         key = _make_key(opened)
         feed = self.find(opened)
         if feed is not None:
@@ -104,7 +104,7 @@
             return feed
         held = self._feeds.get(key)
         if held is not None and held.opened.request != opened.request:
-            # The token was given to another resource.
+            # The caller uses the token for another resource now.
             del self._feeds[key]
             self._context.start_soon(held.cancel)
         return None
@@ -118,8 +118,8 @@
         if not self._log_budget.take():
             return
         logger.info(
-            "Feed %s goes on at %s after event %d, the newest is %d;"
-            " before: %s.",
+            "Feed %s resumed by home %s after event %d, newest event %d,"
+            " former home %s.",
             _format_feed(opened),
             caller,
             opened.confirmed,
@@ -130,7 +130,7 @@
     async def handle_feed_left(
         self, caller: network_module.Caller, left: feeds.FeedLeft
     ) -> None:
-        """Ends a feed whose home has opened it elsewhere."""
+        """Cancels a feed that its home has opened at another upstream."""
         feed = self._feeds.get(_make_key(left.feed))
         if feed is None or feed.home is None or feed.home.host != caller.host:
             return
@@ -138,7 +138,7 @@
         await feed.cancel()
 
     def hold(self, feed: feed_module.Feed) -> None:
-        """Keeps a feed and looks for a new home."""
+        """Holds a feed and starts to look for a new home."""
         former = self._feeds.pop(_make_key(feed.opened), None)
         if former is not None:
             self._context.start_soon(former.cancel)
@@ -150,7 +150,8 @@
         with trio.move_on_after(HOLD_LIMIT_S):
             await self._wait_until_home_ended(feed)
             if not feed.events.is_confirmed:
-                # The feed was moving; where it was open before knows more.
+                # The feed was being moved. The keeper at which it was open
+                # before has more recent events and makes its offer first.
                 await trio.sleep(_MAX_VIEW_SKEW_S)
             while self._holds(feed):
                 if await self._offer(feed):
@@ -170,7 +171,7 @@
         current = self._view.get(home.host)
         if current is None or current.incarnation != home.incarnation:
             return True
-        # A host that leaves hands its feeds over before it closes links.
+        # A leaving host hands over its feeds before it closes its links.
         return current.state in (
             member_module.MemberState.DEAD,
             member_module.MemberState.LEAVING,
@@ -198,7 +199,7 @@
         try:
             answer = await self._network.call(host, offer, _CALL_TIMEOUT_S)
         except errors.PeerError as error:
-            logger.debug("Feed was not taken: %s.", error)
+            logger.debug("Offer of a feed to another home failed: %s.", error)
             return False
         accepted = isinstance(answer, feeds.Adopted) and answer.accepted
         if accepted:
@@ -223,7 +224,7 @@
 
 
 def _format_feed(opened: feeds.FeedOpen) -> str:
-    """Returns how the log names a feed: service, caller and token."""
+    """Returns the name of a feed in the log: service, caller and token."""
     caller = f"{opened.caller_host}:{opened.caller_port}"
     return f"{opened.service}/{caller}/{opened.token.hex()}"
 
--- a/persimmonhinge/upstreams/requests.py
+++ b/persimmonhinge/upstreams/requests.py
@@ -1,4 +1,4 @@
-"""Makes the request that an upstream gets."""
+"""Conversion of requests and answers between homes and upstreams."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 def decode_request(data: bytes, service: ids.ServiceName) -> codec.Message:
-    """Reads the request that a home sent on and addresses it.
+    """Decodes the request of a home and sets its options for the upstream.
 
-    Uri-Host names the service, so that an upstream can refuse what is not
-    meant for it. Options of single transfers and of proxies are the
-    keeper's own and are removed.
+    Uri-Host names the service, so that an upstream can refuse a request for
+    another service. Options of block-wise transfers, observation, Echo and
+    proxies are removed, because the keeper sets those of its own messages.
 
     Raises:
-        MalformedDatagramError: It is not a CoAP request.
+        MalformedDatagramError: The data is not a CoAP request.
     """
     request = codec.decode(data, limit=codec.MAX_WHOLE_OCTETS)
     if not request.code.is_request():
         raise errors.MalformedDatagramError(
-            f"code {request.code} is no request", step="read request"
+            f"code {request.code} is not a request code", step="read request"
         )
     options = request.opt
     options.uri_host = service
@@ -38,7 +38,7 @@
 
 
 def encode_answer(answer: codec.Message) -> bytes:
-    """Writes a whole answer for the home; its token and id mean nothing."""
+    """Encodes a whole answer for the home; its token and id are unused."""
     plain = copy_message(answer)
     plain.mtype = aiocoap.NON
     plain.mid = 0
@@ -48,10 +48,11 @@
 def copy_message(
     message: codec.Message, payload: bytes | None = None
 ) -> codec.Message:
-    """Returns a copy with code, options and body, not yet ready to be sent.
+    """Returns a copy of code, options and body, without type, id and token.
 
-    Options are shared: their setters replace them and don't change them.
-    `Message.copy` copies each of them deeply, which takes ten times as long.
+    The copy shares the option objects, which is safe because option setters
+    replace them and do not modify them. `Message.copy` makes a deep copy of
+    each option, which takes ten times as long.
     """
     body = message.payload if payload is None else payload
     copied = codec.Message(code=message.code, payload=body)
--- a/persimmonhinge/upstreams/slots.py
+++ b/persimmonhinge/upstreams/slots.py
@@ -1,4 +1,4 @@
-"""The slots of one upstream and the queue in front of them."""
+"""The slots of one upstream and the queue of jobs for them."""
 
 from __future__ import annotations
 
@@ -19,19 +19,20 @@
 from persimmonhinge.upstreams import slow_start as slow_start_module
 from persimmonhinge.upstreams import target as target_module
 
-# What must be left for a class when others are guaranteed a share.
+# Lower bound of the share of slots that other call classes with guaranteed
+# shares leave to a class.
 _MIN_UNRESERVED_SHARE = 0.1
 _SHED_PAUSE_S = 0.1
-# Runs differ, and the answer has a way to go.
+# Allows for varying run times and for the transmission of the answer.
 _RUN_TIME_MARGIN = 1.5
 
 
 class Slots:
-    """Gives jobs to an upstream, never more at a time than it has slots.
+    """Starts jobs at an upstream, never more at a time than it has slots.
 
     Attributes:
-        running: Jobs at the upstream, cancelled ones included.
-        costs: How long jobs run.
+        running: Jobs that run at the upstream, including cancelled ones.
+        costs: Run times of jobs per call class.
     """
 
     def __init__(
@@ -45,9 +46,9 @@
 
         Args:
             target: The upstream.
-            slow_start: Withholds slots of a cold upstream.
+            slow_start: Limits the slots of an upstream that is warming up.
             start: Starts a job at the upstream.
-            randomness: Spreads the returns of refused callers.
+            randomness: Spreads the retry delays of refused callers.
         """
         self.running: set[job_module.Job] = set()
         self.costs = costs.Costs()
@@ -63,12 +64,12 @@
 
     @property
     def queued(self) -> int:
-        """Jobs that wait."""
+        """Number of jobs in the queue."""
         return len(self._queue)
 
     @property
     def busy(self) -> int:
-        """Requests at the upstream, those of a former keeper included."""
+        """Number of requests at the upstream, including a former keeper's."""
         now = trio.current_time()
         former_keeper_count = sum(
             count
@@ -78,7 +79,7 @@
         return len(self.running) + former_keeper_count
 
     def count_usable(self) -> int:
-        """Returns the slots that may be used now, at least 1."""
+        """Returns the number of slots that may be used now, at least 1."""
         return self._slow_start.count_slots(
             self._target.upstream.slots,
             self._target.limits.slow_start_s,
@@ -86,7 +87,7 @@
         )
 
     def update(self, target: target_module.Target) -> None:
-        """Takes in a new contract."""
+        """Applies a new version of the contract."""
         former = self._target.entry.contract.policies
         policies = target.entry.contract.policies
         self._target = target
@@ -100,7 +101,7 @@
         self.start_queued_jobs()
 
     def submit(self, job: job_module.Job) -> None:
-        """Takes a job in, or finishes it at once as not run."""
+        """Queues or starts a job, or finishes it at once as busy or not run."""
         job.cost_s = self.costs.estimate(job.call_class)
         pressure = self._measure_pressure(job)
         if not job.dispatch.waits and not self._can_start_now(pressure):
@@ -115,26 +116,26 @@
         self.start_queued_jobs()
 
     def finish_queued_jobs(self, outcome: work.Dispatched) -> None:
-        """Finishes all jobs that wait with one outcome."""
+        """Finishes all queued jobs with the given outcome."""
         for job in list(self._queue):
             assert isinstance(job, job_module.Job)
             self._queue.discard(job)
             job.finish(outcome)
 
     def release(self, job: job_module.Job) -> None:
-        """Takes in that a job has left the upstream."""
+        """Frees the slot of a job that no longer runs at the upstream."""
         self.running.discard(job)
         self.start_queued_jobs()
 
     def set_former_keeper_requests(
         self, former_keeper: ids.HostRef, count: int, expires_at: float
     ) -> None:
-        """Sets how many requests of a former keeper still run.
+        """Sets the number of requests of a former keeper that still run.
 
-        Guards against more requests at the upstream than it has slots when
-        the role of keeper moves: the former keeper's requests still run
-        there. They count until it says that they ended, or until
-        `expires_at` in case it can't say so any more.
+        Prevents more requests at the upstream than it has slots when the
+        role of keeper moves: requests of the former keeper still run there.
+        They occupy slots until the former keeper reports that they ended,
+        or until `expires_at` in case it can no longer report.
         """
         if count <= 0:
             self._former_keeper_requests.pop(former_keeper, None)
@@ -143,9 +144,10 @@
         self.start_queued_jobs()
 
     def start_queued_jobs(self) -> None:
-        """Starts jobs while slots are free.
+        """Starts queued jobs while slots are free.
 
-        To be called from time to time: slots also come free by time alone.
+        It has to be called regularly: slots also become free as time passes,
+        without any other event.
         """
         if trio.current_time() < self._paused_until:
             return
@@ -160,12 +162,12 @@
             self._start(job)
 
     def _would_miss_deadline(self, job: job_module.Job) -> bool:
-        """Tells whether a job that is next would end after its deadline.
+        """Returns whether the next job would end after its deadline.
 
-        Guards against slots spent on answers that nobody waits for any
-        more: under overload each request starts just before its deadline.
-        The last one that waits is tried whatever it is likely to take, so
-        that an upstream that has become faster is seen to be.
+        Prevents slots from being used for answers that no caller waits for
+        any more: under overload each request would start just before its
+        deadline. The last queued job runs regardless of its expected run
+        time, so that an upstream that has become faster is detected.
         """
         left_s = job.deadline - trio.current_time()
         if not len(self._queue):
@@ -173,10 +175,10 @@
         return left_s <= _RUN_TIME_MARGIN * self.costs.estimate(job.call_class)
 
     def _refuse_late_job(self, job: job_module.Job) -> None:
-        """Finishes a job that would end too late.
+        """Finishes a job that would end after its deadline, with a retry time.
 
-        Guards against a wave of returns: a caller that is told no time to
-        wait comes back at once, and finds the same queue.
+        Prevents a burst of retries: a caller that gets no retry delay
+        retries at once and meets the same queue.
         """
         retry_s = admission.spread_retry_s(
             self._measure_pressure(job), self._randomness
@@ -186,11 +188,11 @@
         )
 
     def pause(self) -> None:
-        """Starts nothing for a moment, because the upstream has shed work.
+        """Starts no jobs for a short time after the upstream refused one.
 
-        Guards against a whole queue that is shed in one go: the upstream is
-        full in spite of what this keeper counts, for instance while another
-        host still believes that it is the keeper.
+        Otherwise the upstream could refuse the whole queue at once: it has
+        no free capacity although this keeper counts free slots, for instance
+        while another host still acts as the keeper.
         """
         self._paused_until = trio.current_time() + _SHED_PAUSE_S
 
@@ -218,10 +220,13 @@
     def _evict_less_urgent(
         self, job: job_module.Job, pressure: admission.Pressure
     ) -> bool:
-        """Gives the place of less urgent work to a job, if there is any.
+        """Removes a less urgent job from a full queue to admit another job.
 
-        A class with a share keeps that part of the places, so that it
-        always has something waiting to which its slots can go.
+        A call class with a share retains that share of the queue, so that
+        it always has queued jobs that can use its share of the slots.
+
+        Returns:
+            False if no job could be removed.
         """
         for last in self._queue.list_last():
             assert isinstance(last, job_module.Job)
--- a/persimmonhinge/upstreams/slow_start.py
+++ b/persimmonhinge/upstreams/slow_start.py
@@ -1,4 +1,4 @@
-"""How many slots a cold upstream gets."""
+"""Gradual increase of the usable slots of an upstream that has started."""
 
 from __future__ import annotations
 
@@ -6,22 +6,23 @@
 
 
 class SlowStart:
-    """Gives a cold upstream its slots little by little.
+    """Increases the usable slots of an upstream while it is warming up.
 
     Attributes:
-        begun_at: When the upstream was new; None if it is warm.
+        started_at: Time at which the upstream started; None if it is not
+            warming up.
     """
 
     def __init__(self, started_at: float | None = None) -> None:
         self.started_at = started_at
 
     def count_slots(self, slots: int, duration_s: float, now: float) -> int:
-        """Returns the slots that may be used now, at least 1.
+        """Returns the number of slots that may be used now, at least 1.
 
         Args:
-            slots: Slots of the contract.
-            length_s: Time until it gets all of them, seconds.
-            now: The time.
+            slots: Number of slots in the contract.
+            duration_s: Time from the start until all slots are usable, seconds.
+            now: Current time.
         """
         if self.started_at is None or duration_s <= 0:
             return slots
--- a/persimmonhinge/upstreams/transfer.py
+++ b/persimmonhinge/upstreams/transfer.py
@@ -1,4 +1,4 @@
-"""A whole request and its whole answer, in blocks where they are large."""
+"""One request with its whole answer, block-wise if either is large."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 class Transfer:
     """Runs one request at an upstream.
 
-    A body that fits no datagram goes up in blocks, tied together by a
-    Request-Tag (RFC 9175), because several uploads to one resource may be
-    under way from the same socket. A large answer comes down in blocks of
-    one ETag.
+    A body that does not fit into one datagram is sent in blocks. A
+    Request-Tag (RFC 9175) identifies the blocks of one body, because several
+    uploads to one resource may be in progress on the same socket. A large
+    answer is received in blocks with the same ETag.
 
     Attributes:
-        may_run: True once the body was sent to its end; an upstream runs a
-            body in blocks only when it is whole.
+        may_run: True once the last block of the body is about to be sent; an
+            upstream runs a request only after it has the whole body.
     """
 
     def __init__(
@@ -50,12 +50,12 @@
         """Makes a transfer.
 
         Args:
-            endpoint: Where it takes place.
-            request: Code, options and whole body.
-            deadline: Time of the caller's deadline.
-            silence_s: Limit without a sign of the upstream, seconds.
-            timers: Timers of retransmission.
-            randomness: Draws the waits.
+            endpoint: Endpoint on which to send the request.
+            request: Request with its code, options and whole body.
+            deadline: Deadline of the caller.
+            silence_s: Limit without any reply of the upstream, seconds.
+            timers: Retransmission timers.
+            randomness: Randomizes the initial retransmission timeouts.
         """
         self._endpoint = endpoint
         self._request = request
@@ -69,13 +69,13 @@
         self._in_blocks = False
 
     def abandon(self) -> None:
-        """Sends nothing more; the present exchange goes on to its end."""
+        """Sends no more requests; the current exchange runs to its end."""
         self._abandoned = True
         if self._exchange is not None:
             self._exchange.abandon()
 
     async def run(self) -> transfer_result.TransferResult:
-        """Runs the transfer to its end."""
+        """Sends the request and returns the result of the transfer."""
         result = await self._upload()
         if result.status is not exchange.ExchangeStatus.ANSWERED:
             return self._make_unanswered_result(result.status)
@@ -88,7 +88,7 @@
                 "shed by the upstream",
             )
         if self._in_blocks and answer.code == _INCOMPLETE:
-            # About blocks of this host, of which the caller knows nothing.
+            # The caller did not send these blocks and can not use the answer.
             return transfer_result.TransferResult(
                 transfer_result.TransferStatus.NOT_RUN,
                 reason="upstream lost a block",
@@ -103,10 +103,13 @@
     async def fetch_remaining_blocks(
         self, first: codec.Message
     ) -> codec.Message | None:
-        """Returns a whole answer of which the first block is there.
+        """Fetches the remaining blocks of an answer.
+
+        Args:
+            first: Answer with the first block.
 
         Returns:
-            None if it can't be had.
+            The whole answer; None if a block could not be fetched.
         """
         result = await self._download(first)
         return result.answer
@@ -163,7 +166,7 @@
             if problem != "changed" or self._abandoned:
                 break
             # The resource changed between two blocks. Only a request that
-            # is safe to repeat is begun anew.
+            # is safe to repeat is sent again.
             if self._request.code != aiocoap.GET:
                 break
             again = await self._exchange_once(
@@ -252,10 +255,10 @@
 def _is_next_block(
     first: codec.Message, answer: codec.Message, offset: int
 ) -> bool:
-    """Tells whether an answer is the block at an offset of the first one's.
+    """Returns whether an answer has the block at an offset of the first one.
 
-    Guards against an answer put together from two states of a resource, and
-    against a block that brings nothing and is asked for again without end.
+    Prevents an answer from being assembled from two states of a resource, and
+    an endless loop of requests if a block adds no octets.
     """
     block2 = answer.opt.block2
     if block2 is None or block2.start != offset:
--- a/persimmonhinge/upstreams/transfer_result.py
+++ b/persimmonhinge/upstreams/transfer_result.py
@@ -1,4 +1,4 @@
-"""How a transfer ended."""
+"""The result of a transfer."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 class TransferStatus(enum.Enum):
     """How a transfer ended.
 
-    ANSWERED: The whole answer is there.
+    ANSWERED: The whole answer was received.
     SHED: The upstream refused the request; it did not run.
-    REFUSED: Nothing listens at the address, or it reset the request.
-    NOT_RUN: The request did not reach the upstream as a whole.
-    UNKNOWN: It may have run.
+    REFUSED: No process listens at the address, or it reset the request.
+    NOT_RUN: The upstream did not receive the whole request.
+    UNKNOWN: The request may have run.
     """
 
     ANSWERED = "answered"
@@ -28,12 +28,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TransferResult:
-    """The end of a transfer.
+    """The result of a transfer.
 
     Attributes:
-        end: How it ended.
+        status: How the transfer ended.
         answer: The whole answer for ANSWERED, the refusal for SHED.
-        reason: Why it did not end with an answer, for people.
+        reason: Why there is no answer, as text for operators.
     """
 
     status: TransferStatus
@@ -42,13 +42,13 @@
 
     @property
     def received(self) -> codec.Message:
-        """What the upstream sent, for an end of ANSWERED or SHED."""
+        """Answer of the upstream; the status must be ANSWERED or SHED."""
         assert self.answer is not None
         return self.answer
 
     @property
     def retry_after_s(self) -> int:
-        """Max-Age of the refusal, seconds; 0 without one."""
+        """Max-Age of the refusal, seconds; 0 for any other status."""
         if self.status is not TransferStatus.SHED or self.answer is None:
             return 0
         return shedding.read_retry_s(self.answer)
--- a/persimmonhinge/upstreams/udp.py
+++ b/persimmonhinge/upstreams/udp.py
@@ -1,4 +1,4 @@
-"""The UDP socket towards one upstream."""
+"""UDP socket to one upstream."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from persimmonhinge.metrics import counts as counts_module
 from persimmonhinge.upstreams import upstream_socket
 
-# From linux/in.h and linux/in6.h; the socket module lacks them.
+# Constants of linux/in.h and linux/in6.h that the socket module lacks.
 _IP_RECVERR = 11
 _IPV6_RECVERR = 25
 _ANCILLARY_OCTETS = 512
@@ -21,11 +21,11 @@
 
 
 class UdpSocket:
-    """A UDP socket that takes datagrams of one address only.
+    """A UDP socket that exchanges datagrams with one address only.
 
-    It is not connected: the kernel would drop datagrams of other sources
-    uncounted. ICMP errors come by the error queue instead, together with
-    the datagram of ours that they are about.
+    It is not connected: on a connected socket the kernel drops datagrams of
+    other sources without counting them. ICMP errors are read from the error
+    queue instead, together with the sent datagram to which they refer.
     """
 
     def __init__(
@@ -39,19 +39,19 @@
         self._socket = _open(local_address)
 
     def send(self, data: bytes) -> None:
-        """Sends one datagram, or drops it when the buffer is full."""
+        """Sends one datagram, or drops it if the send buffer is full."""
         try:
             self._socket.sendto(data, self._remote)
         except ConnectionRefusedError:
-            # The error is about an earlier datagram and kept this one from
-            # leaving; reporting it has cleared it. The error queue still
-            # holds it for `receive`.
+            # The error refers to an earlier datagram and prevented the
+            # sending of this one. The call has cleared the error, and
+            # `receive` will read it from the error queue.
             self._send_again(data)
         except OSError:
             self._counts.add("upstream_datagrams_unsent_total")
 
     async def receive(self) -> list[upstream_socket.SocketEvent]:
-        """Waits for datagrams and returns those that are there.
+        """Waits for socket events and returns those that are available.
 
         Raises:
             trio.ClosedResourceError: The socket was closed.
@@ -102,8 +102,9 @@
 
 
 def _reports_closed_port(ancillary: list[tuple[int, int, bytes]]) -> bool:
-    # Of struct sock_extended_err, the first field is the error's number.
-    # Others, such as an unreachable network, may pass: they are no refusal.
+    # The first field of struct sock_extended_err is the error number. Other
+    # errors, such as an unreachable network, may be temporary and do not mean
+    # that the upstream refused the datagram.
     for _, _, data in ancillary:
         if int.from_bytes(data[:4], sys.byteorder) == errno.ECONNREFUSED:
             return True
--- a/persimmonhinge/upstreams/unconfirmed_events.py
+++ b/persimmonhinge/upstreams/unconfirmed_events.py
@@ -9,10 +9,10 @@
 
 
 class UnconfirmedEvents:
-    """Holds what a home was given until it says that the caller was sent it.
+    """Stores events until the home confirms that the caller was sent them.
 
-    The newest event is held even if it is confirmed: another home that goes
-    on with the feed answers registrations with it.
+    The newest event is stored even if it is confirmed: another home that
+    resumes the feed answers registrations with it.
     """
 
     __slots__ = ("_budget", "_events")
@@ -27,7 +27,7 @@
         return tuple(self._events)
 
     def add(self, event: feeds.FeedEvent) -> None:
-        """Holds one more event, and the oldest no more if there is no room."""
+        """Stores an event; removes the oldest ones if a limit is reached."""
         octets = len(event.answer)
         while len(self._events) >= _MAX_EVENTS:
             self._drop_oldest()
@@ -39,12 +39,12 @@
         self._events.append(event)
 
     def confirm(self, sequence: int) -> None:
-        """Forgets events up to a number, except the newest."""
+        """Removes events up to a sequence number, except the newest."""
         while len(self._events) > 1 and self._events[0].sequence <= sequence:
             self._remove_oldest()
 
     def clear(self) -> None:
-        """Forgets all events."""
+        """Removes all events."""
         while self._events:
             self._remove_oldest()
 
--- a/persimmonhinge/upstreams/upstream_socket.py
+++ b/persimmonhinge/upstreams/upstream_socket.py
@@ -1,4 +1,4 @@
-"""What a socket towards an upstream reports."""
+"""Interface of a datagram socket to one upstream."""
 
 from __future__ import annotations
 
@@ -11,11 +11,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SocketEvent:
-    """A datagram of the upstream, or the news that it refused one of ours.
+    """A received datagram, or an ICMP error about a sent one.
 
     Attributes:
-        data: The datagram that came, or the beginning of ours.
-        refused: True if ICMP reports that `data` found no open port.
+        data: The received datagram; for an ICMP error, the beginning of the
+            sent datagram that the error quotes.
+        refused: True if ICMP reports that the port to which `data` was sent
+            is closed.
     """
 
     data: bytes
@@ -23,13 +25,13 @@
 
 
 class UpstreamSocket(Protocol):
-    """A datagram socket that talks to one address only."""
+    """A datagram socket that exchanges datagrams with one address only."""
 
     def send(self, data: bytes) -> None:
-        """Sends one datagram, or drops it when the buffer is full."""
+        """Sends one datagram, or drops it if the send buffer is full."""
 
     async def receive(self) -> list[SocketEvent]:
-        """Waits for datagrams and returns those that are there.
+        """Waits for socket events and returns those that are available.
 
         Raises:
             trio.ClosedResourceError: The socket was closed.
