--- a/persimmonhinge/upstreams/adoptions.py
+++ b/persimmonhinge/upstreams/adoptions.py
@@ -52,19 +52,19 @@
         self._remove_old()
 
     def has_other_home(
-        self, key: FeedKey, caller: ids.HostId, opened: feeds.FeedOpen
+        self, key: FeedKey, home: ids.HostId, open_message: feeds.FeedOpen
     ) -> bool:
-        """Returns whether a feed was adopted by a home other than `caller`.
+        """Returns whether a feed was adopted by a home other than `home`.
 
-        If the feed was moved to the caller after that adoption, the caller
-        has confirmed no event yet, or one with a higher sequence number.
+        If the feed was moved to `home` after that adoption, `home` has
+        confirmed no event yet, or one with a higher sequence number.
         """
         adoption = self._by_key.get(key)
-        if adoption is None or adoption.home == caller:
+        if adoption is None or adoption.home == home:
             return False
         if trio.current_time() > adoption.adopted_at + _RETENTION_S:
             return False
-        return 0 < opened.confirmed <= adoption.sequence
+        return 0 < open_message.confirmed <= adoption.sequence
 
     def _remove_old(self) -> None:
         oldest = trio.current_time() - _RETENTION_S
--- a/persimmonhinge/upstreams/endpoints.py
+++ b/persimmonhinge/upstreams/endpoints.py
@@ -44,7 +44,7 @@
         self._current = self._open()
         return self._current
 
-    def report_silence(
+    def replace_if_silent(
         self, endpoint: endpoint_module.Endpoint, since: float
     ) -> None:
         """Replaces the socket if it has received nothing since a request.
--- a/persimmonhinge/upstreams/event_stream.py
+++ b/persimmonhinge/upstreams/event_stream.py
@@ -30,19 +30,19 @@
     )
 
     def __init__(
-        self, opened: feeds.FeedOpen, budget: event_budget.EventBudget
+        self, open_message: feeds.FeedOpen, budget: event_budget.EventBudget
     ) -> None:
         """Starts above all sequence numbers that may be in use.
 
         Args:
-            opened: Message with which a home opened the feed.
+            open_message: Message with which a home opened the feed.
             budget: Limits the octets of stored events.
         """
-        self.sequence = max(opened.last_sequence, opened.floor)
+        self.sequence = max(open_message.last_sequence, open_message.floor)
         self._first = self.sequence
         # The highest sequence number that is known to be sent to the caller.
-        self._sent = opened.last_sequence
-        self._recent = opened.recent
+        self._sent = open_message.last_sequence
+        self._recent = open_message.recent
         # 0 until a home has confirmed an event of this stream.
         self._confirmed = 0
         self._events = unconfirmed_events.UnconfirmedEvents(budget)
@@ -72,24 +72,24 @@
         # A host of an earlier release sends one number for both.
         self._confirm(ack.confirmed or ack.sequence)
 
-    def resume(self, opened: feeds.FeedOpen) -> list[feeds.FeedEvent]:
+    def resume(self, open_message: feeds.FeedOpen) -> list[feeds.FeedEvent]:
         """Continues the stream for a home that opens the feed again.
 
         Returns:
             Unconfirmed events to send first, marked as sent before.
         """
-        self._sent = max(self._sent, opened.last_sequence)
-        self._recent = opened.recent
-        self._confirm(opened.confirmed)
+        self._sent = max(self._sent, open_message.last_sequence)
+        self._recent = open_message.recent
+        self._confirm(open_message.confirmed)
         return [
             msgspec.structs.replace(event, resumed=True)
             for event in self._events.list_all()
         ]
 
-    def make_feed_open(self, opened: feeds.FeedOpen) -> feeds.FeedOpen:
+    def make_feed_open(self, open_message: feeds.FeedOpen) -> feeds.FeedOpen:
         """Returns the message with which another home is to open a feed."""
         return msgspec.structs.replace(
-            opened,
+            open_message,
             last_sequence=self._sent,
             recent=self._recent,
             confirmed=self._confirmed,
--- a/persimmonhinge/upstreams/feed.py
+++ b/persimmonhinge/upstreams/feed.py
@@ -28,8 +28,8 @@
     """Forwards the notifications of an observation to a home.
 
     Attributes:
-        opened: Message with which the home opened the feed; it says which
-            events the caller was sent.
+        open_message: Message with which the home opened the feed; it says
+            which events the caller was sent.
         observation: Observation at the upstream.
         upstream: The upstream.
         home: Membership entry of the home when it opened the feed; None if
@@ -40,16 +40,18 @@
     def __init__(
         self,
         context: context_module.KeeperContext,
-        opened: feeds.FeedOpen,
+        open_message: feeds.FeedOpen,
         observation: observation_module.Observation,
         upstream: kept_upstream.KeptUpstream,
         home: member.Member | None,
     ) -> None:
-        self.opened = opened
+        self.open_message = open_message
         self.observation = observation
         self.upstream = upstream
         self.home = home
-        self.events = event_stream.EventStream(opened, context.event_budget)
+        self.events = event_stream.EventStream(
+            open_message, context.event_budget
+        )
         self._context = context
         self._pending_end: feeds.FeedEndCause | None = None
         self._sent_end: feeds.FeedEndCause | None = None
@@ -67,7 +69,7 @@
         self._pending_end = former._sent_end or former._pending_end
         self._final_event_sent = former._final_event_sent
         self.events = former.events
-        self._replays = self.events.resume(self.opened)
+        self._replays = self.events.resume(self.open_message)
 
     def is_open(self) -> bool:
         """Returns whether the feed has or may get events for a home."""
@@ -133,7 +135,7 @@
 
     def make_feed_open(self) -> feeds.FeedOpen:
         """Returns the message with which another home is to open the feed."""
-        return self.events.make_feed_open(self.opened)
+        return self.events.make_feed_open(self.open_message)
 
     async def receive_acknowledgements(self, caller: network.Caller) -> None:
         """Records acknowledgements of the home until the call is closed."""
@@ -197,7 +199,9 @@
         silence_s = self.upstream.target.limits.upstream_timeout_s
         transfer = transfer_module.Transfer(
             self.observation.endpoint,
-            requests.decode_request(self.opened.request, self.opened.service),
+            requests.decode_request(
+                self.open_message.request, self.open_message.service
+            ),
             trio.current_time() + silence_s,
             silence_s,
             self._context.timers,
@@ -260,7 +264,7 @@
         self._context.counts.add("feed_checks_total")
         if await self.observation.check(limit_s):
             return True
-        self.upstream.endpoints.report_silence(
+        self.upstream.endpoints.replace_if_silent(
             self.observation.endpoint, started_at
         )
         return False
@@ -269,8 +273,9 @@
         """Requests the home to move a feed that failed its check.
 
         A feed may stay silent permanently although new requests are answered,
-        because a device on the path or the upstream has lost its entry for
-        the feed. Only a check with the token of the feed detects this.
+        because something between the keeper and the upstream has lost its
+        entry for the feed. Only a check with the token of the feed detects
+        this.
         """
         # Delays the next check by the whole silence limit.
         self.observation.last_received_at = trio.current_time()
--- a/persimmonhinge/upstreams/feed_server.py
+++ b/persimmonhinge/upstreams/feed_server.py
@@ -55,21 +55,21 @@
         self._orphans = orphans
 
     async def handle(
-        self, caller: network.Caller, opened: feeds.FeedOpen
+        self, caller: network.Caller, open_message: feeds.FeedOpen
     ) -> None:
         """Serves one feed from its opening to its end."""
         try:
             # Detects a malformed request before any task decodes it.
-            requests.decode_request(opened.request, opened.service)
-            if self._orphans.has_other_home(caller.host, opened):
+            requests.decode_request(open_message.request, open_message.service)
+            if self._orphans.has_other_home(caller.host, open_message):
                 await caller.push(feeds.FeedTaken())
                 self._context.counts.add("keeper_feeds_taken_total")
                 return
-            found = self._find_upstream(opened)
+            found = self._find_upstream(open_message)
             if isinstance(found, feeds.FeedEnd):
                 await self._send_end(caller, found)
                 return
-            await self._serve_feed(caller, opened, found)
+            await self._serve_feed(caller, open_message, found)
         except errors.PeerLinkLostError:
             return
         except errors.MalformedDatagramError as error:
@@ -77,15 +77,15 @@
             await self._send_end(caller, feeds.FeedEnd(_Cause.REFUSED))
 
     def _find_upstream(
-        self, opened: feeds.FeedOpen
+        self, open_message: feeds.FeedOpen
     ) -> kept_upstream.KeptUpstream | feeds.FeedEnd:
-        held = self._orphans.find(opened)
+        held = self._orphans.find(open_message)
         if held is not None:
             # This also applies if the role of keeper has moved, because no
             # other keeper has the events of the feed.
             return held.upstream
         target = self._roles.find_target(
-            opened.service, opened.revision, opened.upstream
+            open_message.service, open_message.revision, open_message.upstream
         )
         if target is None or not self._roles.keeps(target):
             # The hosts have different states for a moment; the home
@@ -115,10 +115,10 @@
     async def _serve_feed(
         self,
         caller: network.Caller,
-        opened: feeds.FeedOpen,
+        open_message: feeds.FeedOpen,
         upstream: kept_upstream.KeptUpstream,
     ) -> None:
-        feed = await self._make_feed(caller, opened, upstream)
+        feed = await self._make_feed(caller, open_message, upstream)
         upstream.open_feeds.add(feed)
         try:
             async with trio.open_nursery() as nursery:
@@ -140,31 +140,31 @@
     async def _make_feed(
         self,
         caller: network.Caller,
-        opened: feeds.FeedOpen,
+        open_message: feeds.FeedOpen,
         upstream: kept_upstream.KeptUpstream,
     ) -> feed_module.Feed:
         home = self._view.get(caller.host)
-        former = await self._orphans.claim(caller.host, opened)
+        former = await self._orphans.claim(caller.host, open_message)
         if former is not None:
             feed = feed_module.Feed(
-                self._context, opened, former.observation, upstream, home
+                self._context, open_message, former.observation, upstream, home
             )
             feed.resume(former)
             self._request_missed_move(feed)
             return feed
         observation = observation_module.Observation(
-            self._context, upstream.endpoints.get(), opened
+            self._context, upstream.endpoints.get(), open_message
         )
         upstream.feed_count += 1
         return feed_module.Feed(
-            self._context, opened, observation, upstream, home
+            self._context, open_message, observation, upstream, home
         )
 
     def _request_missed_move(self, feed: feed_module.Feed) -> None:
         """Requests a feed to be moved if its home missed the request."""
-        opened = feed.opened
+        open_message = feed.open_message
         target = self._roles.find_target(
-            opened.service, ids.Revision(0), opened.upstream
+            open_message.service, ids.Revision(0), open_message.upstream
         )
         if target is None or not feed.upstream.is_accepting:
             feed.request_move(_Cause.DRAINING)
@@ -179,7 +179,7 @@
         silence_s = upstream.target.limits.upstream_timeout_s
         end = await feed.observation.open(silence_s)
         if end is _Status.SILENT:
-            upstream.endpoints.report_silence(
+            upstream.endpoints.replace_if_silent(
                 feed.observation.endpoint, started_at
             )
         if end is not _Status.ANSWERED:
--- a/persimmonhinge/upstreams/kept_upstream.py
+++ b/persimmonhinge/upstreams/kept_upstream.py
@@ -170,7 +170,7 @@
         try:
             result = await transfer.run()
             self._record_result(result, job, started_at)
-            self._check_socket(result, endpoint, started_at)
+            self._replace_silent_socket(result, endpoint, started_at)
             job.finish(_make_dispatched(result))
         except Exception:
             # An unexpected answer must not stop the host.
@@ -220,14 +220,14 @@
         for feed in self.open_feeds:
             feed.request_check(trio.current_time() - silent_s)
 
-    def _check_socket(
+    def _replace_silent_socket(
         self,
         result: transfer_result.TransferResult,
         endpoint: endpoint_module.Endpoint,
         started_at: float,
     ) -> None:
         if result.status is _Status.UNKNOWN:
-            self.endpoints.report_silence(endpoint, started_at)
+            self.endpoints.replace_if_silent(endpoint, started_at)
 
 
 def _make_dispatched(result: transfer_result.TransferResult) -> work.Dispatched:
--- a/persimmonhinge/upstreams/observation.py
+++ b/persimmonhinge/upstreams/observation.py
@@ -51,14 +51,14 @@
         self,
         context: context_module.KeeperContext,
         endpoint: endpoint_module.Endpoint,
-        opened: feeds.FeedOpen,
+        open_message: feeds.FeedOpen,
     ) -> None:
         """Makes an observation that is not registered yet.
 
         Args:
             context: Objects that all parts of the keeper share.
             endpoint: Endpoint on which to observe the resource.
-            opened: Message with which the home opened the feed.
+            open_message: Message with which the home opened the feed.
         """
         self.state = ObservationState.OPENING
         self.last_received_at = trio.current_time()
@@ -67,7 +67,7 @@
         self._context = context
         # The request in it is decoded each time it is sent, because a decoded
         # request takes ten times the memory.
-        self._opened = opened
+        self._open_message = open_message
         self._newest_state: tuple[int, bytes] | None = None
         self._token = endpoint.make_token()
         self._freshness = freshness.Freshness()
@@ -193,7 +193,7 @@
         timers: transmission.Transmission,
     ) -> exchange.ExchangeResult:
         request = requests.decode_request(
-            self._opened.request, self._opened.service
+            self._open_message.request, self._open_message.service
         )
         request.opt.observe = observe
         self._exchange = exchange.Exchange(
--- a/persimmonhinge/upstreams/orphaned_feeds.py
+++ b/persimmonhinge/upstreams/orphaned_feeds.py
@@ -60,50 +60,53 @@
     def __len__(self) -> int:
         return len(self._feeds)
 
-    def find(self, opened: feeds.FeedOpen) -> feed_module.Feed | None:
-        """Returns the held feed that a home resumes; None without one."""
-        feed = self._feeds.get(_make_key(opened))
-        if feed is None or feed.opened.request != opened.request:
+    def find(self, open_message: feeds.FeedOpen) -> feed_module.Feed | None:
+        """Returns the held feed that a home resumes; None if there is none."""
+        feed = self._feeds.get(_make_key(open_message))
+        if feed is None or feed.open_message.request != open_message.request:
             return None
         # A host of an earlier release sends no floor and always resumes.
-        if not opened.resumes and opened.floor:
+        if not open_message.resumes and open_message.floor:
             return None
         return feed
 
     def has_other_home(
-        self, caller: ids.HostId, opened: feeds.FeedOpen
+        self, home: ids.HostId, open_message: feeds.FeedOpen
     ) -> bool:
-        """Returns whether a feed was adopted by a home other than `caller`."""
-        if self.find(opened) is not None:
+        """Returns whether a feed was adopted by a home other than `home`."""
+        if self.find(open_message) is not None:
             return False
-        key = _make_key(opened)
-        if not self._adoptions.has_other_home(key, caller, opened):
+        key = _make_key(open_message)
+        if not self._adoptions.has_other_home(key, home, open_message):
             return False
         if self._log_budget.take():
             logger.info(
                 "Feed %s not opened for home %s, which confirmed events up to"
                 " %d: another home has adopted the feed.",
-                _format_feed(opened),
-                caller,
-                opened.confirmed,
+                _format_feed(open_message),
+                home,
+                open_message.confirmed,
             )
         return True
 
     async def claim(
-        self, caller: ids.HostId, opened: feeds.FeedOpen
+        self, home: ids.HostId, open_message: feeds.FeedOpen
     ) -> feed_module.Feed | None:
         """Removes and returns the held feed that a home resumes."""
-        key = _make_key(opened)
-        feed = self.find(opened)
+        key = _make_key(open_message)
+        feed = self.find(open_message)
         if feed is not None:
             del self._feeds[key]
             self._context.counts.add("feeds_resumed_total")
             await feed.stop_collecting()
-            self._adoptions.record_adoption(key, caller, feed.events.sequence)
-            self._log_resumed(caller, opened, feed)
+            self._adoptions.record_adoption(key, home, feed.events.sequence)
+            self._log_resumed(home, open_message, feed)
             return feed
         held = self._feeds.get(key)
-        if held is not None and held.opened.request != opened.request:
+        if (
+            held is not None
+            and held.open_message.request != open_message.request
+        ):
             # The caller uses the token for another resource now.
             del self._feeds[key]
             self._context.start_soon(held.cancel)
@@ -111,8 +114,8 @@
 
     def _log_resumed(
         self,
-        caller: ids.HostId,
-        opened: feeds.FeedOpen,
+        home: ids.HostId,
+        open_message: feeds.FeedOpen,
         feed: feed_module.Feed,
     ) -> None:
         if not self._log_budget.take():
@@ -120,9 +123,9 @@
         logger.info(
             "Feed %s resumed by home %s after event %d, newest event %d,"
             " former home %s.",
-            _format_feed(opened),
-            caller,
-            opened.confirmed,
+            _format_feed(open_message),
+            home,
+            open_message.confirmed,
             feed.events.sequence,
             feed.home.host if feed.home is not None else "unknown",
         )
@@ -130,7 +133,7 @@
     async def handle_feed_left(
         self, caller: network_module.Caller, left: feeds.FeedLeft
     ) -> None:
-        """Cancels a feed that its home has opened at another upstream."""
+        """Cancels a feed that its home has opened again elsewhere."""
         feed = self._feeds.get(_make_key(left.feed))
         if feed is None or feed.home is None or feed.home.host != caller.host:
             return
@@ -139,10 +142,10 @@
 
     def hold(self, feed: feed_module.Feed) -> None:
         """Holds a feed and starts to look for a new home."""
-        former = self._feeds.pop(_make_key(feed.opened), None)
+        former = self._feeds.pop(_make_key(feed.open_message), None)
         if former is not None:
             self._context.start_soon(former.cancel)
-        self._feeds[_make_key(feed.opened)] = feed
+        self._feeds[_make_key(feed.open_message)] = feed
         feed.start_collecting()
         self._context.start_soon(self._find_home, feed)
 
@@ -158,7 +161,7 @@
                     break
                 await trio.sleep(_OFFER_INTERVAL_S)
         if self._holds(feed):
-            del self._feeds[_make_key(feed.opened)]
+            del self._feeds[_make_key(feed.open_message)]
             await feed.cancel()
 
     async def _wait_until_home_ended(self, feed: feed_module.Feed) -> None:
@@ -189,9 +192,9 @@
     def _list_candidate_homes(
         self, feed: feed_module.Feed
     ) -> list[member_module.Member]:
-        opened = feed.opened
-        caller = (opened.caller_host, opened.caller_port)
-        ranked = self._placement.rank_homes(opened.service, caller)
+        open_message = feed.open_message
+        caller = (open_message.caller_host, open_message.caller_port)
+        ranked = self._placement.rank_homes(open_message.service, caller)
         return [m for m in ranked if not _is_home(m, feed.home)]
 
     async def _offer_to(self, host: ids.HostId, feed: feed_module.Feed) -> bool:
@@ -205,28 +208,28 @@
         if accepted:
             self._context.counts.add("feeds_rescued_total")
             self._adoptions.record_adoption(
-                _make_key(feed.opened), host, feed.events.sequence
+                _make_key(feed.open_message), host, feed.events.sequence
             )
         return accepted
 
     def _holds(self, feed: feed_module.Feed) -> bool:
-        return self._feeds.get(_make_key(feed.opened)) is feed
+        return self._feeds.get(_make_key(feed.open_message)) is feed
 
 
-def _make_key(opened: feeds.FeedOpen) -> adoptions.FeedKey:
+def _make_key(open_message: feeds.FeedOpen) -> adoptions.FeedKey:
     return (
-        opened.service,
-        opened.upstream,
-        opened.caller_host,
-        opened.caller_port,
-        opened.token,
+        open_message.service,
+        open_message.upstream,
+        open_message.caller_host,
+        open_message.caller_port,
+        open_message.token,
     )
 
 
-def _format_feed(opened: feeds.FeedOpen) -> str:
+def _format_feed(open_message: feeds.FeedOpen) -> str:
     """Returns the name of a feed in the log: service, caller and token."""
-    caller = f"{opened.caller_host}:{opened.caller_port}"
-    return f"{opened.service}/{caller}/{opened.token.hex()}"
+    caller = f"{open_message.caller_host}:{open_message.caller_port}"
+    return f"{open_message.service}/{caller}/{open_message.token.hex()}"
 
 
 def _is_home(
--- a/tests/test_upstreams/fake_upstream.py
+++ b/tests/test_upstreams/fake_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream in memory that does just what a test says."""
+"""A fake upstream in memory that a test controls."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FakeSocket:
-    """A socket of the keeper; what it sends goes to the upstream at once."""
+    """A socket of the keeper that passes datagrams to the upstream at once."""
 
     def __init__(
         self, upstream: FakeUpstream, address: contract.Address
@@ -28,7 +28,7 @@
         ](math.inf)
 
     def send(self, data: bytes) -> None:
-        """Gives a datagram to the upstream."""
+        """Passes a datagram to the upstream."""
         self._upstream.handle_message(self, codec.decode(data))
 
     async def receive(self) -> list[upstream_socket.SocketEvent]:
@@ -43,27 +43,27 @@
         self._send.close()
 
     def deliver(self, message: codec.Message) -> None:
-        """Gives a message of the upstream to the keeper."""
+        """Delivers a message of the upstream to the keeper."""
         self._send.send_nowait(
             upstream_socket.SocketEvent(codec.encode(message))
         )
 
     def deliver_data(self, data: bytes, *, refused: bool = False) -> None:
-        """Gives any octets to the keeper."""
+        """Delivers any octets to the keeper."""
         self._send.send_nowait(upstream_socket.SocketEvent(data, refused))
 
     def refuse(self, message: codec.Message) -> None:
-        """Tells the keeper that ICMP refused a datagram of its own."""
+        """Delivers an ICMP error about a datagram of the keeper."""
         data = codec.encode(message)
         self._send.send_nowait(upstream_socket.SocketEvent(data, refused=True))
 
 
 class FakeUpstream:
-    """Records what the keeper sends and answers by a function.
+    """Records messages of the keeper and answers them with a function.
 
     Attributes:
-        received: All messages, copies included.
-        sockets: All sockets that the keeper opened.
+        received: All received messages, including retransmissions.
+        sockets: All sockets that the keeper has opened.
         answer: Called with each request.
     """
 
@@ -82,13 +82,13 @@
     def handle_message(
         self, socket: FakeSocket, message: codec.Message
     ) -> None:
-        """Takes in a message of the keeper."""
+        """Records a message of the keeper and answers a request."""
         self.received.append(message)
         if message.code.is_request():
             self.answer(socket, message)
 
     def requests(self) -> list[codec.Message]:
-        """Returns the requests, each once."""
+        """Returns the requests without retransmissions."""
         by_id = {m.mid: m for m in self.received if m.code.is_request()}
         return list(by_id.values())
 
@@ -104,7 +104,7 @@
         message_type: aiocoap.Type = aiocoap.NON,
         **options: object,
     ) -> None:
-        """Sends a notification on the token of a registration."""
+        """Sends a notification with the token of a registration."""
         message = codec.Message(code=aiocoap.CONTENT, payload=payload)
         message.opt.observe = number
         for name, value in options.items():
@@ -123,7 +123,7 @@
     payload: bytes = b"",
     **options: object,
 ) -> None:
-    """Answers a request in its acknowledgement."""
+    """Answers a request with a piggybacked response."""
     answer = codec.Message(code=code, payload=payload)
     for name, value in options.items():
         setattr(answer.opt, name, value)
@@ -149,7 +149,7 @@
     payload: bytes = b"",
     code: aiocoap.Code = aiocoap.CHANGED,
 ) -> None:
-    """Answers a request by a message of its own."""
+    """Answers a request with a separate response."""
     answer = codec.Message(code=code, payload=payload)
     answer.mtype = aiocoap.CON
     answer.mid = request.mid ^ 0x5555
@@ -158,4 +158,4 @@
 
 
 def ignore_request(socket: FakeSocket, request: codec.Message) -> None:
-    """Gives no sign."""
+    """Sends no reply to a request."""
--- a/tests/test_upstreams/test_upstreams_feeds.py
+++ b/tests/test_upstreams/test_upstreams_feeds.py
@@ -1,4 +1,4 @@
-"""Tests of feeds between a home and its upstream."""
+"""Tests of feeds between a home and an upstream."""
 
 from __future__ import annotations
 
@@ -23,11 +23,13 @@
 
 
 class Board(fake_upstream.FakeUpstream):
-    """A board that publishes what a test tells it to.
+    """A price board that publishes states on request of a test.
 
     Attributes:
-        registrations: Registrations by token, those renewed included.
-        silent: Tokens of which the board has lost track.
+        state: Current state.
+        number: Observe number of the newest notification.
+        registrations: Latest registration for each token.
+        silent: Tokens for which the board no longer answers.
     """
 
     def __init__(self) -> None:
@@ -40,7 +42,7 @@
     def serve(
         self, socket: fake_upstream.FakeSocket, request: codec.Message
     ) -> None:
-        """Answers a registration, or its end."""
+        """Answers a registration or a deregistration."""
         if request.token in self.silent:
             return
         if request.opt.observe == 1:
@@ -80,7 +82,7 @@
 
 
 async def receive_state(caller: fake_network.FakeCaller) -> bytes:
-    """Returns the state in the next event."""
+    """Returns the state in the next message, which must be an event."""
     with trio.fail_after(60):
         event = await caller.from_keeper.receive()
     assert isinstance(event, feeds.FeedEvent), event
@@ -89,7 +91,7 @@
 
 
 async def receive_end(caller: fake_network.FakeCaller) -> feeds.FeedEnd:
-    """Returns the end that comes next."""
+    """Returns the next message, which must be the end of the feed."""
     with trio.fail_after(60):
         end = await caller.from_keeper.receive()
     assert isinstance(end, feeds.FeedEnd), end
@@ -97,7 +99,7 @@
 
 
 def assert_nothing_waits(caller: fake_network.FakeCaller) -> None:
-    """Checks that the keeper has sent nothing more."""
+    """Checks that no further message of the keeper is waiting."""
     try:
         message = caller.from_keeper.receive_nowait()
     except trio.WouldBlock:
@@ -140,10 +142,10 @@
 
 @trios.clock_test
 async def test_feed_goes_on_while_its_upstream_drains() -> None:
-    """Operators drain an upstream; its feeds have to move without a gap.
+    """A feed must lose no events when operators drain its upstream.
 
-    The home is told and opens the feed elsewhere first. Until it closes
-    this one, each change still comes.
+    The home is requested to move the feed and opens it at another upstream
+    first. Until it closes the former feed, it must get each event.
     """
     async with open_board() as (here, board):
         async with here.network.open_call(scene.make_feed_open()) as caller:
@@ -165,11 +167,11 @@
 
 @trios.clock_test
 async def test_silent_feed_is_found_and_a_quiet_one_is_left_alone() -> None:
-    """A price board stands still although new feeds and calls work.
+    """A feed may stay silent although new feeds and requests are answered.
 
-    Something between the two ends has lost track of the open feed, so that
-    only a question on its own token shows it. A board on which nothing
-    changes looks the same until it is asked.
+    A device between keeper and upstream has lost its entry for the feed, which
+    only a check with the token of the feed detects. A feed of a resource that
+    does not change looks the same until it is checked; it must stay open.
     """
     quiet_open = scene.make_feed_open(token=b"quiet")
     async with open_board() as (here, board):
@@ -201,10 +203,10 @@
 
 @trios.clock_test
 async def test_feed_of_a_lost_link_goes_on_where_it_stopped() -> None:
-    """A link breaks, and the home opens its feed again a little later.
+    """Events must not be lost while the link to the home is broken.
 
-    What the upstream sent in between would be missing on the caller's
-    board, had the keeper dropped the feed with the link.
+    The home opens the feed again later. If the keeper cancelled the feed when
+    the link broke, the events sent in between would be missing.
     """
     opened = scene.make_feed_open()
     async with open_board() as (here, board):
@@ -217,7 +219,7 @@
         board.publish(b"two")
         await trio.sleep(1)
         async with here.network.open_call(opened, "west-1") as again:
-            # The home has not confirmed it.
+            # The home has not confirmed the first event.
             replay = await again.from_keeper.receive()
             assert replay == feeds.FeedEvent(first.sequence, first.answer, True)
             assert await receive_state(again) == b"one"
@@ -227,10 +229,11 @@
 
 @trios.clock_test
 async def test_feed_of_a_dead_home_is_offered_to_the_next() -> None:
-    """A home dies; its caller sends nothing and waits for the next price.
+    """A feed must not stop when its home fails.
 
-    The link breaks at once, membership finds the death later, and only the
-    keeper knows of the feed.
+    The caller only waits for events, so that only the keeper can tell another
+    home about the feed. The link breaks at once; membership detects the
+    failure later.
     """
     opened = scene.make_feed_open()
     async with open_board() as (here, board):
@@ -257,7 +260,10 @@
 
 @trios.clock_test
 async def test_next_home_is_told_that_a_feed_has_to_move() -> None:
-    """An upstream drains while no home has the feed; nobody moves it."""
+    """A feed stays at a draining upstream if no home was there to move it.
+
+    The upstream starts to drain while the link to the home is broken.
+    """
     opened = scene.make_feed_open(resumes=True)
     async with open_board() as (here, _):
         async with here.network.open_call(opened, "west-1") as caller:
@@ -275,7 +281,10 @@
 
 @trios.clock_test
 async def test_next_home_is_told_that_a_feed_is_silent() -> None:
-    """A home dies after it was told to move a feed that stands still."""
+    """A silent feed is not moved if its home failed after the request to move.
+
+    The next home must get the request again at once.
+    """
     opened = scene.make_feed_open(resumes=True)
     async with open_board() as (here, board):
         async with here.network.open_call(opened, "west-1") as caller:
@@ -313,7 +322,10 @@
 
 @trios.clock_test
 async def test_feed_that_its_home_has_ended_is_not_held() -> None:
-    """A connection of an upstream stays taken after its feed has ended."""
+    """A connection of an upstream stays occupied after its feed has ended.
+
+    The upstream ended the feed before its home closed it.
+    """
     async with open_board() as (here, board):
         async with here.network.open_call(scene.make_feed_open()) as caller:
             await receive_state(caller)
@@ -362,10 +374,10 @@
 
 @trios.clock_test
 async def test_feeds_of_a_restarted_upstream_are_registered_again() -> None:
-    """An upstream restarts and has forgotten its feeds.
+    """A restarted upstream has lost the registrations of its feeds.
 
-    A request finds the port closed, which is the first that the keeper
-    learns of it. Waiting for silence would leave boards standing still.
+    The keeper first notices it by a request that meets a closed port. If it
+    waited for the silence limit instead, the feeds would get no events.
     """
     async with open_board() as (here, board):
 
--- a/tests/test_upstreams/test_upstreams_free_slot.py
+++ b/tests/test_upstreams/test_upstreams_free_slot.py
@@ -1,4 +1,4 @@
-"""Tests of requests that take a free slot or none."""
+"""Tests of requests that need a free slot and do not wait in the queue."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @trios.trio_test
 async def test_full_upstream_says_so_and_may_be_asked_again() -> None:
-    """A reservation runs twice, or at no upstream.
+    """A request answered BUSY must not run twice, but may be dispatched again.
 
-    It was answered BUSY at a full upstream, and its home goes elsewhere or
-    comes back. A copy of the first dispatch, out of a broken link, must not
-    run; a later dispatch must.
+    After BUSY from a full upstream, the home tries another upstream or this
+    one again. A copy of the first dispatch, delayed by a broken link, must not
+    run; a later dispatch must run.
     """
     standins = scene.open_standin(run_time_ms=300.0)
     async with scene.open_scene() as here, standins as standin:
--- a/tests/test_upstreams/test_upstreams_health_score.py
+++ b/tests/test_upstreams/test_upstreams_health_score.py
@@ -1,4 +1,4 @@
-"""Properties of the trust in an upstream."""
+"""Properties of the health score of an upstream."""
 
 from __future__ import annotations
 
@@ -39,9 +39,10 @@
 
 
 def test_score_falls_when_an_upstream_fails_fast() -> None:
-    """An upstream answers errors in a millisecond and looks idle.
+    """An upstream that fails fast must get fewer requests.
 
-    It would draw more and more reservations if speed alone counted.
+    It answers with errors in a millisecond and so seems idle. If only run
+    times counted, it would get more and more requests.
     """
     score = health_score.HealthScore(0.0)
     for number in range(20):
@@ -51,9 +52,9 @@
 
 
 def test_score_falls_when_an_upstream_becomes_ten_times_slower() -> None:
-    """An upstream runs hot; its answers still come, ten times later.
+    """A much slower upstream must get fewer requests although it answers.
 
-    Manifests always take long, and must not count as slow reservations.
+    Requests of a call class that always runs long must not count as slow.
     """
     score = health_score.HealthScore(0.0)
     cost = costs.Costs()
--- a/tests/test_upstreams/test_upstreams_links.py
+++ b/tests/test_upstreams/test_upstreams_links.py
@@ -1,4 +1,4 @@
-"""Tests of a keeper behind real links between two hosts."""
+"""Tests of a keeper with real links between two hosts."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @trios.trio_test
 async def test_links_tell_a_closed_call_from_a_lost_one() -> None:
-    """A home closes a feed, another one dies.
+    """A feed must be treated differently if its home closes it or fails.
 
-    The first feed has to end at the upstream at once; the second has to go
-    on until a new home takes it.
+    A feed that its home closes must end at the upstream at once. A feed whose
+    home fails must stay open until a new home takes it over.
     """
     seen: list[bool] = []
     ended = trio.Event()
--- a/tests/test_upstreams/test_upstreams_message_layer.py
+++ b/tests/test_upstreams/test_upstreams_message_layer.py
@@ -1,4 +1,4 @@
-"""Properties of the message layer: ids, freshness, loss, strange datagrams."""
+"""Properties of the message layer: ids, freshness, loss, bad datagrams."""
 
 from __future__ import annotations
 
@@ -37,9 +37,10 @@
 def test_message_ids_are_not_used_again_within_their_lifetime(
     first: int, bursts: list[tuple[int, float]]
 ) -> None:
-    """An upstream answers a new reservation with the answer to an old one.
+    """An upstream must not take a new request for a retransmission.
 
-    It took the new one for a retransmission, since the ids came round.
+    If a message id is reused within its lifetime, the upstream sends the
+    answer of the older request again and does not run the new one.
     """
     now_s = 0.0
     source = message_ids.MessageIds(first, lambda: now_s)
@@ -57,20 +58,20 @@
 
 @hypothesis.given(
     start=strategies.integers(0, (1 << 24) - 1),
-    places=strategies.lists(strategies.integers(0, 30), max_size=40),
+    offsets=strategies.lists(strategies.integers(0, 30), max_size=40),
 )
 def test_freshness_lets_numbers_only_rise(
-    start: int, places: list[int]
+    start: int, offsets: list[int]
 ) -> None:
     fresh = freshness.Freshness()
     passed = [
-        place
-        for place in places
-        if fresh.accept((start + place) % (1 << 24), 0.0)
+        offset
+        for offset in offsets
+        if fresh.accept((start + offset) % (1 << 24), 0.0)
     ]
     assert passed == sorted(set(passed))
-    if places:
-        assert passed[-1] == max(places)
+    if offsets:
+        assert passed[-1] == max(offsets)
 
 
 def test_freshness_begins_anew_after_a_long_time() -> None:
@@ -81,52 +82,52 @@
 
 
 class LossyUpstream(fake_upstream.FakeUpstream):
-    """Loses and doubles datagrams, and tells copies by message id.
+    """Loses and duplicates datagrams; detects duplicates by message id.
 
     Attributes:
-        runs: Requests that it ran.
+        runs: Number of requests that it ran.
     """
 
-    def __init__(self, fates: list[str]) -> None:
+    def __init__(self, deliveries: list[str]) -> None:
         super().__init__(self.serve)
         self.runs = 0
-        self._fates = iter(fates)
+        self._deliveries = iter(deliveries)
         self._seen: set[int] = set()
 
     def handle_message(
         self, socket: fake_upstream.FakeSocket, message: codec.Message
     ) -> None:
-        """Loses a datagram of the keeper, doubles it, or takes it in."""
-        fate = next(self._fates, "pass")
-        if fate == "lose":
+        """Loses, duplicates or handles a datagram of the keeper."""
+        delivery = next(self._deliveries, "pass")
+        if delivery == "lose":
             return
         super().handle_message(socket, message)
-        if fate == "double":
+        if delivery == "double":
             super().handle_message(socket, message)
 
     def serve(
         self, socket: fake_upstream.FakeSocket, request: codec.Message
     ) -> None:
-        """Runs a request once; its answer may be lost or doubled."""
+        """Runs a request once; its answer may be lost or duplicated."""
         if request.mid not in self._seen:
             self._seen.add(request.mid)
             self.runs += 1
-        fate = next(self._fates, "pass")
-        for _ in range({"lose": 0, "pass": 1, "double": 2}[fate]):
+        delivery = next(self._deliveries, "pass")
+        for _ in range({"lose": 0, "pass": 1, "double": 2}[delivery]):
             fake_upstream.reply(socket, request, payload=b"answer")
 
 
 @hypothesis.settings(max_examples=60)
 @hypothesis.given(
-    fates=strategies.lists(
+    deliveries=strategies.lists(
         strategies.sampled_from(("pass", "lose", "double")), max_size=12
     )
 )
 @trios.clock_test
 async def test_lost_and_doubled_datagrams_run_nothing_twice(
-    fates: list[str],
+    deliveries: list[str],
 ) -> None:
-    upstream = LossyUpstream(fates)
+    upstream = LossyUpstream(deliveries)
     async with scene.open_scene(open_socket=upstream.open) as here:
         contract = scene.make_contract(
             {"u1": 9}, limits={"upstream_timeout_s": 20}
@@ -139,9 +140,9 @@
             assert upstream.runs == 1
             assert codec.decode(result.answer).payload == b"answer"
         else:
-            # Five transmissions were lost, on one way or the other.
+            # Each of five transmissions or its answer was lost.
             assert result.outcome is work.Outcome.UNKNOWN
-            assert fates.count("lose") >= 5
+            assert deliveries.count("lose") >= 5
 
 
 @hypothesis.settings(max_examples=200)
@@ -152,9 +153,9 @@
 async def test_strange_datagrams_end_no_task_and_stop_no_other_work(
     data: bytes, matched: bool
 ) -> None:
-    """An upstream of one service sends what is no answer.
+    """An invalid datagram of one upstream must not affect other services.
 
-    If that ended a task, the host would stop for all services.
+    If its handling ended a task, the host would stop for all services.
     """
 
     def answer(
@@ -163,7 +164,7 @@
         if request.opt.uri_path == ("time",):
             fake_upstream.reply(socket, request, payload=b"answer")
             return
-        # The token is right and the rest may be anything.
+        # Message id and token match; the other octets are random.
         head = bytes([0x68]) + data[:1] + request.mid.to_bytes(2, "big")
         whole = head + request.token + data[1:] if matched else data
         socket.deliver_data(whole)
--- a/tests/test_upstreams/test_upstreams_overload.py
+++ b/tests/test_upstreams/test_upstreams_overload.py
@@ -1,4 +1,4 @@
-"""Tests of slots under more work than they can do."""
+"""Tests of slots under overload."""
 
 from __future__ import annotations
 
@@ -20,7 +20,14 @@
 
 
 class _SlotsHarness:
-    """Slots whose jobs take a time that a test sets."""
+    """Slots whose jobs run for a time that a test sets.
+
+    Attributes:
+        run_s: Run time of the jobs that start, seconds.
+        late: Number of jobs that ended after their deadline.
+        ran: Number of jobs that ended.
+        slots: The slots under test.
+    """
 
     def __init__(self, nursery: trio.Nursery, run_s: float = _RUN_S) -> None:
         self.run_s = run_s
@@ -63,17 +70,17 @@
 
 @trios.clock_test
 async def test_slots_are_not_spent_on_answers_that_come_too_late() -> None:
-    """Manifests queue until just before their deadline, then run for nothing.
+    """Requests must not start so late that they miss their deadline.
 
-    At twice the capacity the queue holds what has waited longest, so each
-    request starts when its caller is about to go. All slots are busy and
-    few callers get an answer.
+    At twice the capacity, requests wait in the queue until just before their
+    deadline. If they started then, all slots would be busy but few callers
+    would get an answer in time.
     """
     async with trio.open_nursery() as nursery:
-        bench = _SlotsHarness(nursery)
+        harness = _SlotsHarness(nursery)
         submitted = []
         for _ in range(160):
-            submitted.append(bench.submit(6.0))
+            submitted.append(harness.submit(6.0))
             await trio.sleep(_RUN_S / 4)
         await trio.sleep(10)
         answered = [
@@ -81,24 +88,25 @@
             for job in submitted
             if job.outcome.outcome is work.Outcome.ANSWERED
         ]
-        assert bench.late == 0
-        # Two slots for 40 s, and what waited at the end.
+        assert harness.late == 0
+        # Two slots run 80 jobs of 1 s in 40 s; queued jobs run after that.
         assert len(answered) >= 80
         nursery.cancel_scope.cancel()
 
 
 @trios.clock_test
 async def test_callers_that_waited_in_vain_do_not_come_back_together() -> None:
-    """Refused callers come back at once and keep the queue full.
+    """Callers of late requests must not all retry at once.
 
-    Their requests were dropped from the queue because the deadline came
-    too near, and they were told to wait for no time at all.
+    Their requests are removed from the queue because the deadline is too near.
+    Without a retry delay in the answer, the callers would retry at once and
+    keep the queue full.
     """
     async with trio.open_nursery() as nursery:
-        bench = _SlotsHarness(nursery)
-        first = bench.submit(6.0)
+        harness = _SlotsHarness(nursery)
+        first = harness.submit(6.0)
         await first.wait()
-        submitted = [bench.submit(4.0) for _ in range(40)]
+        submitted = [harness.submit(4.0) for _ in range(40)]
         await trio.sleep(10)
         refused = [
             job.outcome.retry_after_s
@@ -113,19 +121,19 @@
 
 @trios.clock_test
 async def test_upstream_that_was_slow_is_tried_again() -> None:
-    """An upstream gets no work any more although it has recovered.
+    """An upstream that has recovered must get requests again.
 
-    It was so slow that by its usual time no request can meet its deadline;
-    without a run nobody learns that this has changed.
+    It was so slow that no request is expected to meet its deadline. Unless
+    one runs nevertheless, the recovery is never detected.
     """
     async with trio.open_nursery() as nursery:
-        bench = _SlotsHarness(nursery, run_s=20.0)
-        await bench.submit(100.0).wait()
-        bench.run_s = 0.1
-        jobs_ = [bench.submit(5.0) for _ in range(5)]
-        for job in jobs_:
+        harness = _SlotsHarness(nursery, run_s=20.0)
+        await harness.submit(100.0).wait()
+        harness.run_s = 0.1
+        submitted = [harness.submit(5.0) for _ in range(5)]
+        for job in submitted:
             await job.wait()
-        assert bench.submit(5.0).state is not job_module.JobState.DONE
+        assert harness.submit(5.0).state is not job_module.JobState.DONE
         nursery.cancel_scope.cancel()
-    outcomes = [job.outcome.outcome for job in jobs_]
+    outcomes = [job.outcome.outcome for job in submitted]
     assert work.Outcome.ANSWERED in outcomes
--- a/tests/test_upstreams/test_upstreams_slots.py
+++ b/tests/test_upstreams/test_upstreams_slots.py
@@ -23,7 +23,7 @@
 
 
 class SlotsHarness:
-    """Slots of one upstream, with jobs that end when a test says so."""
+    """Slots of one upstream whose jobs end on request of a test."""
 
     def __init__(
         self, begun_at: float | None = None, slots: int = 2, **limits: Any
@@ -47,14 +47,14 @@
     def submit(
         self, name: str = "reservations", deadline_s: float = 1000.0
     ) -> job_module.Job:
-        """Submits a job of a class."""
+        """Submits a job of a call class."""
         self._count += 1
         job = scene.make_job(self.contract, name, self._count, deadline_s)
         self.slots.submit(job)
         return job
 
     def finish_first_running(self) -> None:
-        """Ends the job that was started first of those that run."""
+        """Finishes the running job that was started first."""
         job = next(j for j in self.started if j in self.slots.running)
         job.finish(work.Dispatched(work.Outcome.ANSWERED))
         self.slots.release(job)
@@ -62,13 +62,13 @@
 
 @trios.clock_test
 async def test_cold_upstream_gets_its_slots_little_by_little() -> None:
-    bench = SlotsHarness(trio.current_time(), slots=4, slow_start_s=8)
+    harness = SlotsHarness(trio.current_time(), slots=4, slow_start_s=8)
     for _ in range(6):
-        bench.submit()
+        harness.submit()
     counts = []
     for _ in range(9):
-        bench.slots.start_queued_jobs()
-        counts.append(len(bench.started))
+        harness.slots.start_queued_jobs()
+        counts.append(len(harness.started))
         await trio.sleep(1)
     assert counts == [1, 1, 1, 1, 2, 2, 3, 3, 4]
 
@@ -88,21 +88,22 @@
 
 @trios.clock_test
 async def test_full_queue_gives_way_to_more_urgent_work() -> None:
-    """The queue is full of manifests when a reservation comes.
+    """A full queue must not refuse a request that is more urgent.
 
-    Refusing it would put the least valuable calls first.
+    The queue is full of manifests when reservations arrive, which have a
+    higher priority.
     """
-    bench = SlotsHarness(queue=5)
+    harness = SlotsHarness(queue=5)
     for _ in range(2):
-        bench.submit()
-    manifests = [bench.submit("manifests") for _ in range(5)]
-    reservations = [bench.submit() for _ in range(5)]
+        harness.submit()
+    manifests = [harness.submit("manifests") for _ in range(5)]
+    reservations = [harness.submit() for _ in range(5)]
     refused = [
         job for job in manifests if job.state is job_module.JobState.DONE
     ]
     assert refused == manifests[1:]
     assert all(job.outcome.outcome is _NOT_RUN for job in refused)
-    # One place of five is the share of manifests.
+    # The share of manifests is one of the five places in the queue.
     assert manifests[0].state is job_module.JobState.WAITING
     last = reservations[-1]
     assert last.outcome.outcome is _NOT_RUN
@@ -111,12 +112,12 @@
 
 @trios.clock_test
 async def test_request_that_can_not_be_served_in_time_is_refused() -> None:
-    bench = SlotsHarness()
-    bench.slots.costs.record_run(ids.CallClassName("reservations"), 1.0)
+    harness = SlotsHarness()
+    harness.slots.costs.record_run(ids.CallClassName("reservations"), 1.0)
     for _ in range(2):
-        bench.submit()
-    in_time = bench.submit(deadline_s=2.0)
-    too_late = bench.submit(deadline_s=1.2)
+        harness.submit()
+    in_time = harness.submit(deadline_s=2.0)
+    too_late = harness.submit(deadline_s=1.2)
     assert in_time.state is job_module.JobState.WAITING
     assert too_late.outcome.outcome is _NOT_RUN
     assert too_late.outcome.retry_after_s >= 1
@@ -124,25 +125,25 @@
 
 @trios.clock_test
 async def test_job_whose_deadline_passed_in_the_queue_is_not_started() -> None:
-    bench = SlotsHarness()
+    harness = SlotsHarness()
     for _ in range(2):
-        bench.submit()
-    waiting = bench.submit(deadline_s=1.0)
+        harness.submit()
+    waiting = harness.submit(deadline_s=1.0)
     await trio.sleep(2)
-    bench.finish_first_running()
+    harness.finish_first_running()
     assert waiting.outcome.outcome is _NOT_RUN
-    assert len(bench.started) == 2
+    assert len(harness.started) == 2
 
 
 @trios.clock_test
 async def test_nothing_starts_for_a_moment_after_work_was_shed() -> None:
-    bench = SlotsHarness()
-    bench.slots.pause()
-    bench.submit()
-    assert not bench.started
+    harness = SlotsHarness()
+    harness.slots.pause()
+    harness.submit()
+    assert not harness.started
     await trio.sleep(0.2)
-    bench.slots.start_queued_jobs()
-    assert len(bench.started) == 1
+    harness.slots.start_queued_jobs()
+    assert len(harness.started) == 1
 
 
 _STEPS = strategies.lists(
@@ -158,7 +159,7 @@
 async def test_slots_are_never_exceeded_and_never_idle_while_work_waits(
     steps: list[str], count: int
 ) -> None:
-    bench = SlotsHarness(slots=count, queue=6)
+    harness = SlotsHarness(slots=count, queue=6)
     submitted: list[job_module.Job] = []
     for step in steps:
         if step == "withdraw":
@@ -170,14 +171,14 @@
             if waiting and waiting[0].withdraw:
                 waiting[0].withdraw()
         elif step == "end":
-            if bench.slots.running:
-                bench.finish_first_running()
+            if harness.slots.running:
+                harness.finish_first_running()
         else:
-            submitted.append(bench.submit(step))
-        assert bench.slots.busy <= count
-        assert bench.slots.queued <= 6
-        assert bench.slots.busy == count or not bench.slots.queued
+            submitted.append(harness.submit(step))
+        assert harness.slots.busy <= count
+        assert harness.slots.queued <= 6
+        assert harness.slots.busy == count or not harness.slots.queued
     await trio.lowlevel.checkpoint()
     ended = [j for j in submitted if j.state is job_module.JobState.DONE]
-    kept = bench.slots.queued + len(bench.slots.running)
+    kept = harness.slots.queued + len(harness.slots.running)
     assert len(ended) + kept == len(submitted)
--- a/tests/test_upstreams/test_upstreams_unconfirmed_events.py
+++ b/tests/test_upstreams/test_upstreams_unconfirmed_events.py
@@ -1,4 +1,4 @@
-"""Tests of events that a keeper holds until a home has confirmed them."""
+"""Tests of events that a keeper stores until a home confirms them."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def test_large_states_on_a_slow_link_take_no_more_than_the_budget() -> None:
-    """A home that confirms nothing fills the memory of a keeper."""
+    """A home that confirms no events must not fill the memory of a keeper."""
     events, counts = _make(250)
     with unittest.TestCase().assertLogs(
         event_budget.logger, logging.WARNING
