--- a/persimmonhinge/upstreams/endpoint.py
+++ b/persimmonhinge/upstreams/endpoint.py
@@ -1,4 +1,4 @@
-"""The CoAP message layer towards one upstream, on one socket."""
+"""CoAP message layer of one socket to an upstream."""
 
 from __future__ import annotations
 
@@ -49,9 +49,9 @@
 class Endpoint:
     """Matches datagrams of an upstream to the messages sent to it.
 
-    Answers are matched by token alone. Tokens are random, so that an answer
-    that is late or meant for another request, or one for a program that used
-    the local port before, never matches a request of this host.
+    Answers are matched by token alone. Tokens are random, so that a late
+    answer, an answer to another request, or one to a program that used the
+    local port before, does not match a pending request.
 
     Attributes:
         last_received_at: Time at which the last valid datagram was received.
@@ -128,11 +128,11 @@
         self.send(message)
 
     def next_message_id(self) -> int:
-        """Returns the next message id; see `is_exhausted` for its reuse."""
+        """Returns the next message id; unused lately unless `is_exhausted`."""
         return self._ids.next()
 
     def make_token(self) -> bytes:
-        """Returns a new random token."""
+        """Returns a new random token that was never used before."""
         return secrets.token_bytes(_TOKEN_OCTETS)
 
     def listen(self, token: bytes, listener: listener_module.Listener) -> None:
--- a/persimmonhinge/upstreams/feed.py
+++ b/persimmonhinge/upstreams/feed.py
@@ -34,7 +34,7 @@
         upstream: The upstream.
         home: Membership entry of the home when it opened the feed; None if
             the home was unknown.
-        events: Events that were sent to homes.
+        events: Numbers the events and stores those that are unconfirmed.
     """
 
     def __init__(
@@ -178,7 +178,7 @@
                 self._context.counts.add("feed_events_total")
 
     async def _add_event(self, answer: codec.Message) -> feeds.FeedEvent | None:
-        """Returns the event of a notification; None if it is incomplete."""
+        """Stores the event of a notification; returns None if incomplete."""
         # Not cancelled when the link is lost, because later blocks of this
         # state can not be fetched once the upstream has a newer one.
         with trio.CancelScope(shield=True):
--- a/persimmonhinge/upstreams/health_score.py
+++ b/persimmonhinge/upstreams/health_score.py
@@ -41,11 +41,11 @@
 class HealthScore:
     """A number above 0 and up to 1, which is reported as `UpstreamLoad.trust`.
 
-    A failure multiplies the score by a factor below 1; a success adds a fixed
-    step, and so does elapsed time. Health and load that the upstream itself
-    reports are not used: they lag and mislead. The score never reaches 0, so
-    that the upstream still gets a few requests, which show when it has
-    recovered.
+    A failure multiplies the score by a factor below 1. A success adds a fixed
+    step, and the score also rises with time. Health and load that the
+    upstream itself reports are not used, because they lag and mislead. The
+    score never reaches 0, so that the upstream still gets a few requests,
+    which show when it has recovered.
 
     Attributes:
         service_time_s: Moving average of the run times of answered requests,
@@ -58,7 +58,7 @@
         self._changed_at = now
 
     def read(self, now: float) -> float:
-        """Returns the score at a time."""
+        """Returns the score at the given time."""
         recovered = self._score + (now - self._changed_at) * _RECOVERY_PER_S
         return min(1.0, recovered)
 
--- a/persimmonhinge/upstreams/kept_upstream.py
+++ b/persimmonhinge/upstreams/kept_upstream.py
@@ -44,7 +44,7 @@
 class KeptUpstream:
     """Runs jobs at one upstream and tracks its state.
 
-    The state is taken from the results of requests that this host sent.
+    The state is derived from the results of requests of this host alone.
 
     Attributes:
         target: The upstream and its contract.
@@ -103,9 +103,9 @@
 
     def update(self, target: target_module.Target) -> None:
         """Applies a new version of the contract."""
-        is_reopened = self.target.is_draining and not target.is_draining
+        ends_drain = self.target.is_draining and not target.is_draining
         self.target = target
-        if is_reopened:
+        if ends_drain:
             self._draining_until = 0.0
         if not self.is_accepting:
             self._stop_accepting()
@@ -215,7 +215,10 @@
         self._health.record_signal(_Signal.ANSWERED, now, run_s, slowdown)
 
     def _check_feeds_now(self) -> None:
-        """Checks all open feeds: no process listens at the address."""
+        """Requests a check of all open feeds.
+
+        Called when no process listens at the address of the upstream.
+        """
         silent_s = self.target.limits.silent_feed_s
         for feed in self.open_feeds:
             feed.request_check(trio.current_time() - silent_s)
--- a/persimmonhinge/upstreams/observation.py
+++ b/persimmonhinge/upstreams/observation.py
@@ -141,7 +141,7 @@
         return self._waiting.pop(0) if self._waiting else None
 
     def wake(self) -> None:
-        """Makes `wait_news` return."""
+        """Makes `wait_for_change` return."""
         self._changed.set()
         self._changed = trio.Event()
 
--- a/persimmonhinge/upstreams/orphaned_feeds.py
+++ b/persimmonhinge/upstreams/orphaned_feeds.py
@@ -92,7 +92,11 @@
     async def claim(
         self, home: ids.HostId, open_message: feeds.FeedOpen
     ) -> feed_module.Feed | None:
-        """Removes and returns the held feed that a home resumes."""
+        """Removes and returns the held feed that a home resumes.
+
+        Returns:
+            None if no feed is held that the home may resume.
+        """
         key = _make_key(open_message)
         feed = self.find(open_message)
         if feed is not None:
@@ -174,7 +178,7 @@
         current = self._view.get(home.host)
         if current is None or current.incarnation != home.incarnation:
             return True
-        # A leaving host hands over its feeds before it closes its links.
+        # A leaving host has handed over its feeds before it closes its links.
         return current.state in (
             member_module.MemberState.DEAD,
             member_module.MemberState.LEAVING,
--- a/tests/test_upstreams/test_upstreams_slots.py
+++ b/tests/test_upstreams/test_upstreams_slots.py
@@ -180,5 +180,5 @@
         assert harness.slots.busy == count or not harness.slots.queued
     await trio.lowlevel.checkpoint()
     ended = [j for j in submitted if j.state is job_module.JobState.DONE]
-    kept = harness.slots.queued + len(harness.slots.running)
-    assert len(ended) + kept == len(submitted)
+    unfinished = harness.slots.queued + len(harness.slots.running)
+    assert len(ended) + unfinished == len(submitted)
