--- a/persimmonhinge/upstreams/adoptions.py
+++ b/persimmonhinge/upstreams/adoptions.py
@@ -1,4 +1,4 @@
-"""Feeds that were adopted by another home after theirs was lost."""
+"""Feeds that another home has adopted from their former home."""
 
 from __future__ import annotations
 
@@ -56,8 +56,9 @@
     ) -> bool:
         """Returns whether a feed was adopted by a home other than `home`.
 
-        If the feed was moved to `home` after that adoption, `home` has
-        confirmed no event yet, or one with a higher sequence number.
+        Returns False if the feed was moved to `home` after that adoption:
+        then `home` has confirmed no event yet, or one with a higher sequence
+        number.
         """
         adoption = self._by_key.get(key)
         if adoption is None or adoption.home == home:
--- a/persimmonhinge/upstreams/endpoint.py
+++ b/persimmonhinge/upstreams/endpoint.py
@@ -50,8 +50,8 @@
     """Matches datagrams of an upstream to the messages sent to it.
 
     Answers are matched by token alone. Tokens are random, so that a late
-    answer, an answer to another request, or one to a program that used the
-    local port before, does not match a pending request.
+    answer, an answer to another request, or an answer to a program that used
+    the local port before, does not match a pending request.
 
     Attributes:
         last_received_at: Time at which the last valid datagram was received.
@@ -128,7 +128,10 @@
         self.send(message)
 
     def next_message_id(self) -> int:
-        """Returns the next message id; unused lately unless `is_exhausted`."""
+        """Returns the next message id.
+
+        Unless `is_exhausted`, it was not used within the exchange lifetime.
+        """
         return self._ids.next()
 
     def make_token(self) -> bytes:
--- a/persimmonhinge/upstreams/endpoints.py
+++ b/persimmonhinge/upstreams/endpoints.py
@@ -18,8 +18,8 @@
     A socket is replaced when its message ids are exhausted, and when no
     datagrams are received on it any more: a device on the path that tracks
     connections, such as a NAT, may have lost its entry for this socket while
-    a new socket would work. Requests that are pending on a replaced socket
-    finish there.
+    a new socket would work. Requests and feeds that use a replaced socket
+    stay on it until they end.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         self._service = service
         self._address = address
         self._current: endpoint_module.Endpoint | None = None
-        self._retired: list[endpoint_module.Endpoint] = []
+        self._replaced: list[endpoint_module.Endpoint] = []
 
     def get(self) -> endpoint_module.Endpoint:
         """Returns the endpoint for new requests."""
@@ -40,7 +40,7 @@
         if current is not None and not current.is_exhausted:
             return current
         if current is not None:
-            self._retire(current)
+            self._store_replaced(current)
         self._current = self._open()
         return self._current
 
@@ -59,23 +59,23 @@
                 self._address,
             )
             self._context.counts.add("upstream_sockets_replaced_total")
-            self._retire(endpoint)
+            self._store_replaced(endpoint)
             self._current = None
 
     def close_idle(self) -> None:
-        """Closes replaced sockets that have no pending requests."""
-        for endpoint in [e for e in self._retired if e.is_idle]:
-            self._retired.remove(endpoint)
+        """Closes replaced sockets that no request or feed uses."""
+        for endpoint in [e for e in self._replaced if e.is_idle]:
+            self._replaced.remove(endpoint)
             endpoint.close()
 
     def close(self) -> None:
         """Closes the current socket and all replaced ones."""
         if self._current is not None:
-            self._retired.append(self._current)
+            self._replaced.append(self._current)
             self._current = None
-        for endpoint in self._retired:
+        for endpoint in self._replaced:
             endpoint.close()
-        self._retired.clear()
+        self._replaced.clear()
 
     def _open(self) -> endpoint_module.Endpoint:
         endpoint = endpoint_module.Endpoint(
@@ -88,8 +88,8 @@
         self._context.start_soon(endpoint.run)
         return endpoint
 
-    def _retire(self, endpoint: endpoint_module.Endpoint) -> None:
-        self._retired.append(endpoint)
+    def _store_replaced(self, endpoint: endpoint_module.Endpoint) -> None:
+        self._replaced.append(endpoint)
         self.close_idle()
 
     def _may_send(self) -> bool:
--- a/persimmonhinge/upstreams/event_budget.py
+++ b/persimmonhinge/upstreams/event_budget.py
@@ -40,7 +40,10 @@
         self._free_octets += octets
 
     def record_drop(self, sequence: int) -> None:
-        """Counts and logs an unconfirmed event that is no longer stored."""
+        """Counts and logs an unconfirmed event that is no longer stored.
+
+        The event would be lost if its home failed now.
+        """
         self._counts.add("feed_events_unconfirmed_dropped_total")
         if self._log_budget.take():
             logger.warning(
--- a/persimmonhinge/upstreams/feed.py
+++ b/persimmonhinge/upstreams/feed.py
@@ -180,7 +180,7 @@
     async def _add_event(self, answer: codec.Message) -> feeds.FeedEvent | None:
         """Stores the event of a notification; returns None if incomplete."""
         # Not cancelled when the link is lost, because later blocks of this
-        # state can not be fetched once the upstream has a newer one.
+        # state cannot be fetched once the upstream has a newer one.
         with trio.CancelScope(shield=True):
             whole = await self._fetch_whole(answer)
         if whole is None:
@@ -219,12 +219,12 @@
         )
 
     async def _push_lost_end(self, caller: network.Caller) -> None:
-        last = self.observation.final_answer
+        final = self.observation.final_answer
         answer = b""
-        if last is not None and not last.code.is_successful():
-            answer = requests.encode_answer(last)
-        elif last is not None and not self._final_event_sent:
-            await self._push_final_event(caller, last)
+        if final is not None and not final.code.is_successful():
+            answer = requests.encode_answer(final)
+        elif final is not None and not self._final_event_sent:
+            await self._push_final_event(caller, final)
         load = self.upstream.read_load()
         await caller.push(feeds.FeedEnd(_Cause.LOST, answer, load=load))
         self._context.counts.add(
--- a/persimmonhinge/upstreams/feed_server.py
+++ b/persimmonhinge/upstreams/feed_server.py
@@ -88,7 +88,7 @@
             open_message.service, open_message.revision, open_message.upstream
         )
         if target is None or not self._roles.keeps(target):
-            # The hosts have different states for a moment; the home
+            # The views of the two hosts differ for a moment; the home
             # determines the keeper again.
             return feeds.FeedEnd(_Cause.MOVED)
         upstream = self._upstreams.get(target)
@@ -177,14 +177,14 @@
         upstream = feed.upstream
         started_at = trio.current_time()
         silence_s = upstream.target.limits.upstream_timeout_s
-        end = await feed.observation.open(silence_s)
-        if end is _Status.SILENT:
+        status = await feed.observation.open(silence_s)
+        if status is _Status.SILENT:
             upstream.endpoints.replace_if_silent(
                 feed.observation.endpoint, started_at
             )
-        if end is not _Status.ANSWERED:
+        if status is not _Status.ANSWERED:
             upstream.record_feed_failure()
-            cause = _Cause.SILENT if end is _Status.SILENT else _Cause.LOST
+            cause = _Cause.SILENT if status is _Status.SILENT else _Cause.LOST
             load = upstream.read_load()
             await self._send_end(caller, feeds.FeedEnd(cause, load=load))
         elif feed.observation.state is _State.ENDED:
@@ -209,13 +209,13 @@
 
 
 def _make_refusal(feed: feed_module.Feed) -> feeds.FeedEnd:
-    last = feed.observation.final_answer
-    assert last is not None
-    if shedding.is_shed(last):
-        feed.upstream.handle_shed(last)
+    refusal = feed.observation.final_answer
+    assert refusal is not None
+    if shedding.is_shed(refusal):
+        feed.upstream.handle_shed(refusal)
     return feeds.FeedEnd(
         _Cause.REFUSED,
-        requests.encode_answer(last),
-        shedding.read_retry_s(last),
+        requests.encode_answer(refusal),
+        shedding.read_retry_s(refusal),
         feed.upstream.read_load(),
     )
--- a/persimmonhinge/upstreams/freshness.py
+++ b/persimmonhinge/upstreams/freshness.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-# RFC 7641 section 3.4.
+# Limits for the order of notifications, RFC 7641 section 3.4.
 _HALF_RANGE = 1 << 23
 _STALE_AFTER_S = 128.0
 
--- a/persimmonhinge/upstreams/kept_upstream.py
+++ b/persimmonhinge/upstreams/kept_upstream.py
@@ -50,8 +50,9 @@
         target: The upstream and its contract.
         slots: Its slots and queue.
         feed_count: Number of feeds, including those that are being cancelled.
-        open_feeds: Feeds with an open connection to a home.
+        open_feeds: Feeds that are open for a home at present.
         check_limiter: Limits the number of concurrent checks of silent feeds.
+        endpoints: Its sockets.
     """
 
     def __init__(
@@ -102,7 +103,7 @@
         )
 
     def update(self, target: target_module.Target) -> None:
-        """Applies a new version of the contract."""
+        """Applies a new revision of the contract."""
         ends_drain = self.target.is_draining and not target.is_draining
         self.target = target
         if ends_drain:
@@ -200,12 +201,12 @@
                 self._check_feeds_now()
             return
         if self._was_down:
-            # It answers again, most likely as a new process.
+            # The upstream answers again, most likely as a new process.
             self._was_down = False
             self._slow_start.started_at = now
         code = result.received.code
         if code == aiocoap.GATEWAY_TIMEOUT:
-            # The deadline was too short; this is no sign of a fault.
+            # The deadline was too short; the upstream is not at fault.
             return
         if code.class_ == _SERVER_ERROR_CLASS:
             self._health.record_signal(_Signal.FAILED, now)
--- a/persimmonhinge/upstreams/message_ids.py
+++ b/persimmonhinge/upstreams/message_ids.py
@@ -11,7 +11,7 @@
 
 
 class MessageIds:
-    """Allocates consecutive message ids and detects reuse that is too early.
+    """Allocates consecutive message ids and detects premature reuse.
 
     If an id is reused too early, the upstream takes the new request for a
     retransmission of an older one: it sends the older answer again and does
@@ -36,9 +36,10 @@
     def is_exhausted(self) -> bool:
         """Returns whether the next ids were used within the lifetime.
 
-        The time of a chunk is that of the last use of any of its ids. The
-        chunk after the current one is checked, too, so that exchanges in
-        progress still have free ids when this becomes true.
+        The time of a chunk is that of the last use of any of its ids, so no
+        id of the chunk was used later. The chunk after the current one is
+        checked, too, so that exchanges in progress still have free ids when
+        this becomes true.
         """
         chunk = self._next // _CHUNK_SIZE
         return any(
--- a/persimmonhinge/upstreams/observation.py
+++ b/persimmonhinge/upstreams/observation.py
@@ -161,7 +161,8 @@
 
     def _handle_answer(self, answer: codec.Message, observed: bool) -> None:
         if not observed or not answer.code.is_successful():
-            # The upstream ended it (RFC 7641 sections 3.2 and 4.2).
+            # The upstream ended the observation; see RFC 7641 sections 3.2
+            # and 4.2.
             self.state = ObservationState.ENDED
             self.final_answer = answer
             self.wake()
@@ -173,7 +174,7 @@
             return
         self.state = ObservationState.OPEN
         if self._checking and self._newest_state == _get_state(answer):
-            # The answer to a check contains no new state.
+            # The answer to a check repeats the newest state.
             return
         self._newest_state = _get_state(answer)
         self._waiting.append(answer)
--- a/persimmonhinge/upstreams/shedding.py
+++ b/persimmonhinge/upstreams/shedding.py
@@ -10,7 +10,7 @@
 _SHED_CODES = (aiocoap.SERVICE_UNAVAILABLE, aiocoap.TOO_MANY_REQUESTS)
 # Default of Max-Age, RFC 7252 section 5.10.5.
 _DEFAULT_MAX_AGE_S = 60
-# A draining upstream has this in the diagnostic payload of its refusals.
+# Part of the diagnostic payload of refusals of a draining upstream.
 _DRAIN_WORD = b"drain"
 
 
@@ -25,7 +25,7 @@
 
 
 def read_retry_s(answer: codec.Message) -> int:
-    """Returns the delay before a retry, seconds; 0 if it is no refusal."""
+    """Returns the delay before a retry, seconds; 0 without a refusal."""
     if not is_shed(answer):
         return 0
     max_age = answer.opt.max_age
--- a/persimmonhinge/upstreams/slots.py
+++ b/persimmonhinge/upstreams/slots.py
@@ -19,8 +19,8 @@
 from persimmonhinge.upstreams import slow_start as slow_start_module
 from persimmonhinge.upstreams import target as target_module
 
-# Lower bound of the share of slots that other call classes with guaranteed
-# shares leave to a class.
+# Lower bound of the share of slots that remains for a call class after the
+# guaranteed shares of other classes are subtracted.
 _MIN_UNRESERVED_SHARE = 0.1
 _SHED_PAUSE_S = 0.1
 # Allows for varying run times and for the transmission of the answer.
@@ -39,7 +39,7 @@
         self,
         target: target_module.Target,
         slow_start: slow_start_module.SlowStart,
-        start: Callable[[job_module.Job], None],
+        start_job: Callable[[job_module.Job], None],
         randomness: random.Random,
     ) -> None:
         """Makes the slots of an upstream.
@@ -47,14 +47,14 @@
         Args:
             target: The upstream.
             slow_start: Limits the slots of an upstream that is warming up.
-            start: Starts a job at the upstream.
+            start_job: Starts a job at the upstream.
             randomness: Spreads the retry delays of refused callers.
         """
         self.running: set[job_module.Job] = set()
         self.costs = costs.Costs()
         self._target = target
         self._slow_start = slow_start
-        self._start = start
+        self._start_job = start_job
         self._randomness = randomness
         policies = target.entry.contract.policies
         self._queue = order.make_order(policies.order)
@@ -87,7 +87,7 @@
         )
 
     def update(self, target: target_module.Target) -> None:
-        """Applies a new version of the contract."""
+        """Applies a new revision of the contract."""
         former = self._target.entry.contract.policies
         policies = target.entry.contract.policies
         self._target = target
@@ -159,7 +159,7 @@
                 continue
             job.state = job_module.JobState.RUNNING
             self.running.add(job)
-            self._start(job)
+            self._start_job(job)
 
     def _would_miss_deadline(self, job: job_module.Job) -> bool:
         """Returns whether the next job would end after its deadline.
--- a/persimmonhinge/upstreams/transfer.py
+++ b/persimmonhinge/upstreams/transfer.py
@@ -88,7 +88,7 @@
                 "shed by the upstream",
             )
         if self._in_blocks and answer.code == _INCOMPLETE:
-            # The caller did not send these blocks and can not use the answer.
+            # The caller did not send these blocks and cannot use the answer.
             return transfer_result.TransferResult(
                 transfer_result.TransferStatus.NOT_RUN,
                 reason="upstream lost a block",
@@ -169,12 +169,12 @@
             # is safe to repeat is sent again.
             if self._request.code != aiocoap.GET:
                 break
-            again = await self._exchange_once(
+            repeated = await self._exchange_once(
                 requests.copy_message(self._request)
             )
-            if again.answer is None:
+            if repeated.answer is None:
                 break
-            first = again.answer
+            first = repeated.answer
         return transfer_result.TransferResult(
             transfer_result.TransferStatus.UNKNOWN,
             reason=f"answer is incomplete: {problem}",
@@ -255,7 +255,7 @@
 def _is_next_block(
     first: codec.Message, answer: codec.Message, offset: int
 ) -> bool:
-    """Returns whether an answer has the block at an offset of the first one.
+    """Returns whether an answer continues the body of the first answer.
 
     Prevents an answer from being assembled from two states of a resource, and
     an endless loop of requests if a block adds no octets.
--- a/persimmonhinge/upstreams/unconfirmed_events.py
+++ b/persimmonhinge/upstreams/unconfirmed_events.py
@@ -27,7 +27,10 @@
         return tuple(self._events)
 
     def add(self, event: feeds.FeedEvent) -> None:
-        """Stores an event; removes the oldest ones if a limit is reached."""
+        """Stores an event; removes the oldest ones if a limit is reached.
+
+        An event that exceeds the free octets even then is not stored.
+        """
         octets = len(event.answer)
         while len(self._events) >= _MAX_EVENTS:
             self._drop_oldest()
--- a/tests/test_upstreams/fake_upstream.py
+++ b/tests/test_upstreams/fake_upstream.py
@@ -12,7 +12,7 @@
 from persimmonhinge.contracts import contract
 from persimmonhinge.upstreams import upstream_socket
 
-Answer = Callable[["FakeSocket", codec.Message], None]
+RequestHandler = Callable[["FakeSocket", codec.Message], None]
 
 
 class FakeSocket:
@@ -64,13 +64,13 @@
     Attributes:
         received: All received messages, including retransmissions.
         sockets: All sockets that the keeper has opened.
-        answer: Called with each request.
+        handle_request: Called with each request.
     """
 
-    def __init__(self, answer: Answer | None = None) -> None:
+    def __init__(self, handle_request: RequestHandler | None = None) -> None:
         self.received: list[codec.Message] = []
         self.sockets: list[FakeSocket] = []
-        self.answer: Answer = answer or reply
+        self.handle_request: RequestHandler = handle_request or reply
         self._next_id = 0
 
     def open(self, address: contract.Address) -> FakeSocket:
@@ -85,7 +85,7 @@
         """Records a message of the keeper and answers a request."""
         self.received.append(message)
         if message.code.is_request():
-            self.answer(socket, message)
+            self.handle_request(socket, message)
 
     def requests(self) -> list[codec.Message]:
         """Returns the requests without retransmissions."""
--- a/tests/test_upstreams/test_upstreams_feeds.py
+++ b/tests/test_upstreams/test_upstreams_feeds.py
@@ -108,7 +108,7 @@
 
 
 @trios.clock_test
-async def test_feed_passes_on_what_is_fresh_with_rising_numbers() -> None:
+async def test_feed_forwards_fresh_notifications_with_rising_numbers() -> None:
     async with open_board() as (here, board):
         async with here.network.open_call(scene.make_feed_open()) as caller:
             first = await caller.from_keeper.receive()
@@ -129,7 +129,7 @@
 
 
 @trios.clock_test
-async def test_feeds_beyond_the_connections_are_refused() -> None:
+async def test_feeds_beyond_the_connection_limit_are_refused() -> None:
     async with open_board(connections=1) as (here, _):
         async with here.network.open_call(scene.make_feed_open()) as one:
             await receive_state(one)
@@ -141,7 +141,7 @@
 
 
 @trios.clock_test
-async def test_feed_goes_on_while_its_upstream_drains() -> None:
+async def test_feed_continues_while_its_upstream_drains() -> None:
     """A feed must lose no events when operators drain its upstream.
 
     The home is requested to move the feed and opens it at another upstream
@@ -166,7 +166,7 @@
 
 
 @trios.clock_test
-async def test_silent_feed_is_found_and_a_quiet_one_is_left_alone() -> None:
+async def test_silent_feed_is_detected_and_unchanged_feed_stays_open() -> None:
     """A feed may stay silent although new feeds and requests are answered.
 
     A device between keeper and upstream has lost its entry for the feed, which
@@ -180,10 +180,10 @@
             board.silent = set(board.registrations)
             async with here.network.open_call(quiet_open) as quiet:
                 await receive_state(quiet)
-                began_at = trio.current_time()
+                started_at = trio.current_time()
                 end = await receive_end(silent)
                 assert end.cause is _Cause.SILENT
-                assert trio.current_time() - began_at < 16
+                assert trio.current_time() - started_at < 16
                 await trio.sleep(40)
                 assert_nothing_waits(quiet)
                 assert_nothing_waits(silent)
@@ -193,7 +193,7 @@
 
 
 @trios.clock_test
-async def test_check_brings_what_a_feed_has_missed() -> None:
+async def test_check_fetches_the_state_of_a_lost_notification() -> None:
     async with open_board() as (here, board):
         async with here.network.open_call(scene.make_feed_open()) as caller:
             await receive_state(caller)
@@ -202,7 +202,7 @@
 
 
 @trios.clock_test
-async def test_feed_of_a_lost_link_goes_on_where_it_stopped() -> None:
+async def test_feed_resumes_after_its_link_was_lost() -> None:
     """Events must not be lost while the link to the home is broken.
 
     The home opens the feed again later. If the keeper cancelled the feed when
@@ -228,7 +228,7 @@
 
 
 @trios.clock_test
-async def test_feed_of_a_dead_home_is_offered_to_the_next() -> None:
+async def test_feed_of_a_failed_home_is_offered_to_the_next() -> None:
     """A feed must not stop when its home fails.
 
     The caller only waits for events, so that only the keeper can tell another
@@ -259,7 +259,7 @@
 
 
 @trios.clock_test
-async def test_next_home_is_told_that_a_feed_has_to_move() -> None:
+async def test_next_home_is_requested_to_move_a_draining_feed() -> None:
     """A feed stays at a draining upstream if no home was there to move it.
 
     The upstream starts to drain while the link to the home is broken.
@@ -280,7 +280,7 @@
 
 
 @trios.clock_test
-async def test_next_home_is_told_that_a_feed_is_silent() -> None:
+async def test_next_home_is_requested_to_move_a_silent_feed() -> None:
     """A silent feed is not moved if its home failed after the request to move.
 
     The next home must get the request again at once.
@@ -295,13 +295,13 @@
         await trio.sleep(1)
         async with here.network.open_call(opened, "west-1") as again:
             await receive_state(again)
-            began_at = trio.current_time()
+            started_at = trio.current_time()
             assert (await receive_end(again)).cause is _Cause.SILENT
-            assert trio.current_time() - began_at < 1
+            assert trio.current_time() - started_at < 1
 
 
 @trios.clock_test
-async def test_feed_that_can_not_be_read_is_refused() -> None:
+async def test_feed_with_a_malformed_request_is_refused() -> None:
     async with open_board() as (here, board):
         strange = scene.make_feed_open(request=b"no message")
         async with here.network.open_call(strange) as caller:
@@ -310,7 +310,7 @@
 
 
 @trios.clock_test
-async def test_feed_whose_upstream_ends_it_is_lost() -> None:
+async def test_feed_ended_by_its_upstream_is_reported_as_lost() -> None:
     async with open_board() as (here, board):
         async with here.network.open_call(scene.make_feed_open()) as caller:
             await receive_state(caller)
@@ -321,7 +321,7 @@
 
 
 @trios.clock_test
-async def test_feed_that_its_home_has_ended_is_not_held() -> None:
+async def test_feed_closed_by_its_home_is_not_held() -> None:
     """A connection of an upstream stays occupied after its feed has ended.
 
     The upstream ended the feed before its home closed it.
@@ -339,7 +339,7 @@
 
 
 @trios.clock_test
-async def test_large_notification_is_completed() -> None:
+async def test_remaining_blocks_of_a_large_notification_are_fetched() -> None:
     body = bytes(range(256)) * 12
     block = optiontypes.BlockOption.BlockwiseTuple
 
@@ -360,7 +360,7 @@
                 etag=b"tag",
             )
 
-        board.answer = serve
+        board.handle_request = serve
         async with here.network.open_call(scene.make_feed_open()) as caller:
             await receive_state(caller)
             [registration] = board.registrations.values()
@@ -393,8 +393,8 @@
             await receive_state(caller)
             board.registrations.clear()
             board.state = b"of the new process"
-            board.answer = refuse_posts
-            began_at = trio.current_time()
+            board.handle_request = refuse_posts
+            started_at = trio.current_time()
             await here.ask(scene.make_dispatch())
             assert await receive_state(caller) == board.state
-            assert trio.current_time() - began_at < 1
+            assert trio.current_time() - started_at < 1
--- a/tests/test_upstreams/test_upstreams_free_slot.py
+++ b/tests/test_upstreams/test_upstreams_free_slot.py
@@ -14,7 +14,7 @@
 
 
 @trios.trio_test
-async def test_full_upstream_says_so_and_may_be_asked_again() -> None:
+async def test_request_answered_busy_may_be_dispatched_again() -> None:
     """A request answered BUSY must not run twice, but may be dispatched again.
 
     After BUSY from a full upstream, the home tries another upstream or this
--- a/tests/test_upstreams/test_upstreams_links.py
+++ b/tests/test_upstreams/test_upstreams_links.py
@@ -12,7 +12,7 @@
 
 
 @trios.trio_test
-async def test_links_tell_a_closed_call_from_a_lost_one() -> None:
+async def test_call_closed_by_the_home_differs_from_a_failed_link() -> None:
     """A feed must be treated differently if its home closes it or fails.
 
     A feed that its home closes must end at the upstream at once. A feed whose
--- a/tests/test_upstreams/test_upstreams_message_layer.py
+++ b/tests/test_upstreams/test_upstreams_message_layer.py
@@ -34,7 +34,7 @@
         max_size=12,
     ),
 )
-def test_message_ids_are_not_used_again_within_their_lifetime(
+def test_message_ids_are_not_reused_within_their_lifetime(
     first: int, bursts: list[tuple[int, float]]
 ) -> None:
     """An upstream must not take a new request for a retransmission.
@@ -60,7 +60,7 @@
     start=strategies.integers(0, (1 << 24) - 1),
     offsets=strategies.lists(strategies.integers(0, 30), max_size=40),
 )
-def test_freshness_lets_numbers_only_rise(
+def test_freshness_accepts_only_rising_numbers(
     start: int, offsets: list[int]
 ) -> None:
     fresh = freshness.Freshness()
@@ -74,7 +74,7 @@
         assert passed[-1] == max(offsets)
 
 
-def test_freshness_begins_anew_after_a_long_time() -> None:
+def test_freshness_accepts_any_number_after_128_s() -> None:
     fresh = freshness.Freshness()
     assert fresh.accept(500, 0.0)
     assert not fresh.accept(3, 100.0)
@@ -124,7 +124,7 @@
     )
 )
 @trios.clock_test
-async def test_lost_and_doubled_datagrams_run_nothing_twice(
+async def test_lost_and_duplicated_datagrams_run_no_request_twice(
     deliveries: list[str],
 ) -> None:
     upstream = LossyUpstream(deliveries)
@@ -150,7 +150,7 @@
     data=strategies.binary(max_size=80), matched=strategies.booleans()
 )
 @trios.clock_test
-async def test_strange_datagrams_end_no_task_and_stop_no_other_work(
+async def test_invalid_datagrams_do_not_affect_other_requests(
     data: bytes, matched: bool
 ) -> None:
     """An invalid datagram of one upstream must not affect other services.
@@ -188,7 +188,7 @@
         assert not here.counts.sum("upstream_datagrams_failed_total")
 
 
-def test_policies_of_a_newer_version_give_way_to_the_default() -> None:
+def test_unknown_policies_are_replaced_by_the_default() -> None:
     assert len(order.make_order("of a newer version")) == 0
     policy = admission.make_admission("of a newer version")
     assert isinstance(policy, admission.DeadlineAdmission)
--- a/tests/test_upstreams/test_upstreams_outcomes.py
+++ b/tests/test_upstreams/test_upstreams_outcomes.py
@@ -23,7 +23,7 @@
 
 @contextlib.asynccontextmanager
 async def open_upstream(
-    answer: fake_upstream.Answer | None = None,
+    answer: fake_upstream.RequestHandler | None = None,
 ) -> AsyncIterator[tuple[scene.Scene, fake_upstream.FakeUpstream]]:
     """Runs a keeper with an upstream that answers by a function."""
     upstream = fake_upstream.FakeUpstream(answer)
@@ -34,8 +34,8 @@
 
 
 def on_transmission(
-    number: int, act: fake_upstream.Answer
-) -> fake_upstream.Answer:
+    number: int, act: fake_upstream.RequestHandler
+) -> fake_upstream.RequestHandler:
     """Returns an upstream that acts on one transmission and is else silent."""
     seen = 0
 
@@ -102,7 +102,7 @@
         [trust] = [load.trust for load in here.keepers.loads()]
         assert trust < 0.6
         # Nothing came back, so new work gets a socket of its own.
-        upstream.answer = fake_upstream.reply
+        upstream.handle_request = fake_upstream.reply
         result = await here.ask(scene.make_dispatch(number=2))
         assert result.outcome is Outcome.ANSWERED
         assert len(upstream.sockets) == 2
@@ -242,7 +242,7 @@
             most = max(most, running)
             here.nursery.start_soon(finish, socket, request)
 
-        upstream.answer = answer
+        upstream.handle_request = answer
         async with trio.open_nursery() as nursery:
             for number in range(12):
                 dispatch = scene.make_dispatch(number=number)
--- a/tests/test_upstreams/test_upstreams_overload.py
+++ b/tests/test_upstreams/test_upstreams_overload.py
@@ -69,12 +69,12 @@
 
 
 @trios.clock_test
-async def test_slots_are_not_spent_on_answers_that_come_too_late() -> None:
+async def test_requests_that_would_miss_their_deadline_use_no_slots() -> None:
     """Requests must not start so late that they miss their deadline.
 
     At twice the capacity, requests wait in the queue until just before their
-    deadline. If they started then, all slots would be busy but few callers
-    would get an answer in time.
+    deadline. If they started at that time, all slots would be busy, but few
+    callers would get an answer in time.
     """
     async with trio.open_nursery() as nursery:
         harness = _SlotsHarness(nursery)
@@ -95,7 +95,7 @@
 
 
 @trios.clock_test
-async def test_callers_that_waited_in_vain_do_not_come_back_together() -> None:
+async def test_retries_of_late_requests_are_spread() -> None:
     """Callers of late requests must not all retry at once.
 
     Their requests are removed from the queue because the deadline is too near.
@@ -120,11 +120,11 @@
 
 
 @trios.clock_test
-async def test_upstream_that_was_slow_is_tried_again() -> None:
+async def test_recovered_upstream_gets_requests_again() -> None:
     """An upstream that has recovered must get requests again.
 
-    It was so slow that no request is expected to meet its deadline. Unless
-    one runs nevertheless, the recovery is never detected.
+    It was so slow that no request is expected to meet its deadline. If none
+    ran for that reason, its recovery would never be detected.
     """
     async with trio.open_nursery() as nursery:
         harness = _SlotsHarness(nursery, run_s=20.0)
--- a/tests/test_upstreams/test_upstreams_recovery.py
+++ b/tests/test_upstreams/test_upstreams_recovery.py
@@ -141,7 +141,7 @@
         assert (await here.ask(second)).outcome is Outcome.NOT_RUN
         for request in tuple(upstream.received):
             fake_upstream.send_separate(upstream.sockets[0], request)
-        upstream.answer = fake_upstream.reply
+        upstream.handle_request = fake_upstream.reply
         await trio.sleep(1)
         assert here.keepers.loads()[0].busy == 0
         assert (await here.ask(late)).outcome is Outcome.NOT_RUN
--- a/tests/test_upstreams/test_upstreams_slots.py
+++ b/tests/test_upstreams/test_upstreams_slots.py
@@ -26,7 +26,7 @@
     """Slots of one upstream whose jobs end on request of a test."""
 
     def __init__(
-        self, begun_at: float | None = None, slots: int = 2, **limits: Any
+        self, started_at: float | None = None, slots: int = 2, **limits: Any
     ) -> None:
         self.contract = scene.make_contract(
             {"u1": 9}, limits=limits, upstream={"slots": slots}
@@ -38,7 +38,7 @@
         )
         self.slots = slots_module.Slots(
             target,
-            slow_start.SlowStart(begun_at),
+            slow_start.SlowStart(started_at),
             self.started.append,
             random.Random(1),
         )
@@ -61,7 +61,7 @@
 
 
 @trios.clock_test
-async def test_cold_upstream_gets_its_slots_little_by_little() -> None:
+async def test_usable_slots_increase_while_upstream_warms_up() -> None:
     harness = SlotsHarness(trio.current_time(), slots=4, slow_start_s=8)
     for _ in range(6):
         harness.submit()
@@ -74,7 +74,7 @@
 
 
 @trios.clock_test
-async def test_newcomer_of_a_contract_is_cold_and_the_rest_is_warm() -> None:
+async def test_only_upstreams_added_to_a_contract_start_slowly() -> None:
     async with scene.open_scene() as here:
         ports = {"u1": 9}
         here.store.offer(scene.make_record(scene.make_contract(ports), 1))
@@ -87,7 +87,7 @@
 
 
 @trios.clock_test
-async def test_full_queue_gives_way_to_more_urgent_work() -> None:
+async def test_full_queue_evicts_less_urgent_jobs() -> None:
     """A full queue must not refuse a request that is more urgent.
 
     The queue is full of manifests when reservations arrive, which have a
@@ -111,7 +111,7 @@
 
 
 @trios.clock_test
-async def test_request_that_can_not_be_served_in_time_is_refused() -> None:
+async def test_request_that_would_miss_its_deadline_is_refused() -> None:
     harness = SlotsHarness()
     harness.slots.costs.record_run(ids.CallClassName("reservations"), 1.0)
     for _ in range(2):
@@ -136,7 +136,7 @@
 
 
 @trios.clock_test
-async def test_nothing_starts_for_a_moment_after_work_was_shed() -> None:
+async def test_no_job_starts_during_the_pause_after_a_refusal() -> None:
     harness = SlotsHarness()
     harness.slots.pause()
     harness.submit()
@@ -156,7 +156,7 @@
 
 @hypothesis.given(steps=_STEPS, count=strategies.integers(1, 4))
 @trios.clock_test
-async def test_slots_are_never_exceeded_and_never_idle_while_work_waits(
+async def test_slots_are_never_exceeded_and_never_idle_while_jobs_are_queued(
     steps: list[str], count: int
 ) -> None:
     harness = SlotsHarness(slots=count, queue=6)
--- a/tests/test_upstreams/test_upstreams_unconfirmed_events.py
+++ b/tests/test_upstreams/test_upstreams_unconfirmed_events.py
@@ -13,7 +13,7 @@
 _ANSWER = b"x" * 100
 
 
-def _make(
+def _make_events(
     octets: int,
 ) -> tuple[unconfirmed_events.UnconfirmedEvents, counts_module.Counts]:
     counts = counts_module.Counts()
@@ -25,8 +25,8 @@
     return [event.sequence for event in events.list_all()]
 
 
-def test_events_are_held_until_they_are_confirmed() -> None:
-    events, counts = _make(10_000)
+def test_events_are_stored_until_they_are_confirmed() -> None:
+    events, counts = _make_events(10_000)
     for sequence in (16, 32, 48, 64):
         events.add(feeds.FeedEvent(sequence, _ANSWER))
     events.confirm(32)
@@ -36,9 +36,9 @@
     assert not counts.sum("feed_events_unconfirmed_dropped_total")
 
 
-def test_large_states_on_a_slow_link_take_no_more_than_the_budget() -> None:
+def test_stored_events_do_not_exceed_the_budget() -> None:
     """A home that confirms no events must not fill the memory of a keeper."""
-    events, counts = _make(250)
+    events, counts = _make_events(250)
     with unittest.TestCase().assertLogs(
         event_budget.logger, logging.WARNING
     ) as logs:
@@ -52,7 +52,7 @@
     assert counts.sum("feed_events_unconfirmed_dropped_total") == 4
 
 
-def test_a_feed_that_ends_leaves_its_room_to_others() -> None:
+def test_ended_feed_releases_its_octets() -> None:
     counts = counts_module.Counts()
     budget = event_budget.EventBudget(counts, 150)
     first = unconfirmed_events.UnconfirmedEvents(budget)
@@ -65,8 +65,8 @@
     assert _list_sequences(second) == [32]
 
 
-def test_events_of_a_feed_are_bounded_in_number() -> None:
-    events, counts = _make(1_000_000)
+def test_number_of_stored_events_of_a_feed_is_limited() -> None:
+    events, counts = _make_events(1_000_000)
     for number in range(1, 301):
         events.add(feeds.FeedEvent(16 * number, b""))
     assert len(events.list_all()) == 256
