--- a/persimmonhinge/upstreams/costs.py
+++ b/persimmonhinge/upstreams/costs.py
@@ -1,4 +1,4 @@
-"""How long requests hold a slot, by call class."""
+"""Run times of requests at one upstream, per call class."""
 
 from __future__ import annotations
 
@@ -6,45 +6,46 @@
 
 from persimmonhinge import ids
 
-_WEIGHT = 0.2
-# Before the first measurement; short, so that nothing is refused on a guess.
-_UNKNOWN_S = 0.01
-# The usual time has a long memory, and one run moves it by a little only, so
-# that an upstream that has become slow does not soon pass for one that
-# always was.
-_USUAL_WEIGHT = 0.02
-_MOST_PULL = 2.0
+_AVERAGE_WEIGHT = 0.2
+# Used until a request of the class has run. It is short, so that no request is
+# refused because of an assumed run time.
+_DEFAULT_ESTIMATE_S = 0.01
+# The baseline adapts slowly, and the effect of a single run on it is limited.
+# Otherwise the slow runs of a degraded upstream would soon become its normal
+# run time, and the slowdown would no longer be detected.
+_BASELINE_WEIGHT = 0.02
+_MAX_BASELINE_RATIO = 2.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Cost:
     average_s: float
-    usual_s: float
+    baseline_s: float
 
 
 class Costs:
-    """Moving averages of run times at one upstream."""
+    """Moving averages of run times at one upstream, per call class."""
 
     def __init__(self) -> None:
         self._by_class: dict[ids.CallClassName, _Cost] = {}
 
     def estimate(self, call_class: ids.CallClassName) -> float:
-        """Returns how long a request of a class will run, seconds."""
+        """Returns the expected run time of a request of a class, seconds."""
         cost = self._by_class.get(call_class)
-        return _UNKNOWN_S if cost is None else cost.average_s
+        return _DEFAULT_ESTIMATE_S if cost is None else cost.average_s
 
-    def note(self, call_class: ids.CallClassName, run_s: float) -> float:
-        """Takes in how long a request ran, seconds.
+    def record_run(self, call_class: ids.CallClassName, run_s: float) -> float:
+        """Adds the run time of a request, seconds, to the averages.
 
         Returns:
-            How many times longer that is than is usual for its class.
+            The run time divided by the baseline of the call class.
         """
         cost = self._by_class.get(call_class)
-        if cost is None or cost.usual_s <= 0:
+        if cost is None or cost.baseline_s <= 0:
             self._by_class[call_class] = _Cost(run_s, run_s)
             return 1.0
-        slowdown = run_s / cost.usual_s
-        cost.average_s += _WEIGHT * (run_s - cost.average_s)
-        pulled_s = min(run_s, _MOST_PULL * cost.usual_s)
-        cost.usual_s += _USUAL_WEIGHT * (pulled_s - cost.usual_s)
+        slowdown = run_s / cost.baseline_s
+        cost.average_s += _AVERAGE_WEIGHT * (run_s - cost.average_s)
+        limited_s = min(run_s, _MAX_BASELINE_RATIO * cost.baseline_s)
+        cost.baseline_s += _BASELINE_WEIGHT * (limited_s - cost.baseline_s)
         return slowdown
--- a/persimmonhinge/upstreams/endpoints.py
+++ b/persimmonhinge/upstreams/endpoints.py
@@ -1,75 +1,84 @@
-"""The sockets towards one upstream: one in use, and those it replaced."""
+"""The sockets to one upstream: the current one and replaced ones."""
 
 from __future__ import annotations
 
 import logging
 
 from persimmonhinge import ids
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.upstreams import context as contexts
-from persimmonhinge.upstreams import endpoint as endpoint_parts
+from persimmonhinge.contracts import contract
+from persimmonhinge.upstreams import context as context_module
+from persimmonhinge.upstreams import endpoint as endpoint_module
 
 logger = logging.getLogger(__name__)
 
 
 class Endpoints:
-    """Opens a new socket when the present one is of no use for new work.
+    """Provides a socket for new requests and replaces it when necessary.
 
-    A socket is replaced when its message ids have come round, and when
-    nothing comes back on it any more: what tracks flows on the way may have
-    lost this one while a new one works. What still waits on the former
-    socket stays there.
+    A socket is replaced when its message ids are exhausted, and when no
+    datagrams are received on it any more: a device on the path that tracks
+    connections, such as a NAT, may have lost its entry for this socket while
+    a new socket would work. Requests and feeds that use a replaced socket
+    stay on it until they end.
     """
 
     def __init__(
         self,
-        context: contexts.KeeperContext,
+        context: context_module.KeeperContext,
         service: ids.ServiceName,
-        address: contracts.Address,
+        address: contract.Address,
     ) -> None:
         self._context = context
         self._service = service
         self._address = address
-        self._current: endpoint_parts.Endpoint | None = None
-        self._former: list[endpoint_parts.Endpoint] = []
+        self._current: endpoint_module.Endpoint | None = None
+        self._replaced: list[endpoint_module.Endpoint] = []
 
-    def get(self) -> endpoint_parts.Endpoint:
-        """Returns the socket for new work."""
+    def get(self) -> endpoint_module.Endpoint:
+        """Returns the endpoint for new requests."""
         current = self._current
         if current is not None and not current.is_exhausted:
             return current
         if current is not None:
-            self._retire(current)
+            self._store_replaced(current)
         self._current = self._open()
         return self._current
 
-    def report_silence(
-        self, endpoint: endpoint_parts.Endpoint, since: float
+    def replace_if_silent(
+        self, endpoint: endpoint_module.Endpoint, since: float
     ) -> None:
-        """Takes in that a request got no sign; replaces a dead socket."""
-        if endpoint is self._current and endpoint.heard_at < since:
-            logger.info("Nothing comes from %s; new socket.", self._address)
+        """Replaces the socket if it has received nothing since a request.
+
+        Args:
+            endpoint: Endpoint on which the request got no reply.
+            since: Time at which the request started.
+        """
+        if endpoint is self._current and endpoint.last_received_at < since:
+            logger.info(
+                "No datagram received from upstream %s; replacing the socket.",
+                self._address,
+            )
             self._context.counts.add("upstream_sockets_replaced_total")
-            self._retire(endpoint)
+            self._store_replaced(endpoint)
             self._current = None
 
     def close_idle(self) -> None:
-        """Closes former sockets on which nothing waits any more."""
-        for endpoint in [e for e in self._former if e.is_idle]:
-            self._former.remove(endpoint)
+        """Closes replaced sockets that no request or feed uses."""
+        for endpoint in [e for e in self._replaced if e.is_idle]:
+            self._replaced.remove(endpoint)
             endpoint.close()
 
     def close(self) -> None:
-        """Closes all sockets."""
+        """Closes the current socket and all replaced ones."""
         if self._current is not None:
-            self._former.append(self._current)
+            self._replaced.append(self._current)
             self._current = None
-        for endpoint in self._former:
+        for endpoint in self._replaced:
             endpoint.close()
-        self._former.clear()
+        self._replaced.clear()
 
-    def _open(self) -> endpoint_parts.Endpoint:
-        endpoint = endpoint_parts.Endpoint(
+    def _open(self) -> endpoint_module.Endpoint:
+        endpoint = endpoint_module.Endpoint(
             self._context.open_socket(self._address),
             str(self._address),
             self._may_send,
@@ -79,8 +88,8 @@
         self._context.start_soon(endpoint.run)
         return endpoint
 
-    def _retire(self, endpoint: endpoint_parts.Endpoint) -> None:
-        self._former.append(endpoint)
+    def _store_replaced(self, endpoint: endpoint_module.Endpoint) -> None:
+        self._replaced.append(endpoint)
         self.close_idle()
 
     def _may_send(self) -> bool:
--- a/persimmonhinge/upstreams/transfer.py
+++ b/persimmonhinge/upstreams/transfer.py
@@ -1,4 +1,4 @@
-"""A whole request and its whole answer, in blocks where they are large."""
+"""One request with its whole answer, block-wise if either is large."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 import trio
 
 from persimmonhinge.coap import codec
-from persimmonhinge.coap import transmission as transmissions
-from persimmonhinge.upstreams import endpoint as endpoints
-from persimmonhinge.upstreams import exchange as exchanges
+from persimmonhinge.coap import transmission
+from persimmonhinge.upstreams import endpoint as endpoint_module
+from persimmonhinge.upstreams import exchange
 from persimmonhinge.upstreams import requests
 from persimmonhinge.upstreams import shedding
-from persimmonhinge.upstreams import transfer_result as results
+from persimmonhinge.upstreams import transfer_result
 
 # Block size is 2 ** (exponent + 4) octets, RFC 7959 section 2.2.
-_LARGEST_EXPONENT = 6
-_MOST_ANSWER_OCTETS = 4_194_304
-_MOST_DOWNLOADS = 3
+_MAX_BLOCK_EXPONENT = 6
+_MAX_ANSWER_OCTETS = 4_194_304
+_MAX_DOWNLOADS = 3
 _INCOMPLETE = aiocoap.REQUEST_ENTITY_INCOMPLETE
 
 BlockOption = optiontypes.BlockOption.BlockwiseTuple
@@ -28,94 +28,102 @@
 class Transfer:
     """Runs one request at an upstream.
 
-    A body that fits no datagram goes up in blocks, tied together by a
-    Request-Tag (RFC 9175), because several uploads to one resource may be
-    under way from the same socket. A large answer comes down in blocks of
-    one ETag.
+    A body that does not fit into one datagram is sent in blocks. A
+    Request-Tag (RFC 9175) identifies the blocks of one body, because several
+    uploads to one resource may be in progress on the same socket. A large
+    answer is received in blocks with the same ETag.
 
     Attributes:
-        may_run: True once the body was sent to its end; an upstream runs a
-            body in blocks only when it is whole.
+        may_run: True once the last block of the body is about to be sent; an
+            upstream runs a request only after it has the whole body.
     """
 
     def __init__(
         self,
-        endpoint: endpoints.Endpoint,
+        endpoint: endpoint_module.Endpoint,
         request: codec.Message,
         deadline: float,
         silence_s: float,
-        timers: transmissions.Transmission,
+        timers: transmission.Transmission,
         randomness: random.Random,
     ) -> None:
         """Makes a transfer.
 
         Args:
-            endpoint: Where it takes place.
-            request: Code, options and whole body.
-            deadline: Time of the caller's deadline.
-            silence_s: Limit without a sign of the upstream, seconds.
-            timers: Timers of retransmission.
-            randomness: Draws the waits.
+            endpoint: Endpoint on which to send the request.
+            request: Request with its code, options and whole body.
+            deadline: Deadline of the caller.
+            silence_s: Limit without any reply of the upstream, seconds.
+            timers: Retransmission timers.
+            randomness: Randomizes the initial retransmission timeouts.
         """
         self._endpoint = endpoint
         self._request = request
         self._deadline = deadline
-        self._limits = exchanges.WaitLimits(silence_s, deadline)
+        self._limits = exchange.WaitLimits(silence_s, deadline)
         self._timers = timers
         self._randomness = randomness
-        self._exchange: exchanges.Exchange | None = None
+        self._exchange: exchange.Exchange | None = None
         self._abandoned = False
         self.may_run = False
         self._in_blocks = False
 
     def abandon(self) -> None:
-        """Sends nothing more; the present exchange goes on to its end."""
+        """Sends no more requests; the current exchange runs to its end."""
         self._abandoned = True
         if self._exchange is not None:
             self._exchange.abandon()
 
-    async def run(self) -> results.TransferResult:
-        """Runs the transfer to its end."""
+    async def run(self) -> transfer_result.TransferResult:
+        """Sends the request and returns the result of the transfer."""
         result = await self._upload()
-        if result.end is not exchanges.ExchangeEnd.ANSWERED:
-            return self._end_without_answer(result.end)
+        if result.status is not exchange.ExchangeStatus.ANSWERED:
+            return self._make_unanswered_result(result.status)
         answer = result.answer
         assert answer is not None
         if shedding.is_shed(answer):
-            return results.TransferResult(
-                results.TransferEnd.SHED, answer, "shed by the upstream"
+            return transfer_result.TransferResult(
+                transfer_result.TransferStatus.SHED,
+                answer,
+                "shed by the upstream",
             )
         if self._in_blocks and answer.code == _INCOMPLETE:
-            # About blocks of this host, of which the caller knows nothing.
-            return results.TransferResult(
-                results.TransferEnd.NOT_RUN, reason="upstream lost a block"
+            # The caller did not send these blocks and cannot use the answer.
+            return transfer_result.TransferResult(
+                transfer_result.TransferStatus.NOT_RUN,
+                reason="upstream lost a block",
             )
         if answer.code == aiocoap.CONTINUE:
-            return results.TransferResult(
-                results.TransferEnd.UNKNOWN,
+            return transfer_result.TransferResult(
+                transfer_result.TransferStatus.UNKNOWN,
                 reason="asked for more than there is",
             )
         return await self._download(answer)
 
-    async def fetch_rest(self, first: codec.Message) -> codec.Message | None:
-        """Returns a whole answer of which the first block is there.
+    async def fetch_remaining_blocks(
+        self, first: codec.Message
+    ) -> codec.Message | None:
+        """Fetches the remaining blocks of an answer.
+
+        Args:
+            first: Answer with the first block.
 
         Returns:
-            None if it can't be had.
+            The whole answer; None if a block could not be fetched.
         """
         result = await self._download(first)
         return result.answer
 
-    async def _upload(self) -> exchanges.ExchangeResult:
+    async def _upload(self) -> exchange.ExchangeResult:
         body = self._request.payload
-        if len(body) <= _block_octets(_LARGEST_EXPONENT):
+        if len(body) <= _block_octets(_MAX_BLOCK_EXPONENT):
             self.may_run = True
             return await self._exchange_once(
                 requests.copy_message(self._request)
             )
         self._in_blocks = True
         tag = self._endpoint.make_token()
-        exponent = _LARGEST_EXPONENT
+        exponent = _MAX_BLOCK_EXPONENT
         offset = 0
         while True:
             block = self._make_block(tag, offset, exponent)
@@ -145,28 +153,30 @@
             block.opt.size1 = len(body)
         return block
 
-    async def _download(self, first: codec.Message) -> results.TransferResult:
-        for _ in range(_MOST_DOWNLOADS):
+    async def _download(
+        self, first: codec.Message
+    ) -> transfer_result.TransferResult:
+        for _ in range(_MAX_DOWNLOADS):
             block2 = first.opt.block2
             if block2 is None or not block2.more:
-                return self._end_whole(first, first.payload)
+                return self._make_answered_result(first, first.payload)
             body, problem = await self._fetch_blocks(first)
             if body is not None:
-                return self._end_whole(first, body)
+                return self._make_answered_result(first, body)
             if problem != "changed" or self._abandoned:
                 break
             # The resource changed between two blocks. Only a request that
-            # is safe to repeat is begun anew.
+            # is safe to repeat is sent again.
             if self._request.code != aiocoap.GET:
                 break
-            again = await self._exchange_once(
+            repeated = await self._exchange_once(
                 requests.copy_message(self._request)
             )
-            if again.answer is None:
+            if repeated.answer is None:
                 break
-            first = again.answer
-        return results.TransferResult(
-            results.TransferEnd.UNKNOWN,
+            first = repeated.answer
+        return transfer_result.TransferResult(
+            transfer_result.TransferStatus.UNKNOWN,
             reason=f"answer is incomplete: {problem}",
         )
 
@@ -175,11 +185,11 @@
     ) -> tuple[bytes | None, str]:
         body = b""
         answer = first
-        while _continues(first, answer, len(body)):
+        while _is_next_block(first, answer, len(body)):
             body += answer.payload
             if not answer.opt.block2.more:
                 return body, ""
-            if len(body) > _MOST_ANSWER_OCTETS:
+            if len(body) > _MAX_ANSWER_OCTETS:
                 return None, "too large"
             exponent = answer.opt.block2.size_exponent
             number = len(body) // _block_octets(exponent)
@@ -198,53 +208,57 @@
 
     async def _exchange_once(
         self, request: codec.Message
-    ) -> exchanges.ExchangeResult:
+    ) -> exchange.ExchangeResult:
         if self._abandoned:
-            return exchanges.ExchangeResult(exchanges.ExchangeEnd.UNSENT)
+            return exchange.ExchangeResult(exchange.ExchangeStatus.UNSENT)
         left_s = max(0.0, self._deadline - trio.current_time())
         codec.write_deadline_ms(request, int(left_s * 1000))
-        self._exchange = exchanges.Exchange(
+        self._exchange = exchange.Exchange(
             self._endpoint, request, self._timers, self._randomness
         )
         return await self._exchange.run(self._limits)
 
-    def _end_without_answer(
-        self, end: exchanges.ExchangeEnd
-    ) -> results.TransferResult:
-        if end is exchanges.ExchangeEnd.UNSENT:
-            return results.TransferResult(
-                results.TransferEnd.NOT_RUN, reason="not sent"
+    def _make_unanswered_result(
+        self, status: exchange.ExchangeStatus
+    ) -> transfer_result.TransferResult:
+        if status is exchange.ExchangeStatus.UNSENT:
+            return transfer_result.TransferResult(
+                transfer_result.TransferStatus.NOT_RUN, reason="not sent"
             )
-        if end is exchanges.ExchangeEnd.REFUSED:
-            return results.TransferResult(
-                results.TransferEnd.REFUSED,
+        if status is exchange.ExchangeStatus.REFUSED:
+            return transfer_result.TransferResult(
+                transfer_result.TransferStatus.REFUSED,
                 reason="refused by the upstream's host",
             )
         if not self.may_run:
-            return results.TransferResult(
-                results.TransferEnd.NOT_RUN, reason="upload was cut off"
+            return transfer_result.TransferResult(
+                transfer_result.TransferStatus.NOT_RUN,
+                reason="upload was cut off",
             )
-        return results.TransferResult(
-            results.TransferEnd.UNKNOWN, reason="no sign of the upstream"
+        return transfer_result.TransferResult(
+            transfer_result.TransferStatus.UNKNOWN,
+            reason="no sign of the upstream",
         )
 
-    def _end_whole(
+    def _make_answered_result(
         self, first: codec.Message, body: bytes
-    ) -> results.TransferResult:
+    ) -> transfer_result.TransferResult:
         answer = requests.copy_message(first, body)
         del answer.opt.block1
         del answer.opt.block2
         del answer.opt.observe
-        return results.TransferResult(results.TransferEnd.ANSWERED, answer)
+        return transfer_result.TransferResult(
+            transfer_result.TransferStatus.ANSWERED, answer
+        )
 
 
-def _continues(
+def _is_next_block(
     first: codec.Message, answer: codec.Message, offset: int
 ) -> bool:
-    """Tells whether an answer is the block at an offset of the first one's.
+    """Returns whether an answer continues the body of the first answer.
 
-    Guards against an answer put together from two states of a resource, and
-    against a block that brings nothing and is asked for again without end.
+    Prevents an answer from being assembled from two states of a resource, and
+    an endless loop of requests if a block adds no octets.
     """
     block2 = answer.opt.block2
     if block2 is None or block2.start != offset:
@@ -257,4 +271,4 @@
 
 
 def _block_octets(exponent: int) -> int:
-    return 1 << (min(exponent, _LARGEST_EXPONENT) + 4)
+    return 1 << (min(exponent, _MAX_BLOCK_EXPONENT) + 4)
--- a/persimmonhinge/upstreams/transfer_result.py
+++ b/persimmonhinge/upstreams/transfer_result.py
@@ -1,4 +1,4 @@
-"""How a transfer ended."""
+"""The result of a transfer."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from persimmonhinge.upstreams import shedding
 
 
-class TransferEnd(enum.Enum):
+class TransferStatus(enum.Enum):
     """How a transfer ended.
 
-    ANSWERED: The whole answer is there.
+    ANSWERED: The whole answer was received.
     SHED: The upstream refused the request; it did not run.
-    REFUSED: Nothing listens at the address, or it reset the request.
-    NOT_RUN: The request did not reach the upstream as a whole.
-    UNKNOWN: It may have run.
+    REFUSED: No process listens at the address, or it reset the request.
+    NOT_RUN: The upstream did not receive the whole request.
+    UNKNOWN: The request may have run.
     """
 
     ANSWERED = "answered"
@@ -28,27 +28,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TransferResult:
-    """The end of a transfer.
+    """The result of a transfer.
 
     Attributes:
-        end: How it ended.
+        status: How the transfer ended.
         answer: The whole answer for ANSWERED, the refusal for SHED.
-        reason: Why it did not end with an answer, for people.
+        reason: Why there is no answer, as text for operators.
     """
 
-    end: TransferEnd
+    status: TransferStatus
     answer: codec.Message | None = None
     reason: str = ""
 
     @property
     def received(self) -> codec.Message:
-        """What the upstream sent, for an end of ANSWERED or SHED."""
+        """Answer of the upstream; the status must be ANSWERED or SHED."""
         assert self.answer is not None
         return self.answer
 
     @property
     def retry_after_s(self) -> int:
-        """Max-Age of the refusal, seconds; 0 without one."""
-        if self.end is not TransferEnd.SHED or self.answer is None:
+        """Max-Age of the refusal, seconds; 0 for any other status."""
+        if self.status is not TransferStatus.SHED or self.answer is None:
             return 0
         return shedding.read_retry_s(self.answer)
--- a/tests/test_upstreams/fake_upstream.py
+++ b/tests/test_upstreams/fake_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream in memory that does just what a test says."""
+"""A fake upstream in memory that a test controls."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 import trio
 
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.upstreams import arrival
+from persimmonhinge.contracts import contract
+from persimmonhinge.upstreams import upstream_socket
 
-Answer = Callable[["FakeSocket", codec.Message], None]
+RequestHandler = Callable[["FakeSocket", codec.Message], None]
 
 
 class FakeSocket:
-    """A socket of the keeper; what it sends goes to the upstream at once."""
+    """A socket of the keeper that passes datagrams to the upstream at once."""
 
     def __init__(
-        self, upstream: FakeUpstream, address: contracts.Address
+        self, upstream: FakeUpstream, address: contract.Address
     ) -> None:
         self.address = address
         self._upstream = upstream
-        self._send, self._receive = trio.open_memory_channel[arrival.Arrival](
-            math.inf
-        )
+        self._send, self._receive = trio.open_memory_channel[
+            upstream_socket.SocketEvent
+        ](math.inf)
 
     def send(self, data: bytes) -> None:
-        """Gives a datagram to the upstream."""
-        self._upstream.take(self, codec.decode(data))
+        """Passes a datagram to the upstream."""
+        self._upstream.handle_message(self, codec.decode(data))
 
-    async def receive(self) -> list[arrival.Arrival]:
+    async def receive(self) -> list[upstream_socket.SocketEvent]:
         """Returns the next datagram of the upstream."""
         try:
             return [await self._receive.receive()]
@@ -43,69 +43,73 @@
         self._send.close()
 
     def deliver(self, message: codec.Message) -> None:
-        """Gives a message of the upstream to the keeper."""
-        self._send.send_nowait(arrival.Arrival(codec.encode(message)))
+        """Delivers a message of the upstream to the keeper."""
+        self._send.send_nowait(
+            upstream_socket.SocketEvent(codec.encode(message))
+        )
 
     def deliver_data(self, data: bytes, *, refused: bool = False) -> None:
-        """Gives any octets to the keeper."""
-        self._send.send_nowait(arrival.Arrival(data, refused))
+        """Delivers any octets to the keeper."""
+        self._send.send_nowait(upstream_socket.SocketEvent(data, refused))
 
     def refuse(self, message: codec.Message) -> None:
-        """Tells the keeper that ICMP refused a datagram of its own."""
+        """Delivers an ICMP error about a datagram of the keeper."""
         data = codec.encode(message)
-        self._send.send_nowait(arrival.Arrival(data, refused=True))
+        self._send.send_nowait(upstream_socket.SocketEvent(data, refused=True))
 
 
 class FakeUpstream:
-    """Records what the keeper sends and answers by a function.
+    """Records messages of the keeper and answers them with a function.
 
     Attributes:
-        received: All messages, copies included.
-        sockets: All sockets that the keeper opened.
-        answer: Called with each request.
+        received: All received messages, including retransmissions.
+        sockets: All sockets that the keeper has opened.
+        handle_request: Called with each request.
     """
 
-    def __init__(self, answer: Answer | None = None) -> None:
+    def __init__(self, handle_request: RequestHandler | None = None) -> None:
         self.received: list[codec.Message] = []
         self.sockets: list[FakeSocket] = []
-        self.answer: Answer = answer or reply
+        self.handle_request: RequestHandler = handle_request or reply
         self._next_id = 0
 
-    def open(self, address: contracts.Address) -> FakeSocket:
+    def open(self, address: contract.Address) -> FakeSocket:
         """Opens a socket of the keeper."""
         socket = FakeSocket(self, address)
         self.sockets.append(socket)
         return socket
 
-    def take(self, socket: FakeSocket, message: codec.Message) -> None:
-        """Takes in a message of the keeper."""
+    def handle_message(
+        self, socket: FakeSocket, message: codec.Message
+    ) -> None:
+        """Records a message of the keeper and answers a request."""
         self.received.append(message)
         if message.code.is_request():
-            self.answer(socket, message)
+            self.handle_request(socket, message)
 
     def requests(self) -> list[codec.Message]:
-        """Returns the requests, each once."""
+        """Returns the requests without retransmissions."""
         by_id = {m.mid: m for m in self.received if m.code.is_request()}
         return list(by_id.values())
 
-    def replies(self, kind: aiocoap.Type) -> list[codec.Message]:
+    def replies(self, message_type: aiocoap.Type) -> list[codec.Message]:
         """Returns the acknowledgements or resets of the keeper."""
-        return [m for m in self.received if m.mtype is kind]
+        return [m for m in self.received if m.mtype is message_type]
 
     def notify(
         self,
         registration: codec.Message,
         number: int | None,
         payload: bytes,
-        kind: aiocoap.Type = aiocoap.NON,
+        message_type: aiocoap.Type = aiocoap.NON,
         **options: object,
     ) -> None:
-        """Sends a notification on the token of a registration."""
+        """Sends a notification with the token of a registration."""
         message = codec.Message(code=aiocoap.CONTENT, payload=payload)
         message.opt.observe = number
         for name, value in options.items():
             setattr(message.opt, name, value)
-        message.mtype = kind
+        message.mtype = message_type
         self._next_id += 1
         message.mid = self._next_id
         message.token = registration.token
@@ -119,7 +123,7 @@
     payload: bytes = b"",
     **options: object,
 ) -> None:
-    """Answers a request in its acknowledgement."""
+    """Answers a request with a piggybacked response."""
     answer = codec.Message(code=code, payload=payload)
     for name, value in options.items():
         setattr(answer.opt, name, value)
@@ -129,10 +133,12 @@
     socket.deliver(answer)
 
 
-def send_empty(socket: FakeSocket, kind: aiocoap.Type, message_id: int) -> None:
+def send_empty(
+    socket: FakeSocket, message_type: aiocoap.Type, message_id: int
+) -> None:
     """Sends an empty acknowledgement or a reset."""
     message = codec.Message(code=aiocoap.EMPTY)
-    message.mtype = kind
+    message.mtype = message_type
     message.mid = message_id
     socket.deliver(message)
 
@@ -143,7 +149,7 @@
     payload: bytes = b"",
     code: aiocoap.Code = aiocoap.CHANGED,
 ) -> None:
-    """Answers a request by a message of its own."""
+    """Answers a request with a separate response."""
     answer = codec.Message(code=code, payload=payload)
     answer.mtype = aiocoap.CON
     answer.mid = request.mid ^ 0x5555
@@ -151,5 +157,5 @@
     socket.deliver(answer)
 
 
-def swallow(socket: FakeSocket, request: codec.Message) -> None:
-    """Gives no sign."""
+def ignore_request(socket: FakeSocket, request: codec.Message) -> None:
+    """Sends no reply to a request."""
--- a/tests/test_upstreams/test_upstreams_links.py
+++ b/tests/test_upstreams/test_upstreams_links.py
@@ -1,10 +1,10 @@
-"""Tests of a keeper behind real links between two hosts."""
+"""Tests of a keeper with real links between two hosts."""
 
 from __future__ import annotations
 
 import trio
 
-from persimmonhinge.peers import network as networks
+from persimmonhinge.peers import network as network_module
 from persimmonhinge.peers.messages import feeds
 from tests.support import trios
 from tests.test_peers import pairs
@@ -12,16 +12,18 @@
 
 
 @trios.trio_test
-async def test_links_tell_a_closed_call_from_a_lost_one() -> None:
-    """A home closes a feed, another one dies.
+async def test_call_closed_by_the_home_differs_from_a_failed_link() -> None:
+    """A feed must be treated differently if its home closes it or fails.
 
-    The first feed has to end at the upstream at once; the second has to go
-    on until a new home takes it.
+    A feed that its home closes must end at the upstream at once. A feed whose
+    home fails must stay open until a new home takes it over.
     """
     seen: list[bool] = []
     ended = trio.Event()
 
-    async def serve(caller: networks.Caller, message: feeds.FeedOpen) -> None:
+    async def serve(
+        caller: network_module.Caller, message: feeds.FeedOpen
+    ) -> None:
         await caller.push(feeds.FeedEvent(1, b""))
         await caller.wait_closed()
         seen.append(caller.closed_by_caller)
