--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -30,7 +30,7 @@
 from persimmonhinge.forwarding import directory as directories
 from persimmonhinge.forwarding.decisions import candidates
 from persimmonhinge.forwarding.decisions import loads as load_books
-from persimmonhinge.forwarding.peers import audience
+from persimmonhinge.forwarding.peers import report_schedule
 from persimmonhinge.policies import builtin  # noqa: F401
 from persimmonhinge.policies import choice
 from tests.test_forwarding import scene as scenes
@@ -255,7 +255,7 @@
         Where there are many, those of its own domain alone do.
         """
         hosts = self._layout.hosts
-        is_large = len(hosts) > audience.MOST_TOLD_LOADS
+        is_large = len(hosts) > report_schedule.MAX_REMOTE_HOSTS_WITH_LOADS
         return [
             other
             for other, domain in enumerate(hosts)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -26,7 +26,7 @@
 from persimmonhinge.forwarding import follower as followers
 from persimmonhinge.forwarding import settings as forward_settings
 from persimmonhinge.forwarding.peers import channel as channels
-from persimmonhinge.forwarding.peers import following
+from persimmonhinge.forwarding.peers import follower_role
 from persimmonhinge.forwarding.peers import pulls
 from persimmonhinge.forwarding.peers import reporter
 from persimmonhinge.forwarding.peers import service as services
@@ -70,7 +70,7 @@
             adapter.PacketFormat(),
             adapter.EntryFormat(),
         )
-        self.role = following.Following(
+        self.role = follower_role.FollowerRole(
             settings.host,
             domain,
             self.core.peers,
@@ -111,7 +111,7 @@
 
     def count_heard(self) -> int:
         """Returns the hosts of its domain that it hears."""
-        heard = self.core.peers.heard()
+        heard = self.core.peers.list_reporting()
         return sum(peer.domain == self.domain for peer in heard)
 
 
@@ -187,7 +187,7 @@
             return
         if self._is_cut(sender, receiver):
             return
-        receiver.service.take_message(octets, sender.endpoint)
+        receiver.service.handle_datagram(octets, sender.endpoint)
 
     async def run(self) -> None:
         """Runs all hosts until cancelled."""
@@ -251,13 +251,13 @@
             host.prepare()
             host.give_work()
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(host.reporter.tell_near, channel)
-                nursery.start_soon(host.reporter.tell_far, channel)
-                nursery.start_soon(host.service.tell_news, channel)
+                nursery.start_soon(host.reporter.send_local_reports, channel)
+                nursery.start_soon(host.reporter.send_remote_reports, channel)
+                nursery.start_soon(host.service.send_updates, channel)
                 nursery.start_soon(host.follow, store)
                 nursery.start_soon(pulls.SnapshotPuller(host.core).run)
                 nursery.start_soon(
-                    host.service.watch_silence,
+                    host.service.expire_silent_hosts,
                     functools.partial(self._count_silent, host),
                 )
 
--- a/benchmarks/forwarding.py
+++ b/benchmarks/forwarding.py
@@ -24,8 +24,8 @@
 from persimmonhinge.forwarding import reading
 from persimmonhinge.forwarding import tracker as trackers
 from persimmonhinge.forwarding import upstream as upstreams
-from persimmonhinge.forwarding.peers import book as books
 from persimmonhinge.forwarding.peers import messages
+from persimmonhinge.forwarding.peers import peer_table as books
 from persimmonhinge.metrics import counts as host_counts
 from persimmonhinge.platform import adapter
 from persimmonhinge.platform import entries
@@ -104,10 +104,10 @@
         for number in range(_LINES)
     )
     scene = make_scene(7)
-    book = books.PeerBook(
+    book = books.PeerTable(
         flows.Endpoint("10.0.0.1", 1), scene.loads, scene.suspicions
     )
-    decoder = msgspec.msgpack.Decoder(messages.Report | messages.News)
+    decoder = msgspec.msgpack.Decoder(messages.Report | messages.EntryUpdate)
 
     def make(number: int) -> bytes:
         report = messages.Report(
@@ -128,7 +128,7 @@
     def take(number: int) -> None:
         message = decoder.decode(packed[number])
         assert isinstance(message, messages.Report)
-        book.take(flows.Endpoint("10.0.0.2", 1), message, float(number))
+        book.apply_report(flows.Endpoint("10.0.0.2", 1), message, float(number))
 
     packed = [make(number) for number in range(_REPEATS)]
     return {
--- a/benchmarks/host_cost.py
+++ b/benchmarks/host_cost.py
@@ -83,7 +83,7 @@
     """Plays a fleet until it is settled, and counts from then on."""
     fleet = fleets.Fleet(hosts, domains, _SEED)
     for host in fleet.hosts:
-        heard = costs.count_heard(host.service.take_message)
+        heard = costs.count_heard(host.service.handle_datagram)
         setattr(host.service, HEARD, heard)
     async with fleets.run_fleet(fleet):
         await trio.sleep(_SETTLE_S)
--- a/benchmarks/long_state.py
+++ b/benchmarks/long_state.py
@@ -31,9 +31,9 @@
 from persimmonhinge.forwarding import flow as flows
 from persimmonhinge.forwarding import upstream as upstreams
 from persimmonhinge.forwarding.peers import channel as channels
-from persimmonhinge.forwarding.peers import following
+from persimmonhinge.forwarding.peers import entry_updates as news_packs
+from persimmonhinge.forwarding.peers import follower_role
 from persimmonhinge.forwarding.peers import messages
-from persimmonhinge.forwarding.peers import news as news_packs
 from persimmonhinge.forwarding.peers import pulls
 from persimmonhinge.forwarding.peers import reporter
 from persimmonhinge.forwarding.peers import snapshot_server
@@ -162,12 +162,14 @@
             return
         core = self._by_address[address.host].core
         message = msgspec.msgpack.decode(
-            octets, type=messages.Report | messages.News
+            octets, type=messages.Report | messages.EntryUpdate
         )
-        if isinstance(message, messages.News):
+        if isinstance(message, messages.EntryUpdate):
             core.entries.take_news(message, sender.address)
         else:
-            core.peers.take(sender.endpoint, message, trio.current_time())
+            core.peers.apply_report(
+                sender.endpoint, message, trio.current_time()
+            )
 
     async def connect(self, address: str, port: int) -> LinkStream:
         """Opens a connection to a host, in place of one over TCP."""
@@ -221,12 +223,12 @@
             port.WatchEvent(_KEY, readers.make_entry(), 20),
         ):
             core.entries.take_batch([event])
-        role = following.Following(
+        role = follower_role.FollowerRole(
             core.settings.host, "north", core.peers, core.knowledge, 3.2, 0.0
         )
         tell = reporter.Reporter(core, role)
-        nursery.start_soon(tell.tell_near, Channel(self, host))
-        nursery.start_soon(tell.tell_far, Channel(self, host))
+        nursery.start_soon(tell.send_local_reports, Channel(self, host))
+        nursery.start_soon(tell.send_remote_reports, Channel(self, host))
         nursery.start_soon(pulls.SnapshotPuller(core).run)
 
     async def _tell(
@@ -237,9 +239,9 @@
         entries.take_batch([port.WatchEvent(key, value, revision)])
         first.look()
         lines = [line for line in entries.make_snapshot(before, ()).entries]
-        for news in news_packs.split_news(before, True, lines):
+        for news in news_packs.split_into_updates(before, True, lines):
             if key == entries.state_key:
-                news = news_packs.leave_state_out(news, key)
+                news = news_packs.omit_desired_state(news, key)
             octets = msgspec.msgpack.encode(news)
             others = [host.endpoint for host in self._hosts[1:]]
             await Channel(self, first).send_all(octets, others)
@@ -299,7 +301,7 @@
             runs.append(await run.run())
 
     limit = arguments.at_a_time
-    with mock.patch.object(snapshot_server, "_MOST_LONG", limit):
+    with mock.patch.object(snapshot_server, "_MAX_LONG_ANSWERS", limit):
         for seed in range(1, arguments.seeds + 1):
             trios.run_in_order(seed, functools.partial(play, seed))
     figures = {
--- a/benchmarks/reports.py
+++ b/benchmarks/reports.py
@@ -115,7 +115,9 @@
 async def _lose_follower(fleet: fleets.Fleet) -> dict[str, float]:
     """Has the host that follows lose power as an upstream enters itself."""
     follower = next(
-        host for host in fleet.hosts if host.role.is_due(trio.current_time())
+        host
+        for host in fleet.hosts
+        if host.role.should_follow(trio.current_time())
     )
     fleet.stop(follower)
     calls = sum(fleet.store.calls.values())
--- a/persimmonhinge/forwarding/application.py
+++ b/persimmonhinge/forwarding/application.py
@@ -12,7 +12,7 @@
 from persimmonhinge.forwarding import gauges
 from persimmonhinge.forwarding import settings as forward_settings
 from persimmonhinge.forwarding import wake_up
-from persimmonhinge.forwarding.peers import following as following_parts
+from persimmonhinge.forwarding.peers import follower_role as following_parts
 from persimmonhinge.forwarding.peers import service as peer_services
 from persimmonhinge.metrics import host_pages
 from persimmonhinge.metrics import page
@@ -47,7 +47,7 @@
         self._stopping = trio.Event()
         self._received_at = 0.0
         self._packets_came = wake_up.WakeUp()
-        self._following = following_parts.Following(
+        self._following = following_parts.FollowerRole(
             self._settings.host,
             self._settings.domain,
             core.peers,
--- a/persimmonhinge/forwarding/core.py
+++ b/persimmonhinge/forwarding/core.py
@@ -17,7 +17,7 @@
 from persimmonhinge.forwarding.decisions import loads as load_books
 from persimmonhinge.forwarding.decisions import openings as opening_lists
 from persimmonhinge.forwarding.decisions import suspicions as suspicion_lists
-from persimmonhinge.forwarding.peers import book as peer_books
+from persimmonhinge.forwarding.peers import peer_table as peer_books
 from persimmonhinge.light_typing import TYPE_CHECKING
 from persimmonhinge.metrics import counts as host_counts
 from persimmonhinge.policies import choice
@@ -79,7 +79,7 @@
         self.tracker = trackers.FlowTracker(
             flow_tables.FlowTable(_MOST_FLOWS), self.loads, self.counts
         )
-        self.peers = peer_books.PeerBook(
+        self.peers = peer_books.PeerTable(
             flows.Endpoint(settings.own_address, settings.report_port),
             self.loads,
             self.suspicions,
@@ -93,7 +93,9 @@
             eligibility.Eligibility(
                 self.knowledge,
                 self.suspicions,
-                cold_shares.ColdShares(settings.host, self.peers.list_hosts),
+                cold_shares.ColdShares(
+                    settings.host, self.peers.list_host_names
+                ),
                 settings.domain_regions(),
             ),
             choice.choices.get(settings.choice)(randomness),
--- a/persimmonhinge/forwarding/follower.py
+++ b/persimmonhinge/forwarding/follower.py
@@ -11,7 +11,7 @@
 
 from persimmonhinge import errors
 from persimmonhinge.forwarding import reading
-from persimmonhinge.forwarding.peers import following as following_parts
+from persimmonhinge.forwarding.peers import follower_role as following_parts
 from persimmonhinge.store import port
 
 logger = logging.getLogger(__name__)
@@ -52,7 +52,7 @@
         self,
         store: port.PlatformReader,
         entries: reading.Entries,
-        following: following_parts.Following,
+        following: following_parts.FollowerRole,
         gather_s: float,
     ) -> None:
         """Makes the part; nothing is read before `run`.
@@ -77,7 +77,7 @@
             await self._read_once()
         await trio.sleep(_HEAR_S)
         while True:
-            if not self._following.is_due(time.monotonic()):
+            if not self._following.should_follow(time.monotonic()):
                 await self._wait_for_turn()
                 continue
             logger.info("Follows the store.")
@@ -101,13 +101,13 @@
         Only where it is next to follow: any other would spend a call on what
         it will find out once it is its turn.
         """
-        if not self._following.is_next():
+        if not self._following.is_selected():
             self._following.reaches_store = True
         if self._following.reaches_store:
             await self._following.wait_for_change(time.monotonic())
             return
         with trio.move_on_after(_ASK_AGAIN_S):
-            while not self._following.is_due(time.monotonic()):
+            while not self._following.should_follow(time.monotonic()):
                 await trio.sleep(_CHECK_S)
             return
         try:
@@ -121,7 +121,7 @@
         due_at = time.monotonic()
         while time.monotonic() - due_at < _STAND_DOWN_S:
             await trio.sleep(_CHECK_S)
-            if self._following.is_due(time.monotonic()):
+            if self._following.should_follow(time.monotonic()):
                 due_at = time.monotonic()
 
     async def _follow_always(self) -> None:
@@ -145,9 +145,9 @@
         the first that is answered tells the others, which go on following for
         a moment.
         """
-        if self._following.is_told_since(failed_at, time.monotonic()):
+        if self._following.is_confirmed_since(failed_at, time.monotonic()):
             logger.info("Does not call the store: another host reached it.")
-        while self._following.is_told_since(failed_at, time.monotonic()):
+        while self._following.is_confirmed_since(failed_at, time.monotonic()):
             await trio.sleep(_CHECK_S)
 
     async def _follow(self) -> None:
@@ -169,7 +169,7 @@
         Guards against a store that is kept down by the calls of all hosts: the
         more there are in a failure domain, the longer each of them waits.
         """
-        shared_s = self._following.count_domain() * _SHARED_RETRY_S
+        shared_s = self._following.count_domain_hosts() * _SHARED_RETRY_S
         longest_s = max(_LAST_RETRY_S, shared_s)
         doublings = min(self._failures, _DOUBLINGS)
         self._failures += 1
--- a/persimmonhinge/forwarding/gauges.py
+++ b/persimmonhinge/forwarding/gauges.py
@@ -6,11 +6,11 @@
 import time
 
 from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding.peers import following as following_parts
+from persimmonhinge.forwarding.peers import follower_role as following_parts
 
 
 def watch_gauges(
-    core: cores.ForwardCore, following: following_parts.Following
+    core: cores.ForwardCore, following: following_parts.FollowerRole
 ) -> None:
     """Has the metrics page read the gauges of a host.
 
@@ -21,14 +21,16 @@
     domain = core.settings.domain
 
     def count_near() -> float:
-        return sum(peer.domain == domain for peer in core.peers.heard())
+        return sum(
+            peer.domain == domain for peer in core.peers.list_reporting()
+        )
 
     def compute_report_age() -> float:
         now = time.monotonic()
         ages = [
-            now - peer.heard_at
-            for peer in core.peers.heard()
-            if peer.domain == domain and peer.heard_at is not None
+            now - peer.last_report_at
+            for peer in core.peers.list_reporting()
+            if peer.domain == domain and peer.last_report_at is not None
         ]
         return max(ages, default=0.0)
 
@@ -39,13 +41,14 @@
         return time.monotonic() - confirmed_at
 
     counts = core.counts
-    counts.watch("hosts_heard", lambda: len(core.peers.heard()))
+    counts.watch("hosts_heard", lambda: len(core.peers.list_reporting()))
     counts.watch("hosts_heard_in_domain", count_near)
     counts.watch("oldest_report_age_seconds", compute_report_age)
     counts.watch("knowledge_age_seconds", compute_knowledge_age)
     counts.watch("store_revision", lambda: core.entries.revision)
     counts.watch(
-        "follows_store", lambda: float(following.is_due(time.monotonic()))
+        "follows_store",
+        lambda: float(following.should_follow(time.monotonic())),
     )
     counts.watch("domains_evacuated", lambda: len(core.knowledge.evacuated))
     counts.watch(
--- a/persimmonhinge/forwarding/peers/channel.py
+++ b/persimmonhinge/forwarding/peers/channel.py
@@ -7,8 +7,8 @@
 
 import trio
 
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.forwarding import flow
+from persimmonhinge.metrics import counts as counts_module
 
 logger = logging.getLogger(__name__)
 
@@ -17,14 +17,14 @@
     """Sends datagrams; one that can't be sent is counted and dropped."""
 
     def __init__(
-        self, bound: trio.socket.SocketType, counts: host_counts.Counts
+        self, bound_socket: trio.socket.SocketType, counts: counts_module.Counts
     ) -> None:
         """Takes over a bound socket."""
-        self._socket = bound
+        self._socket = bound_socket
         self._counts = counts
 
     async def send_all(
-        self, octets: bytes, addresses: Iterable[flows.Endpoint]
+        self, octets: bytes, addresses: Iterable[flow.Endpoint]
     ) -> None:
         """Sends one datagram to each address."""
         for address in addresses:
--- a/persimmonhinge/forwarding/peers/codec.py
+++ b/persimmonhinge/forwarding/peers/codec.py
@@ -15,12 +15,12 @@
 
 # Messages of more octets than this are compressed: those that fit into one
 # packet anyway gain nothing.
-_PLAIN_OCTETS = 1_000
+_MAX_UNCOMPRESSED_OCTETS = 1_000
 # The fastest level of zlib.
-_LEVEL = 1
+_COMPRESSION_LEVEL = 1
 # Octets of a message that was compressed: a value of the store takes up to a
 # megabyte, and the entries of all upstreams as much.
-_MOST_OCTETS = 4_000_000
+_MAX_DECOMPRESSED_OCTETS = 4_000_000
 
 
 class MessageCodec(Generic[M]):
@@ -39,15 +39,19 @@
             message_type: The type of messages, or the union of types.
         """
         self._encoder = msgspec.msgpack.Encoder()
-        self._plain = msgspec.msgpack.Decoder(message_type)
-        self._any = msgspec.msgpack.Decoder(message_type | messages.Packed)
+        self._uncompressed_decoder = msgspec.msgpack.Decoder(message_type)
+        self._decoder = msgspec.msgpack.Decoder(
+            message_type | messages.CompressedMessage
+        )
 
     def encode(self, message: M) -> bytes:
         """Writes a message, compressed if it is long."""
         octets = self._encoder.encode(message)
-        if len(octets) <= _PLAIN_OCTETS:
+        if len(octets) <= _MAX_UNCOMPRESSED_OCTETS:
             return octets
-        packed = messages.Packed(zlib.compress(octets, _LEVEL))
+        packed = messages.CompressedMessage(
+            zlib.compress(octets, _COMPRESSION_LEVEL)
+        )
         return self._encoder.encode(packed)
 
     def decode(self, octets: bytes | bytearray) -> M:
@@ -56,13 +60,17 @@
         Raises:
             msgspec.MsgspecError: It can't be read.
         """
-        message = self._any.decode(octets)
-        if isinstance(message, messages.Packed):
-            return self._plain.decode(_decompress(message.octets))
+        message = self._decoder.decode(octets)
+        if isinstance(message, messages.CompressedMessage):
+            return self._uncompressed_decoder.decode(
+                _decompress(message.octets)
+            )
         return message
 
 
-SNAPSHOTS: MessageCodec[messages.Snapshot] = MessageCodec(messages.Snapshot)
+SNAPSHOT_CODEC: MessageCodec[messages.Snapshot] = MessageCodec(
+    messages.Snapshot
+)
 
 
 def _decompress(octets: bytes) -> bytes:
@@ -72,9 +80,11 @@
     """
     stream = zlib.decompressobj()
     try:
-        found = stream.decompress(octets, _MOST_OCTETS)
+        found = stream.decompress(octets, _MAX_DECOMPRESSED_OCTETS)
     except zlib.error as error:
         raise msgspec.DecodeError(f"not compressed: {error}") from error
     if not stream.eof:
-        raise msgspec.DecodeError(f"cut short, or over {_MOST_OCTETS} octets")
+        raise msgspec.DecodeError(
+            f"cut short, or over {_MAX_DECOMPRESSED_OCTETS} octets"
+        )
     return found
--- a/persimmonhinge/forwarding/peers/early_pull.py
+++ b/persimmonhinge/forwarding/peers/early_pull.py
@@ -5,14 +5,14 @@
 import msgspec
 
 from persimmonhinge import draws
-from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding.peers import codec as codecs
+from persimmonhinge.forwarding import core as core_module
+from persimmonhinge.forwarding.peers import codec
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.forwarding.peers import pull_attempt
 from persimmonhinge.store import blocking_transport
 
 
-def pull_from_seeds(core: cores.ForwardCore) -> None:
+def pull_from_seeds(core: core_module.ForwardCore) -> None:
     """Takes in what one of the hosts of the settings knows.
 
     Guards against a host that is started while the store is away: it would
@@ -31,25 +31,27 @@
             continue
         attempt = pull_attempt.PullAttempt(core, host)
         try:
-            blocking_transport.run(_exchange(core, attempt))
-            snapshot = codecs.SNAPSHOTS.decode(attempt.octets)
+            blocking_transport.run(_request_snapshot(core, attempt))
+            snapshot = codec.SNAPSHOT_CODEC.decode(attempt.octets)
         except (OSError, msgspec.MsgspecError) as error:
             attempt.record_failure(error)
             continue
-        attempt.take(snapshot)
+        attempt.apply_snapshot(snapshot)
         if core.knowledge.is_complete():
             return
 
 
-async def _exchange(
-    core: cores.ForwardCore, attempt: pull_attempt.PullAttempt
+async def _request_snapshot(
+    core: core_module.ForwardCore, attempt: pull_attempt.PullAttempt
 ) -> None:
     """Asks a host for all that it knows."""
     settings = core.settings
     transport = blocking_transport.BlockingTransport(
         attempt.host, settings.snapshot_port
     )
-    request = messages.PullRequest(core.entries.revision, packed=True)
+    request = messages.PullRequest(
+        core.entries.revision, accepts_compression=True
+    )
 
     async def ask() -> None:
         await transport.open()
--- a/persimmonhinge/forwarding/peers/messages.py
+++ b/persimmonhinge/forwarding/peers/messages.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from persimmonhinge.forwarding import entry_line as entry_lines
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import load_line as load_lines
+from persimmonhinge.forwarding import entry_line
+from persimmonhinge.forwarding import flow
+from persimmonhinge.forwarding import load_line
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, tag="report"):
@@ -39,16 +39,16 @@
     age_ms: int
     leaving: bool
     reaches_store: bool
-    loads: tuple[load_lines.LoadLine, ...]
-    peers: tuple[flows.Endpoint, ...]
+    loads: tuple[load_line.LoadLine, ...]
+    peers: tuple[flow.Endpoint, ...]
     upstreams_revision: int = 0
 
-    def known_upstreams(self) -> int:
+    def compute_upstreams_revision(self) -> int:
         """Returns the revision that its upstreams are complete to."""
         return max(self.revision, self.upstreams_revision)
 
 
-class News(msgspec.Struct, frozen=True, array_like=True, tag="news"):
+class EntryUpdate(msgspec.Struct, frozen=True, array_like=True, tag="news"):
     """Entries that the store has just told a host, as one datagram.
 
     Attributes:
@@ -63,11 +63,11 @@
             to this revision.
     """
 
-    after: int
-    upto: int
-    settled: bool
-    entries: tuple[entry_lines.EntryLine, ...]
-    upstreams_upto: int = 0
+    base_revision: int
+    revision: int
+    is_absence_final: bool
+    entries: tuple[entry_line.EntryLine, ...]
+    upstreams_revision: int = 0
 
 
 class PullRequest(msgspec.Struct, frozen=True, array_like=True, tag="pull"):
@@ -80,13 +80,15 @@
         may_be_refused: Whether the host understands a refusal.
     """
 
-    since: int
-    packed: bool = False
-    short: bool = False
-    may_be_refused: bool = False
+    after_revision: int
+    accepts_compression: bool = False
+    omits_long_state: bool = False
+    accepts_refusal: bool = False
 
 
-class Packed(msgspec.Struct, frozen=True, array_like=True, tag="packed"):
+class CompressedMessage(
+    msgspec.Struct, frozen=True, array_like=True, tag="packed"
+):
     """Another message that is compressed.
 
     Attributes:
@@ -114,9 +116,9 @@
     """
 
     revision: int
-    settled: bool
-    entries: tuple[entry_lines.EntryLine, ...]
-    peers: tuple[flows.Endpoint, ...]
-    whole: bool = False
-    state_revision: int = 0
+    is_absence_final: bool
+    entries: tuple[entry_line.EntryLine, ...]
+    peers: tuple[flow.Endpoint, ...]
+    lists_all_entries: bool = False
+    omitted_state_revision: int = 0
     busy: bool = False
--- a/persimmonhinge/forwarding/peers/pulls.py
+++ b/persimmonhinge/forwarding/peers/pulls.py
@@ -8,28 +8,28 @@
 import msgspec
 import trio
 
-from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding import flow as flows
+from persimmonhinge.forwarding import core as core_module
+from persimmonhinge.forwarding import flow
 from persimmonhinge.forwarding import wake_up
-from persimmonhinge.forwarding.peers import book as books
-from persimmonhinge.forwarding.peers import codec as codecs
+from persimmonhinge.forwarding.peers import codec
 from persimmonhinge.forwarding.peers import messages
+from persimmonhinge.forwarding.peers import peer_table
 from persimmonhinge.forwarding.peers import pull_attempt
 
 # How long a host may send no octets before the pull is given up, seconds.
-_SILENCE_S = 1.0
+_RECEIVE_TIMEOUT_S = 1.0
 # Longest pull, seconds.
-_LONGEST_S = 5.0
+_MAX_PULL_S = 5.0
 # How far behind a host may be before it pulls from one that is ahead: news
 # bring the same within some milliseconds, seconds.
-_BEHIND_S = 0.25
-_AHEAD_CHECK_S = 0.05
+_MIN_LAG_S = 0.25
+_CHECK_INTERVAL_S = 0.05
 # How long a host that refused is not asked again, seconds; by then those that
 # it gave the desired state to can give it, too.
-_BUSY_S = 0.2
+_REFUSAL_BACKOFF_S = 0.2
 # The same for one that did not answer, seconds: long enough to ask others that
 # are ahead, and short against the limits of a drain.
-_FAILED_S = 1.0
+_FAILURE_BACKOFF_S = 1.0
 
 
 class SnapshotPuller:
@@ -39,27 +39,27 @@
     another task, so that no change of an upstream waits for it.
     """
 
-    def __init__(self, core: cores.ForwardCore) -> None:
+    def __init__(self, core: core_module.ForwardCore) -> None:
         """Makes the part; nothing is pulled before `run`."""
         self._core = core
-        self._book = core.peers
+        self._peers = core.peers
         self._port = core.settings.snapshot_port
         self._behind_since: float | None = None
         self._may_be_behind = wake_up.WakeUp()
-        self._may_lack_state = wake_up.WakeUp()
-        core.peers.listen(self._look)
-        core.entries.completeness.tell_lack = self._may_lack_state.set
-        self._avoided_until: dict[flows.Endpoint, float] = {}
+        self._state_may_be_missing = wake_up.WakeUp()
+        core.peers.add_listener(self._wake_tasks)
+        core.entries.completeness.tell_lack = self._state_may_be_missing.set
+        self._excluded_until: dict[flow.Endpoint, float] = {}
 
     async def run(self) -> None:
         """Pulls what is missing until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._pull_upstreams)
-            nursery.start_soon(self._pull_states)
+            nursery.start_soon(self._pull_desired_states)
 
-    def _look(self) -> None:
+    def _wake_tasks(self) -> None:
         self._may_be_behind.set()
-        self._may_lack_state.set()
+        self._state_may_be_missing.set()
 
     async def _pull_upstreams(self) -> None:
         """Pulls a short snapshot when another host has newer entries.
@@ -70,9 +70,9 @@
         """
         entries = self._core.entries
         while True:
-            await trio.sleep(_AHEAD_CHECK_S)
-            avoided = self._list_avoided()
-            ahead = self._book.find_ahead_in_upstreams(
+            await trio.sleep(_CHECK_INTERVAL_S)
+            avoided = self._list_excluded()
+            ahead = self._peers.find_ahead_in_upstreams(
                 entries.completeness.upstreams_revision, avoided
             )
             now = trio.current_time()
@@ -83,74 +83,78 @@
                 continue
             if self._behind_since is None:
                 self._behind_since = now
-            if self._is_due(now):
-                await self._pull_short(ahead)
+            if self._should_pull_upstreams(now):
+                await self._pull_short_snapshot(ahead)
                 self._behind_since = trio.current_time()
 
-    def _is_due(self, now: float) -> bool:
+    def _should_pull_upstreams(self, now: float) -> bool:
         if not self._core.knowledge.is_complete():
             return True
         behind_since = self._behind_since
-        return behind_since is not None and now - behind_since > _BEHIND_S
+        return behind_since is not None and now - behind_since > _MIN_LAG_S
 
-    async def _pull_states(self) -> None:
+    async def _pull_desired_states(self) -> None:
         """Pulls a whole snapshot while a long desired state is missing."""
         entries = self._core.entries
         while True:
-            await trio.sleep(_AHEAD_CHECK_S * random.uniform(0.5, 1.5))
+            await trio.sleep(_CHECK_INTERVAL_S * random.uniform(0.5, 1.5))
             if not entries.completeness.lacks_state():
-                await self._may_lack_state.wait()
+                await self._state_may_be_missing.wait()
                 continue
-            ahead = self._book.find_ahead(
-                entries.revision, self._list_avoided()
+            ahead = self._peers.find_ahead(
+                entries.revision, self._list_excluded()
             )
             if ahead is not None:
-                await self._pull_whole(ahead)
+                await self._pull_full_snapshot(ahead)
 
-    def _avoid(self, peer: books.Peer, time_s: float) -> None:
-        self._avoided_until[peer.address] = trio.current_time() + time_s
+    def _exclude(self, peer: peer_table.Peer, backoff_s: float) -> None:
+        self._excluded_until[peer.address] = trio.current_time() + backoff_s
 
-    def _list_avoided(self) -> set[flows.Endpoint]:
+    def _list_excluded(self) -> set[flow.Endpoint]:
         """Returns the hosts that are not to be asked now.
 
         Guards against a host that told of the newest entries and died: its
         report counts for some seconds, in which it alone would be asked.
         """
         now = trio.current_time()
-        self._avoided_until = {
+        self._excluded_until = {
             address: until
-            for address, until in self._avoided_until.items()
+            for address, until in self._excluded_until.items()
             if until > now
         }
-        return set(self._avoided_until)
+        return set(self._excluded_until)
 
-    async def _pull_short(self, peer: books.Peer) -> None:
+    async def _pull_short_snapshot(self, peer: peer_table.Peer) -> None:
         since = self._core.entries.completeness.upstreams_revision
-        request = messages.PullRequest(since, packed=True, short=True)
+        request = messages.PullRequest(
+            since, accepts_compression=True, omits_long_state=True
+        )
         attempt = pull_attempt.PullAttempt(self._core, peer.address.host)
-        snapshot = await self._ask(peer, request, attempt)
+        snapshot = await self._request_snapshot(peer, request, attempt)
         if snapshot is None:
             return
-        attempt.take_short(snapshot)
+        attempt.apply_short_snapshot(snapshot)
         self._add_peers(snapshot)
 
-    async def _pull_whole(self, peer: books.Peer) -> None:
+    async def _pull_full_snapshot(self, peer: peer_table.Peer) -> None:
         since = self._core.entries.revision
-        request = messages.PullRequest(since, packed=True, may_be_refused=True)
+        request = messages.PullRequest(
+            since, accepts_compression=True, accepts_refusal=True
+        )
         attempt = pull_attempt.PullAttempt(self._core, peer.address.host)
-        snapshot = await self._ask(peer, request, attempt)
+        snapshot = await self._request_snapshot(peer, request, attempt)
         if snapshot is None:
             return
         if snapshot.busy:
             attempt.record_refusal()
-            self._avoid(peer, _BUSY_S)
+            self._exclude(peer, _REFUSAL_BACKOFF_S)
             return
-        attempt.take(snapshot)
+        attempt.apply_snapshot(snapshot)
         self._add_peers(snapshot)
 
-    async def _ask(
+    async def _request_snapshot(
         self,
-        peer: books.Peer,
+        peer: peer_table.Peer,
         request: messages.PullRequest,
         attempt: pull_attempt.PullAttempt,
     ) -> messages.Snapshot | None:
@@ -161,9 +165,9 @@
         the next one would be as slow.
         """
         try:
-            with trio.fail_after(_LONGEST_S):
+            with trio.fail_after(_MAX_PULL_S):
                 await self._receive(request, attempt)
-            return codecs.SNAPSHOTS.decode(attempt.octets)
+            return codec.SNAPSHOT_CODEC.decode(attempt.octets)
         except (
             OSError,
             trio.BrokenResourceError,
@@ -171,7 +175,7 @@
             msgspec.MsgspecError,
         ) as error:
             attempt.record_failure(error)
-            self._avoid(peer, _FAILED_S)
+            self._exclude(peer, _FAILURE_BACKOFF_S)
             return None
 
     async def _receive(
@@ -179,15 +183,15 @@
         request: messages.PullRequest,
         attempt: pull_attempt.PullAttempt,
     ) -> None:
-        with trio.fail_after(_SILENCE_S) as silence:
+        with trio.fail_after(_RECEIVE_TIMEOUT_S) as silence:
             stream = await trio.open_tcp_stream(attempt.host, self._port)
             async with stream:
                 await stream.send_all(msgspec.msgpack.encode(request))
                 async for data in stream:
                     attempt.octets += data
-                    silence.deadline = trio.current_time() + _SILENCE_S
+                    silence.deadline = trio.current_time() + _RECEIVE_TIMEOUT_S
 
     def _add_peers(self, snapshot: messages.Snapshot) -> None:
         now = time.monotonic()
         for named in snapshot.peers:
-            self._book.add(named, now)
+            self._peers.add(named, now)
--- a/persimmonhinge/forwarding/peers/snapshot_server.py
+++ b/persimmonhinge/forwarding/peers/snapshot_server.py
@@ -8,24 +8,24 @@
 import msgspec
 import trio
 
-from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding.peers import codec as codecs
+from persimmonhinge.forwarding import core as core_module
+from persimmonhinge.forwarding.peers import codec
 from persimmonhinge.forwarding.peers import messages
 
 logger = logging.getLogger(__name__)
 
 # How long a host may take no octets before it gets no more, seconds.
-_SILENCE_S = 1.0
-_REQUEST_OCTETS = 64
+_IO_TIMEOUT_S = 1.0
+_MAX_REQUEST_OCTETS = 64
 _CHUNK_OCTETS = 16_384
 # An answer of more octets counts as long.
-_LONG_OCTETS = 16_384
+_LONG_ANSWER_OCTETS = 16_384
 # Hosts that a snapshot names.
-_NAMED_PEERS = 32
+_MAX_NAMED_PEERS = 32
 # Hosts that get a long desired state at a time. The fewer, the sooner the first
 # of them can give it to others; with one, a host that freezes while it takes
 # octets would keep it from all for the time of silence.
-_MOST_LONG = 2
+_MAX_LONG_ANSWERS = 2
 
 
 class SnapshotServer:
@@ -37,10 +37,10 @@
     at once, and ask again where somebody has it by then.
     """
 
-    def __init__(self, core: cores.ForwardCore) -> None:
+    def __init__(self, core: core_module.ForwardCore) -> None:
         """Makes the part; nothing is answered before `run`."""
         self._core = core
-        self._long = 0
+        self._long_answers = 0
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -75,7 +75,7 @@
         """
         answer = b""
         try:
-            with trio.fail_after(_SILENCE_S):
+            with trio.fail_after(_IO_TIMEOUT_S):
                 request = await _receive_request(stream)
             answer = self._make_answer(request)
             await self._send(stream, answer)
@@ -97,38 +97,42 @@
         Hosts of earlier releases would take a refusal for a snapshot, so they
         are never refused.
         """
-        is_full = self._long >= _MOST_LONG and request.may_be_refused
-        if is_full and self._is_long(request):
+        is_full = (
+            self._long_answers >= _MAX_LONG_ANSWERS and request.accepts_refusal
+        )
+        if is_full and self._needs_long_state(request):
             snapshot = messages.Snapshot(0, True, (), (), busy=True)
         else:
             snapshot = self._make_snapshot(request)
-        if request.packed:
-            return codecs.SNAPSHOTS.encode(snapshot)
+        if request.accepts_compression:
+            return codec.SNAPSHOT_CODEC.encode(snapshot)
         return msgspec.msgpack.encode(snapshot)
 
-    def _is_long(self, request: messages.PullRequest) -> bool:
+    def _needs_long_state(self, request: messages.PullRequest) -> bool:
         entries = self._core.entries
-        return not request.short and entries.has_long_state_since(request.since)
+        return not request.omits_long_state and entries.has_long_state_since(
+            request.after_revision
+        )
 
     def _make_snapshot(
         self, request: messages.PullRequest
     ) -> messages.Snapshot:
         entries = self._core.entries
-        named = self._core.peers.pick_addresses(_NAMED_PEERS)
-        if request.short:
-            return entries.make_short_snapshot(request.since, named)
-        return entries.make_snapshot(request.since, named)
+        named = self._core.peers.sample_addresses(_MAX_NAMED_PEERS)
+        if request.omits_long_state:
+            return entries.make_short_snapshot(request.after_revision, named)
+        return entries.make_snapshot(request.after_revision, named)
 
     async def _send(self, stream: trio.abc.Stream, answer: bytes) -> None:
         """Sends an answer to a host for as long as it takes octets."""
-        is_long = len(answer) > _LONG_OCTETS
-        self._long += is_long
+        is_long = len(answer) > _LONG_ANSWER_OCTETS
+        self._long_answers += is_long
         try:
             for start in range(0, len(answer), _CHUNK_OCTETS):
-                with trio.fail_after(_SILENCE_S):
+                with trio.fail_after(_IO_TIMEOUT_S):
                     await stream.send_all(answer[start : start + _CHUNK_OCTETS])
         finally:
-            self._long -= is_long
+            self._long_answers -= is_long
 
 
 async def _receive_request(stream: trio.abc.Stream) -> messages.PullRequest:
@@ -138,8 +142,8 @@
         msgspec.MsgspecError: The peer sent none.
     """
     octets = bytearray()
-    while len(octets) < _REQUEST_OCTETS:
-        data = await stream.receive_some(_REQUEST_OCTETS - len(octets))
+    while len(octets) < _MAX_REQUEST_OCTETS:
+        data = await stream.receive_some(_MAX_REQUEST_OCTETS - len(octets))
         if not data:
             break
         octets += data
--- a/persimmonhinge/forwarding/reading.py
+++ b/persimmonhinge/forwarding/reading.py
@@ -143,30 +143,32 @@
         """Tells whether entries that are not there are gone."""
         return self._knowledge.trust.holds(time.monotonic())
 
-    def take_news(self, news: messages.News, source: str) -> None:
+    def take_news(self, news: messages.EntryUpdate, source: str) -> None:
         """Takes in changes that another host was told by the store.
 
         Guards against a gap: news are datagrams, and one that is lost must
         not be taken for known because a later one has come.
         """
         if news.entries:
-            self._take_lines(news.entries, source, settled=news.settled)
-        if news.after <= self.revision:
-            self._advance(news.upto)
-        if news.after <= self.completeness.upstreams_revision:
-            self.completeness.lack_state(news.upstreams_upto)
+            self._take_lines(
+                news.entries, source, settled=news.is_absence_final
+            )
+        if news.base_revision <= self.revision:
+            self._advance(news.revision)
+        if news.base_revision <= self.completeness.upstreams_revision:
+            self.completeness.lack_state(news.upstreams_revision)
             self.completeness.advance_upstreams(
-                max(news.upto, news.upstreams_upto)
+                max(news.revision, news.upstreams_revision)
             )
         if self._knows_all(news):
             self._knowledge.confirm(time.monotonic())
 
-    def _knows_all(self, news: messages.News) -> bool:
+    def _knows_all(self, news: messages.EntryUpdate) -> bool:
         """Tells whether the sender of news knows nothing more."""
         known = self.completeness
-        upstreams_upto = max(news.upto, news.upstreams_upto)
+        upstreams_upto = max(news.revision, news.upstreams_revision)
         return (
-            0 < news.upto <= known.revision
+            0 < news.revision <= known.revision
             and upstreams_upto <= known.upstreams_revision
         )
 
@@ -214,16 +216,18 @@
         snapshot = self.make_snapshot(since, peers)
         entries = snapshot.entries
         state_revision = self.completeness.find_missing_state()
-        if self.has_long_state_since(0 if snapshot.whole else since):
+        if self.has_long_state_since(
+            0 if snapshot.lists_all_entries else since
+        ):
             state_key = self._reader.state_key
             entries = tuple(e for e in entries if e.key != state_key)
             state_revision = max(state_revision, self._find_state_revision())
         return messages.Snapshot(
             self.completeness.upstreams_revision,
-            snapshot.settled,
+            snapshot.is_absence_final,
             entries,
             peers,
-            snapshot.whole,
+            snapshot.lists_all_entries,
             state_revision,
         )
 
@@ -250,8 +254,8 @@
     ) -> None:
         """Takes in what another host knows beyond `upstreams_revision`."""
         self._take_changes(snapshot, source)
-        if snapshot.state_revision > self._find_state_revision():
-            self.completeness.lack_state(snapshot.state_revision)
+        if snapshot.omitted_state_revision > self._find_state_revision():
+            self.completeness.lack_state(snapshot.omitted_state_revision)
         self.completeness.advance_upstreams(snapshot.revision)
 
     def record_answer(self) -> None:
@@ -283,8 +287,10 @@
         self._knowledge.trust.doubt(time.monotonic())
 
     def _take_changes(self, snapshot: messages.Snapshot, source: str) -> None:
-        self._take_lines(snapshot.entries, source, settled=snapshot.settled)
-        if snapshot.whole:
+        self._take_lines(
+            snapshot.entries, source, settled=snapshot.is_absence_final
+        )
+        if snapshot.lists_all_entries:
             keys = {line.key for line in snapshot.entries}
             self._miss_others(keys, snapshot.revision, source)
 
--- a/persimmonhinge/forwarding/reloading.py
+++ b/persimmonhinge/forwarding/reloading.py
@@ -10,7 +10,7 @@
 from persimmonhinge import structured_logs
 from persimmonhinge.forwarding import flow as flows
 from persimmonhinge.forwarding import settings as forward_settings
-from persimmonhinge.forwarding.peers import book as books
+from persimmonhinge.forwarding.peers import peer_table as books
 
 logger = logging.getLogger(__name__)
 
@@ -25,7 +25,7 @@
         self,
         path: str,
         settings: forward_settings.ForwardSettings,
-        book: books.PeerBook,
+        book: books.PeerTable,
     ) -> None:
         """Makes the part.
 
--- a/tests/test_forwarding/lost_hosts.py
+++ b/tests/test_forwarding/lost_hosts.py
@@ -51,7 +51,7 @@
 def list_followers(fleet: fleets.Fleet) -> list[fleets.Host]:
     """Returns the hosts that follow the store, one of each domain."""
     now = trio.current_time()
-    return [host for host in fleet.hosts if host.role.is_due(now)]
+    return [host for host in fleet.hosts if host.role.should_follow(now)]
 
 
 async def lose_follower(fleet: fleets.Fleet, change: Change) -> None:
--- a/tests/test_forwarding/test_forwarding_evacuation.py
+++ b/tests/test_forwarding/test_forwarding_evacuation.py
@@ -190,7 +190,7 @@
     hearer.entries.take_short_snapshot(snapshot, "peer")
     assert hearer.knowledge.evacuated == {scenes.HERE}
     line = entry_lines.EntryLine(_KEY, None, 11)
-    news = messages.News(10, 11, True, (line,))
+    news = messages.EntryUpdate(10, 11, True, (line,))
     hearer.entries.take_news(news, "peer")
     assert not hearer.knowledge.evacuated
 
--- a/tests/test_forwarding/test_forwarding_gauges.py
+++ b/tests/test_forwarding/test_forwarding_gauges.py
@@ -10,10 +10,10 @@
 
 
 def test_gauges_show_whom_a_host_hears_and_that_nobody_confirms_it() -> None:
-    core = reporters.make_core(near_hosts=5)
-    reporters.add_far_hosts(core, 7)
+    core = reporters.make_core(local_hosts=5)
+    reporters.add_remote_hosts(core, 7)
     silent_s = core.settings.current_s + 1.0
-    role = reporters.make_role(core, time.monotonic() - silent_s)
+    role = reporters.make_follower_role(core, time.monotonic() - silent_s)
     gauges.watch_gauges(core, role)
     shown = core.counts.gauges()
     assert shown["hosts_heard"] == 12
--- a/tests/test_forwarding/test_forwarding_peers_codec.py
+++ b/tests/test_forwarding/test_forwarding_peers_codec.py
@@ -8,18 +8,20 @@
 from hypothesis import strategies
 import msgspec
 
-from persimmonhinge.forwarding import entry_line as entry_lines
-from persimmonhinge.forwarding.peers import codec as codecs
+from persimmonhinge.forwarding import entry_line
+from persimmonhinge.forwarding.peers import codec as codec_module
 from persimmonhinge.forwarding.peers import messages
 
 _ROUTES = 45
-_NEAR_HOSTS = 24
+_DOMAIN_HOSTS = 24
 # A thin link of the users, octets a second.
-_LINK_OCTETS_PER_S = 5_000_000 / 8
+_SLOW_LINK_OCTETS_PER_S = 5_000_000 / 8
 
 
-def make_codec() -> codecs.MessageCodec[messages.Report | messages.News]:
-    return codecs.MessageCodec(messages.Report | messages.News)
+def make_codec() -> codec_module.MessageCodec[
+    messages.Report | messages.EntryUpdate
+]:
+    return codec_module.MessageCodec(messages.Report | messages.EntryUpdate)
 
 
 def is_refused(octets: bytes) -> bool:
@@ -31,9 +33,9 @@
     return False
 
 
-def make_news(value: bytes) -> messages.News:
-    line = entry_lines.EntryLine("routes/state", value, 7)
-    return messages.News(6, 7, True, (line,))
+def make_update(value: bytes) -> messages.EntryUpdate:
+    line = entry_line.EntryLine("routes/state", value, 7)
+    return messages.EntryUpdate(6, 7, True, (line,))
 
 
 def make_state() -> bytes:
@@ -64,45 +66,45 @@
     state, one after the other, over a link of 5 Mbit/s. Packets of callers
     wait behind that for 0.3 s, so every opening seems to be missed.
     """
-    octets = make_codec().encode(make_news(make_state()))
-    assert _NEAR_HOSTS * len(octets) / _LINK_OCTETS_PER_S < 0.1
+    octets = make_codec().encode(make_update(make_state()))
+    assert _DOMAIN_HOSTS * len(octets) / _SLOW_LINK_OCTETS_PER_S < 0.1
 
 
 @hypothesis.given(strategies.binary(max_size=5_000))
 def test_messages_are_read_as_they_were_written(value: bytes) -> None:
     codec = make_codec()
-    assert codec.decode(codec.encode(make_news(value))) == make_news(value)
+    assert codec.decode(codec.encode(make_update(value))) == make_update(value)
 
 
 def test_short_messages_are_not_compressed() -> None:
-    octets = make_codec().encode(make_news(bytes(900)))
-    assert octets == msgspec.msgpack.encode(make_news(bytes(900)))
+    octets = make_codec().encode(make_update(bytes(900)))
+    assert octets == msgspec.msgpack.encode(make_update(bytes(900)))
 
 
 @hypothesis.given(strategies.binary(max_size=200))
 def test_what_is_not_compressed_data_is_an_error(octets: bytes) -> None:
-    packed = msgspec.msgpack.encode(messages.Packed(octets))
+    packed = msgspec.msgpack.encode(messages.CompressedMessage(octets))
     assert is_refused(packed)
 
 
 def test_data_that_are_cut_short_are_an_error() -> None:
-    octets = zlib.compress(msgspec.msgpack.encode(make_news(make_state())))
-    packed = msgspec.msgpack.encode(messages.Packed(octets[:-1]))
+    octets = zlib.compress(msgspec.msgpack.encode(make_update(make_state())))
+    packed = msgspec.msgpack.encode(messages.CompressedMessage(octets[:-1]))
     assert is_refused(packed)
 
 
 def test_few_octets_that_stand_for_very_many_are_an_error() -> None:
     """One datagram of 50 kB makes a host need 50 MB, and it ends."""
     packed = msgspec.msgpack.encode(
-        messages.Packed(zlib.compress(bytes(50_000_000)))
+        messages.CompressedMessage(zlib.compress(bytes(50_000_000)))
     )
     assert is_refused(packed)
 
 
 def test_message_in_a_message_in_a_message_is_an_error() -> None:
-    inner = messages.Packed(
-        zlib.compress(msgspec.msgpack.encode(make_news(b"")))
+    inner = messages.CompressedMessage(
+        zlib.compress(msgspec.msgpack.encode(make_update(b"")))
     )
     octets = zlib.compress(msgspec.msgpack.encode(inner))
-    packed = msgspec.msgpack.encode(messages.Packed(octets))
+    packed = msgspec.msgpack.encode(messages.CompressedMessage(octets))
     assert is_refused(packed)
--- a/tests/test_forwarding/test_forwarding_peers_early_pull.py
+++ b/tests/test_forwarding/test_forwarding_peers_early_pull.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from persimmonhinge import errors
-from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding import entry_line as entry_lines
-from persimmonhinge.forwarding import settings as forward_settings
+from persimmonhinge.forwarding import core as core_module
+from persimmonhinge.forwarding import entry_line
+from persimmonhinge.forwarding import settings as settings_module
 from persimmonhinge.forwarding import startup
-from persimmonhinge.forwarding.peers import codec as codecs
+from persimmonhinge.forwarding.peers import codec
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.platform import adapter
 from persimmonhinge.store import port
@@ -25,16 +25,20 @@
 _LONG_OCTETS = 20_000
 _SNAPSHOT = messages.Snapshot(
     revision=9,
-    settled=False,
+    is_absence_final=False,
     entries=(
-        entry_lines.EntryLine("op/config", readers.make_state(3), 8),
-        entry_lines.EntryLine(readers.make_key("1"), readers.make_entry(), 9),
+        entry_line.EntryLine("op/config", readers.make_state(3), 8),
+        entry_line.EntryLine(
+            readers.make_key("1"),
+            readers.make_entry(),
+            9,
+        ),
     ),
     peers=(),
 )
 
 
-class LostStore:
+class UnreachableStore:
     """A store that answers nothing."""
 
     async def get_prefix(self, prefix: str, limit: int = 0) -> port.PrefixState:
@@ -43,7 +47,9 @@
 
 
 @contextlib.contextmanager
-def run_seed(answer: bytes, asked: list[bytes] | None = None) -> Iterator[int]:
+def run_seed(
+    answer: bytes, requests: list[bytes] | None = None
+) -> Iterator[int]:
     """Answers one request as a host does; gives its port.
 
     Args:
@@ -58,8 +64,8 @@
                 connection, _ = server.accept()
                 with connection:
                     request = connection.recv(64)
-                    if asked is not None:
-                        asked.append(request)
+                    if requests is not None:
+                        requests.append(request)
                     connection.sendall(answer)
 
         thread = threading.Thread(target=serve)
@@ -68,9 +74,11 @@
     thread.join()
 
 
-def make_core(snapshot_port: int, own: str = "127.0.0.9") -> cores.ForwardCore:
+def make_core(
+    snapshot_port: int, own: str = "127.0.0.9"
+) -> core_module.ForwardCore:
     """Returns a host that has just started, with two seeds and no store."""
-    settings = forward_settings.parse(
+    settings = settings_module.parse(
         msgspec.json.encode(
             {
                 "host": "h-1",
@@ -86,19 +94,19 @@
     )
     bound = socket.socket(type=socket.SOCK_DGRAM)
     bound.bind((_ADDRESS, 0))
-    return cores.ForwardCore(
+    return core_module.ForwardCore(
         settings, bound, adapter.PacketFormat(), adapter.EntryFormat()
     )
 
 
-def start(core: cores.ForwardCore) -> bool:
+def start_host(core: core_module.ForwardCore) -> bool:
     """Starts a host; tells whether it can forward before its event loop."""
     complete: list[bool] = []
 
     def work() -> None:
         complete.append(core.knowledge.is_complete())
 
-    startup.forward_during(work, core, LostStore())  # type: ignore[arg-type]
+    startup.forward_during(work, core, UnreachableStore())  # type: ignore[arg-type]
     core.socket.socket.close()
     return complete[0]
 
@@ -112,7 +120,7 @@
     """
     with run_seed(msgspec.msgpack.encode(_SNAPSHOT)) as snapshot_port:
         core = make_core(snapshot_port)
-        assert start(core)
+        assert start_host(core)
     assert core.entries.revision == 9
     assert not core.entries.is_settled()
 
@@ -124,22 +132,24 @@
     it to some starting hosts in turn.
     """
     state = {"Version": 3, "Routes": [], "Notes": "x" * _LONG_OCTETS}
-    line = entry_lines.EntryLine("op/config", msgspec.json.encode(state), 8)
+    line = entry_line.EntryLine("op/config", msgspec.json.encode(state), 8)
     entries = (line, *_SNAPSHOT.entries[1:])
     snapshot = messages.Snapshot(9, False, entries, ())
     asked: list[bytes] = []
-    with run_seed(codecs.SNAPSHOTS.encode(snapshot), asked) as snapshot_port:
+    with run_seed(
+        codec.SNAPSHOT_CODEC.encode(snapshot), asked
+    ) as snapshot_port:
         core = make_core(snapshot_port)
-        assert start(core)
+        assert start_host(core)
     request = msgspec.msgpack.decode(asked[0], type=messages.PullRequest)
-    assert request.packed
+    assert request.accepts_compression
 
 
 def test_seed_that_says_nonsense_ends_nothing() -> None:
     for answer in (b"", b"\xff" * 9, msgspec.msgpack.encode(["news"])):
         with run_seed(answer) as snapshot_port:
             core = make_core(snapshot_port)
-            assert not start(core)
+            assert not start_host(core)
         assert core.counts.get("snapshot_errors_total") == 1
 
 
@@ -147,10 +157,10 @@
     with socket.create_server((_ADDRESS, 0)) as server:
         snapshot_port = server.getsockname()[1]
     core = make_core(snapshot_port)
-    assert not start(core)
+    assert not start_host(core)
 
 
 def test_host_that_is_its_own_seed_does_not_ask_itself() -> None:
     core = make_core(9, own=_ADDRESS)
-    assert not start(core)
+    assert not start_host(core)
     assert core.counts.get("snapshot_errors_total") == 0
--- a/tests/test_forwarding/test_forwarding_peers_large_state.py
+++ b/tests/test_forwarding/test_forwarding_peers_large_state.py
@@ -9,13 +9,13 @@
 import trio
 
 from persimmonhinge import ids
-from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import upstream as upstreams
+from persimmonhinge.forwarding import core as core_module
+from persimmonhinge.forwarding import flow
+from persimmonhinge.forwarding import upstream
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.forwarding.peers import pulls
 from persimmonhinge.forwarding.peers import snapshot_server
-from persimmonhinge.store import port as port_parts
+from persimmonhinge.store import port as port_module
 from tests.standins import ports
 from tests.support import trios
 from tests.test_forwarding import test_forwarding_peers_early_pull as hosts
@@ -23,18 +23,18 @@
 
 _ROUTES = 1_000
 _AHEAD = "127.0.0.9"
-_THIN_LINK = "127.0.0.8"
+_SLOW_LINK = "127.0.0.8"
 _BEHIND = "127.0.0.7"
 # A link of 0.3 Mbit/s: a tenth of the state's size passes in a second.
 _CHUNK_OCTETS = 4_096
-_CHUNK_S = 0.1
+_CHUNK_DELAY_S = 0.1
 _FIRST_REVISION = 30
 _FORMER_REVISION = 40
 _STATE_REVISION = 50
 _DRAIN_REVISION = 60
 _KEY = readers.make_key("1")
 _UPSTREAM = ids.UpstreamId("i-1")
-_MOST_FAILURES = 3
+_MAX_FAILURES = 3
 
 
 def make_large_state(version: int) -> bytes:
@@ -71,54 +71,66 @@
     )
 
 
-def take(
-    core: cores.ForwardCore, key: str, value: bytes, revision: int
+def apply_change(
+    core: core_module.ForwardCore, key: str, value: bytes, revision: int
 ) -> None:
     """Has the store tell a host of a change."""
-    core.entries.take_batch([port_parts.WatchEvent(key, value, revision)])
+    core.entries.take_batch([port_module.WatchEvent(key, value, revision)])
 
 
-def make_hosts(port: int) -> tuple[cores.ForwardCore, cores.ForwardCore]:
+def make_hosts(
+    port: int,
+) -> tuple[core_module.ForwardCore, core_module.ForwardCore]:
     """Returns a host that knows all, and one that lacks the last changes."""
     ahead = hosts.make_core(port, _AHEAD)
     behind = hosts.make_core(port, _BEHIND)
     for core in (ahead, behind):
-        take(core, "op/config", readers.make_state(1), _FIRST_REVISION)
-        take(core, _KEY, readers.make_entry(), _FORMER_REVISION)
-    take(ahead, "op/config", make_large_state(2), _STATE_REVISION)
-    take(ahead, _KEY, readers.make_entry("draining"), _DRAIN_REVISION)
+        apply_change(
+            core,
+            "op/config",
+            readers.make_state(1),
+            _FIRST_REVISION,
+        )
+        apply_change(core, _KEY, readers.make_entry(), _FORMER_REVISION)
+    apply_change(ahead, "op/config", make_large_state(2), _STATE_REVISION)
+    apply_change(
+        ahead,
+        _KEY,
+        readers.make_entry("draining"),
+        _DRAIN_REVISION,
+    )
     return ahead, behind
 
 
-async def relay(port: int, stream: trio.SocketStream) -> None:
+async def relay_slowly(port: int, stream: trio.SocketStream) -> None:
     """Passes a connection on to the host that is ahead, at a low rate."""
     try:
         async with await trio.open_tcp_stream(_AHEAD, port) as onward:
             await onward.send_all(await stream.receive_some(_CHUNK_OCTETS))
             while data := await onward.receive_some(_CHUNK_OCTETS):
                 await stream.send_all(data)
-                await trio.sleep(_CHUNK_S)
+                await trio.sleep(_CHUNK_DELAY_S)
     except trio.BrokenResourceError:
         # One of the two has given up.
         pass
     await trio.aclose_forcefully(stream)
 
 
-async def run_thin_link(
+async def run_slow_link(
     port: int,
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
     """Carries connections to the host that is ahead, until cancelled."""
-    listeners = await trio.open_tcp_listeners(port, host=_THIN_LINK)
+    listeners = await trio.open_tcp_listeners(port, host=_SLOW_LINK)
     task_status.started()
-    await trio.serve_listeners(functools.partial(relay, port), listeners)
+    await trio.serve_listeners(functools.partial(relay_slowly, port), listeners)
 
 
-def is_drain_known(core: cores.ForwardCore) -> bool:
+def is_upstream_draining(core: core_module.ForwardCore) -> bool:
     """Tells whether a host has heard that the upstream leaves."""
     known = core.knowledge.directory.get(_UPSTREAM)
     assert known is not None
-    return known.state is upstreams.UpstreamState.DRAINING
+    return known.state is upstream.UpstreamState.DRAINING
 
 
 @trios.trio_test
@@ -136,15 +148,15 @@
     """
     port = ports.find_tcp_port(_AHEAD)
     ahead, behind = make_hosts(port)
-    address = flows.Endpoint(_THIN_LINK, port - 1)
-    behind.peers.take(address, make_report(1), trio.current_time())
+    address = flow.Endpoint(_SLOW_LINK, port - 1)
+    behind.peers.apply_report(address, make_report(1), trio.current_time())
     async with trio.open_nursery() as nursery:
         await nursery.start(snapshot_server.SnapshotServer(ahead).run)
-        await nursery.start(run_thin_link, port)
+        await nursery.start(run_slow_link, port)
         nursery.start_soon(pulls.SnapshotPuller(behind).run)
-        while not is_drain_known(behind):
+        while not is_upstream_draining(behind):
             failures = behind.counts.get("snapshot_errors_total")
-            assert failures < _MOST_FAILURES
+            assert failures < _MAX_FAILURES
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
     # The desired state is still on its way.
--- a/tests/test_forwarding/test_forwarding_peers_book.py
+++ b/tests/test_forwarding/test_forwarding_peers_peer_table.py
@@ -5,27 +5,29 @@
 import hypothesis
 from hypothesis import strategies
 
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import load_line as load_lines
-from persimmonhinge.forwarding.decisions import loads as load_books
-from persimmonhinge.forwarding.decisions import suspicions as suspicion_lists
-from persimmonhinge.forwarding.peers import book as books
+from persimmonhinge.forwarding import flow
+from persimmonhinge.forwarding import load_line
+from persimmonhinge.forwarding.decisions import loads
+from persimmonhinge.forwarding.decisions import suspicions
 from persimmonhinge.forwarding.peers import messages
+from persimmonhinge.forwarding.peers import peer_table
 
-OWN = flows.Endpoint("10.0.0.1", 7720)
-PEER = flows.Endpoint("10.0.0.2", 7720)
+OWN_ADDRESS = flow.Endpoint("10.0.0.1", 7720)
+PEER_ADDRESS = flow.Endpoint("10.0.0.2", 7720)
 TOKEN = 77
 
 
-class Told:
+class ReceivingHost:
     """A host that is told."""
 
     def __init__(self) -> None:
-        self.loads = load_books.LoadBook()
-        self.suspicions = suspicion_lists.Suspicions()
-        self.book = books.PeerBook(OWN, self.loads, self.suspicions)
+        self.loads = loads.LoadBook()
+        self.suspicions = suspicions.Suspicions()
+        self.peers = peer_table.PeerTable(
+            OWN_ADDRESS, self.loads, self.suspicions
+        )
 
-    def take(
+    def receive_report(
         self,
         sequence: int,
         *,
@@ -33,13 +35,13 @@
         incarnation: int = 1,
         missed: int = 0,
         now: float = 10.0,
-        peer: flows.Endpoint = PEER,
+        peer: flow.Endpoint = PEER_ADDRESS,
         domain: str = "north",
         revision: int = 1,
         interval_ms: int = 100,
     ) -> bool:
         """Has a report come from a peer."""
-        line = load_lines.LoadLine(TOKEN, in_flight, in_flight * 100, missed)
+        line = load_line.LoadLine(TOKEN, in_flight, in_flight * 100, missed)
         report = messages.Report(
             "b",
             incarnation,
@@ -53,21 +55,21 @@
             (line,),
             (),
         )
-        return self.book.take(peer, report, now)
+        return self.peers.apply_report(peer, report, now)
 
 
 def test_newest_report_replaces_the_one_before() -> None:
-    told = Told()
-    told.take(1, in_flight=3)
-    told.take(2, in_flight=5)
+    told = ReceivingHost()
+    told.receive_report(1, in_flight=3)
+    told.receive_report(2, in_flight=5)
     assert told.loads.others_in_flight(TOKEN) == 5
     assert told.loads.others_average(TOKEN) == 5.0
 
 
 def test_report_that_comes_late_is_not_taken() -> None:
-    told = Told()
-    told.take(2, in_flight=5)
-    assert not told.take(1, in_flight=3)
+    told = ReceivingHost()
+    told.receive_report(2, in_flight=5)
+    assert not told.receive_report(1, in_flight=3)
     assert told.loads.others_in_flight(TOKEN) == 5
 
 
@@ -77,9 +79,9 @@
     Its time of day jumped back, or it counts its reports from 1 again. Cause:
     reports of two processes compared with each other.
     """
-    told = Told()
-    told.take(900, in_flight=5)
-    assert told.take(1, in_flight=2, incarnation=0)
+    told = ReceivingHost()
+    told.receive_report(900, in_flight=5)
+    assert told.receive_report(1, in_flight=2, incarnation=0)
     assert told.loads.others_in_flight(TOKEN) == 2
 
 
@@ -89,10 +91,10 @@
     A host is killed; what it reported last counts on. Cause: reports without
     an age.
     """
-    told = Told()
-    told.take(1, in_flight=5, now=10.0)
-    assert told.book.drop_silent(10.5) == []
-    assert told.book.drop_silent(11.7) == [PEER]
+    told = ReceivingHost()
+    told.receive_report(1, in_flight=5, now=10.0)
+    assert told.peers.expire_silent(10.5) == []
+    assert told.peers.expire_silent(11.7) == [PEER_ADDRESS]
     assert told.loads.others_in_flight(TOKEN) == 0
 
 
@@ -102,25 +104,25 @@
     The report is forged or broken; the next report is sent to that port.
     Cause: an address that nobody checked.
     """
-    told = Told()
+    told = ReceivingHost()
     for host, port in (("10.0.0.3", 99_999), ("nowhere", 5), ("10.0.0.3", 0)):
-        told.book.add(flows.Endpoint(host, port), 1.0)
-    told.book.add(flows.Endpoint("10.0.0.4", 7), 1.0)
-    known = [peer.address for peer in told.book.list_far("north")]
-    assert known == [flows.Endpoint("10.0.0.4", 7)]
-    assert told.book.list_near("north") == []
+        told.peers.add(flow.Endpoint(host, port), 1.0)
+    told.peers.add(flow.Endpoint("10.0.0.4", 7), 1.0)
+    known = [peer.address for peer in told.peers.list_remote("north")]
+    assert known == [flow.Endpoint("10.0.0.4", 7)]
+    assert told.peers.list_local("north") == []
 
 
 def test_doubts_of_several_hosts_hold_an_upstream_back() -> None:
-    told = Told()
-    name = suspicion_lists.ids.UpstreamId("i-1")
-    told.take(1, missed=1)
+    told = ReceivingHost()
+    name = suspicions.ids.UpstreamId("i-1")
+    told.receive_report(1, missed=1)
     assert not told.suspicions.holds(name, TOKEN, 10.0)
-    told.take(2, missed=2)
+    told.receive_report(2, missed=2)
     assert told.suspicions.holds(name, TOKEN, 10.0)
     told.suspicions.record_answer(name, 10.0)
     assert not told.suspicions.holds(name, TOKEN, 10.1)
-    told.take(3, missed=0)
+    told.receive_report(3, missed=0)
     assert not told.suspicions.holds(name, TOKEN, 20.0)
 
 
@@ -132,21 +134,21 @@
     upstreams back for what the others missed, and nobody tries again. The
     one that is left refuses requests (503) though three others are idle.
     """
-    hosts = [Told(), Told()]
-    name = suspicion_lists.ids.UpstreamId("i-1")
+    hosts = [ReceivingHost(), ReceivingHost()]
+    name = suspicions.ids.UpstreamId("i-1")
     for host in hosts:
         for at in (10.0, 10.01):
             host.suspicions.record_miss(name, at)
     for at in (10.1, 10.4, 10.8):
         doubts = [host.suspicions.doubt(name, at) for host in hosts]
         for host, missed in zip(hosts, reversed(doubts), strict=True):
-            host.take(round(at * 10), missed=missed)
+            host.receive_report(round(at * 10), missed=missed)
     assert not any(h.suspicions.holds(name, TOKEN, 10.8) for h in hosts)
 
 
 def test_doubt_is_told_while_a_host_holds_an_upstream_back() -> None:
-    told = Told()
-    name = suspicion_lists.ids.UpstreamId("i-1")
+    told = ReceivingHost()
+    name = suspicions.ids.UpstreamId("i-1")
     told.suspicions.record_miss(name, 10.0)
     told.suspicions.record_miss(name, 10.0)
     assert told.suspicions.doubt(name, 10.4) == 2
@@ -165,10 +167,10 @@
 def test_sums_are_those_of_the_newest_report(
     reports: list[tuple[int, int]],
 ) -> None:
-    told = Told()
+    told = ReceivingHost()
     newest = (-1, 0)
     for sequence, in_flight in reports:
-        told.take(sequence, in_flight=in_flight)
+        told.receive_report(sequence, in_flight=in_flight)
         if sequence > newest[0]:
             newest = (sequence, in_flight)
     assert told.loads.others_in_flight(TOKEN) == newest[1]
@@ -181,14 +183,14 @@
     domain; they all pull from it over its thin link, and none gets through.
     Cause: hosts of other domains, which know more, were asked only after it.
     """
-    told = Told()
-    elsewhere = flows.Endpoint("10.0.1.1", 7720)
-    told.take(1, revision=5)
-    told.take(1, revision=6, peer=elsewhere, domain="south")
+    told = ReceivingHost()
+    elsewhere = flow.Endpoint("10.0.1.1", 7720)
+    told.receive_report(1, revision=5)
+    told.receive_report(1, revision=6, peer=elsewhere, domain="south")
     for _ in range(20):
-        ahead = told.book.find_ahead(4)
+        ahead = told.peers.find_ahead(4)
         assert ahead is not None and ahead.address == elsewhere
-    assert told.book.find_ahead(6) is None
+    assert told.peers.find_ahead(6) is None
 
 
 def test_host_of_which_two_reports_are_lost_is_not_silent() -> None:
@@ -196,7 +198,7 @@
 
     The third report comes later than planned, as waits are drawn.
     """
-    told = Told()
-    told.take(1, now=10.0, interval_ms=2_000)
-    assert told.book.drop_silent(16.6) == []
-    assert told.book.drop_silent(17.1) == [PEER]
+    told = ReceivingHost()
+    told.receive_report(1, now=10.0, interval_ms=2_000)
+    assert told.peers.expire_silent(16.6) == []
+    assert told.peers.expire_silent(17.1) == [PEER_ADDRESS]
--- a/tests/test_forwarding/test_forwarding_peers_pulls.py
+++ b/tests/test_forwarding/test_forwarding_peers_pulls.py
@@ -6,8 +6,8 @@
 import trio
 
 from persimmonhinge import ids
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding.peers import codec as codecs
+from persimmonhinge.forwarding import flow
+from persimmonhinge.forwarding.peers import codec
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.forwarding.peers import pulls
 from persimmonhinge.forwarding.peers import snapshot_server
@@ -21,7 +21,7 @@
 _DEAD = "127.0.0.6"
 _UPSTREAMS = 40
 _UPSTREAM = ids.UpstreamId("i-1")
-_MOST_FAILURES = 5
+_MAX_FAILURES = 5
 
 
 async def pull(port: int, request: messages.PullRequest) -> bytes:
@@ -50,12 +50,14 @@
     async with trio.open_nursery() as nursery:
         await nursery.start(snapshot_server.SnapshotServer(core).run)
         plain = await pull(port, messages.PullRequest(0))
-        packed = await pull(port, messages.PullRequest(0, packed=True))
+        packed = await pull(
+            port, messages.PullRequest(0, accepts_compression=True)
+        )
         nursery.cancel_scope.cancel()
     snapshot = msgspec.msgpack.decode(plain, type=messages.Snapshot)
     assert len(snapshot.entries) == _UPSTREAMS
     assert len(packed) < len(plain) / 3
-    assert codecs.SNAPSHOTS.decode(packed) == snapshot
+    assert codec.SNAPSHOT_CODEC.decode(packed) == snapshot
 
 
 @trios.trio_test
@@ -85,12 +87,12 @@
             (),
             (),
         )
-        behind.peers.take(flows.Endpoint(host, port - 1), report, 0.0)
+        behind.peers.apply_report(flow.Endpoint(host, port - 1), report, 0.0)
     async with trio.open_nursery() as nursery:
         await nursery.start(snapshot_server.SnapshotServer(ahead).run)
         nursery.start_soon(pulls.SnapshotPuller(behind).run)
         while behind.knowledge.directory.get(_UPSTREAM) is None:
             failures = behind.counts.get("snapshot_errors_total")
-            assert failures < _MOST_FAILURES
+            assert failures < _MAX_FAILURES
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
--- a/tests/test_forwarding/test_forwarding_peers_service.py
+++ b/tests/test_forwarding/test_forwarding_peers_service.py
@@ -5,36 +5,36 @@
 import socket
 import time
 
-from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import settings as forward_settings
-from persimmonhinge.forwarding import upstream as upstreams
-from persimmonhinge.forwarding.peers import following
+from persimmonhinge.forwarding import core
+from persimmonhinge.forwarding import flow
+from persimmonhinge.forwarding import settings as settings_module
+from persimmonhinge.forwarding import upstream
+from persimmonhinge.forwarding.peers import follower_role
 from persimmonhinge.forwarding.peers import messages
-from persimmonhinge.forwarding.peers import service as services
+from persimmonhinge.forwarding.peers import service
 from persimmonhinge.platform import adapter
 from tests.support import trios
 from tests.test_forwarding import test_forwarding_reading as readers
 
-PEER = flows.Endpoint("10.0.0.2", 7720)
+PEER_ADDRESS = flow.Endpoint("10.0.0.2", 7720)
 
 
-class Listener:
+class ReceivingHost:
     """A host that takes in reports, without a network."""
 
     def __init__(self) -> None:
-        settings = forward_settings.parse(
+        settings = settings_module.parse(
             b"{host: h-1, domain: north, packets: '127.0.0.1:1',"
             b" pages: '127.0.0.1:2', peer_ports: [3, 18],"
             b" store: {address: '127.0.0.1:9'}}"
         )
         bound = socket.socket(type=socket.SOCK_DGRAM)
         bound.bind(("127.0.0.1", 0))
-        self.core = cores.ForwardCore(
+        self.core = core.ForwardCore(
             settings, bound, adapter.PacketFormat(), adapter.EntryFormat()
         )
         bound.close()
-        role = following.Following(
+        role = follower_role.FollowerRole(
             "h-1",
             "north",
             self.core.peers,
@@ -42,10 +42,10 @@
             settings.current_s,
             time.monotonic(),
         )
-        self.service = services.PeerService(self.core, role)
+        self.service = service.PeerService(self.core, role)
         self._sequence = 0
 
-    def hear(self, *, reaches_store: bool, age_ms: int = 0) -> None:
+    def receive_report(self, *, reaches_store: bool, age_ms: int = 0) -> None:
         """Has a report of the peer come."""
         self._sequence += 1
         report = messages.Report(
@@ -61,7 +61,7 @@
             loads=(),
             peers=(),
         )
-        self.service.take_report(report, PEER)
+        self.service.handle_report(report, PEER_ADDRESS)
 
 
 @trios.trio_test
@@ -72,19 +72,19 @@
     next one reads them right after the store's return and finds none. Cause:
     the second never saw the outage.
     """
-    listener = Listener()
+    listener = ReceivingHost()
     key = readers.make_key("1")
     listener.core.entries.take(key, readers.make_entry(), 5)
-    listener.hear(reaches_store=True)
-    listener.hear(reaches_store=False)
+    listener.receive_report(reaches_store=True)
+    listener.receive_report(reaches_store=False)
     listener.core.entries.take(key, None, 6)
     (known,) = listener.core.knowledge.directory.all()
-    assert known.state is upstreams.UpstreamState.MISSING
+    assert known.state is upstream.UpstreamState.MISSING
 
 
 @trios.trio_test
 async def test_confirmation_of_another_host_is_as_old_as_it_says() -> None:
-    listener = Listener()
-    listener.hear(reaches_store=True, age_ms=700)
+    listener = ReceivingHost()
+    listener.receive_report(reaches_store=True, age_ms=700)
     age_ms = listener.core.knowledge.compute_age_ms(time.monotonic())
     assert 700 <= age_ms < 5_000
--- a/tests/test_forwarding/test_forwarding_peers_snapshot_server.py
+++ b/tests/test_forwarding/test_forwarding_peers_snapshot_server.py
@@ -6,7 +6,7 @@
 import trio
 import trio.testing
 
-from persimmonhinge.forwarding.peers import codec as codecs
+from persimmonhinge.forwarding.peers import codec
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.forwarding.peers import snapshot_server
 from tests.support import trios
@@ -16,25 +16,41 @@
 
 _PORT = 7721
 _PEER = "10.0.0.2"
-_WHOLE = messages.PullRequest(0, packed=True, may_be_refused=True)
-_SHORT = messages.PullRequest(0, packed=True, short=True)
-_OLD = messages.PullRequest(0, packed=True)
-_OCTETS = 100_000
-_AT_A_TIME = 2
-
-
-class Asked:
+_FULL_REQUEST = messages.PullRequest(
+    0, accepts_compression=True, accepts_refusal=True
+)
+_SHORT_REQUEST = messages.PullRequest(
+    0, accepts_compression=True, omits_long_state=True
+)
+_EARLIER_RELEASE_REQUEST = messages.PullRequest(0, accepts_compression=True)
+_MAX_READ_OCTETS = 100_000
+_MAX_LONG_ANSWERS = 2
+
+
+class SnapshotHost:
     """A host that has a long desired state, asked by others at once."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
         core = hosts.make_core(_PORT)
-        states.take(core, "op/config", states.make_large_state(2), 1)
-        states.take(core, readers.make_key("1"), readers.make_entry(), 2)
+        states.apply_change(
+            core,
+            "op/config",
+            states.make_large_state(2),
+            1,
+        )
+        states.apply_change(
+            core,
+            readers.make_key("1"),
+            readers.make_entry(),
+            2,
+        )
         self._nursery = nursery
         self._server = snapshot_server.SnapshotServer(core)
 
-    async def ask(
-        self, request: messages.PullRequest, first_octets: int = _OCTETS
+    async def send_request(
+        self,
+        request: messages.PullRequest,
+        first_octets: int = _MAX_READ_OCTETS,
     ) -> trio.abc.Stream:
         """Sends a request whose answer waits until it is read.
 
@@ -60,9 +76,9 @@
     async def read(self, stream: trio.abc.Stream) -> messages.Snapshot:
         """Reads an answer to its end."""
         octets = bytearray()
-        while data := await stream.receive_some(_OCTETS):
+        while data := await stream.receive_some(_MAX_READ_OCTETS):
             octets += data
-        return codecs.SNAPSHOTS.decode(octets)
+        return codec.SNAPSHOT_CODEC.decode(octets)
 
 
 @trios.clock_test
@@ -74,12 +90,15 @@
     two are refused at once, and changes of upstreams still pass.
     """
     async with trio.open_nursery() as nursery:
-        asked = Asked(nursery)
-        waiting = [await asked.ask(_WHOLE) for _ in range(_AT_A_TIME)]
-        refused = await asked.read(await asked.ask(_WHOLE))
-        short = await asked.read(await asked.ask(_SHORT))
+        asked = SnapshotHost(nursery)
+        waiting = [
+            await asked.send_request(_FULL_REQUEST)
+            for _ in range(_MAX_LONG_ANSWERS)
+        ]
+        refused = await asked.read(await asked.send_request(_FULL_REQUEST))
+        short = await asked.read(await asked.send_request(_SHORT_REQUEST))
         given = [await asked.read(stream) for stream in waiting]
-        later = await asked.read(await asked.ask(_WHOLE))
+        later = await asked.read(await asked.send_request(_FULL_REQUEST))
     assert refused.busy and not refused.entries
     assert [line.key for line in short.entries] == [readers.make_key("1")]
     assert all(len(snapshot.entries) == 2 for snapshot in (*given, later))
@@ -88,8 +107,10 @@
 @trios.clock_test
 async def test_host_of_an_earlier_release_is_not_refused() -> None:
     async with trio.open_nursery() as nursery:
-        asked = Asked(nursery)
-        waiting = [await asked.ask(_OLD) for _ in range(6)]
+        asked = SnapshotHost(nursery)
+        waiting = [
+            await asked.send_request(_EARLIER_RELEASE_REQUEST) for _ in range(6)
+        ]
         given = [await asked.read(stream) for stream in waiting]
     assert not any(snapshot.busy for snapshot in given)
 
@@ -98,11 +119,11 @@
 async def test_host_that_reads_nothing_blocks_no_others() -> None:
     """Two hosts freeze while they pull; nobody else gets a state."""
     async with trio.open_nursery() as nursery:
-        asked = Asked(nursery)
-        for _ in range(_AT_A_TIME):
-            await asked.ask(_WHOLE)
+        asked = SnapshotHost(nursery)
+        for _ in range(_MAX_LONG_ANSWERS):
+            await asked.send_request(_FULL_REQUEST)
         await trio.sleep(2.0)
-        given = await asked.read(await asked.ask(_WHOLE))
+        given = await asked.read(await asked.send_request(_FULL_REQUEST))
     assert not given.busy
 
 
@@ -114,8 +135,10 @@
     octets of a request before the rest.
     """
     async with trio.open_nursery() as nursery:
-        asked = Asked(nursery)
-        snapshot = await asked.read(await asked.ask(_SHORT, first_octets=3))
+        asked = SnapshotHost(nursery)
+        snapshot = await asked.read(
+            await asked.send_request(_SHORT_REQUEST, first_octets=3)
+        )
     assert [line.key for line in snapshot.entries] == [readers.make_key("1")]
 
 
@@ -123,7 +146,7 @@
 async def test_peer_that_sends_no_request_is_let_go() -> None:
     """Guards against connections that are held by what is no request."""
     async with trio.open_nursery() as nursery:
-        asked = Asked(nursery)
+        asked = SnapshotHost(nursery)
         ours, theirs = trio.testing.lockstep_stream_pair()
         nursery.start_soon(asked.answer, theirs)
         await ours.send_all(b"\xc1")
--- a/tests/test_forwarding/test_forwarding_reading.py
+++ b/tests/test_forwarding/test_forwarding_reading.py
@@ -15,8 +15,8 @@
 from persimmonhinge.forwarding import reading
 from persimmonhinge.forwarding import upstream as upstreams
 from persimmonhinge.forwarding.decisions import trust
+from persimmonhinge.forwarding.peers import entry_updates
 from persimmonhinge.forwarding.peers import messages
-from persimmonhinge.forwarding.peers import news
 from persimmonhinge.metrics import counts as host_counts
 from persimmonhinge.platform import adapter
 from persimmonhinge.store import port
@@ -253,7 +253,7 @@
     reader = Reader()
     reader.entries.take(make_key("1"), make_entry(), 5)
     gone = entry_lines.EntryLine(make_key("1"), None, 6)
-    reader.entries.take_news(messages.News(5, 6, False, (gone,)), "peer")
+    reader.entries.take_news(messages.EntryUpdate(5, 6, False, (gone,)), "peer")
     assert reader.state("1") is upstreams.UpstreamState.MISSING
 
 
@@ -272,8 +272,10 @@
         )
         for number, rev in ((1, 6), (2, 7))
     )
-    lost = messages.News(5, 6, True, (first,))
-    reader.entries.take_news(messages.News(6, 7, True, (second,)), "peer")
+    lost = messages.EntryUpdate(5, 6, True, (first,))
+    reader.entries.take_news(
+        messages.EntryUpdate(6, 7, True, (second,)), "peer"
+    )
     assert reader.state("2") is upstreams.UpstreamState.DRAINING
     assert reader.entries.revision == 5
     reader.entries.take_news(lost, "peer")
@@ -296,7 +298,7 @@
         )
     reader = Reader()
     reader.entries.completeness.advance(10)
-    packs = news.split_news(10, True, entries)
+    packs = entry_updates.split_into_updates(10, True, entries)
     for number, pack in enumerate(packs):
         if number not in lost:
             reader.entries.take_news(pack, "peer")
@@ -340,11 +342,11 @@
     """Guards against a host that asks the store what another one just heard."""
     reader = Reader()
     reader.entries.take("op/config", make_state(1), 3)
-    (told,) = news.split_news(3, True, [])
+    (told,) = entry_updates.split_into_updates(3, True, [])
     reader.entries.take_news(told, "10.0.0.2")
     assert reader.knowledge.confirmed_at is None
     reader.entries.take_batch([port.WatchEvent("op/config", make_state(2), 4)])
-    (told,) = news.split_news(4, True, [])
+    (told,) = entry_updates.split_into_updates(4, True, [])
     reader.entries.take_news(told, "10.0.0.2")
     assert reader.knowledge.confirmed_at is not None
 
@@ -353,6 +355,6 @@
     """Guards against a host that takes itself for current and lacks a drain."""
     reader = Reader()
     reader.entries.take_batch([port.WatchEvent("op/config", make_state(1), 3)])
-    (told,) = news.split_news(9, True, [])
+    (told,) = entry_updates.split_into_updates(9, True, [])
     reader.entries.take_news(told, "10.0.0.2")
     assert reader.knowledge.confirmed_at is None
--- a/tests/test_forwarding/test_forwarding_state_left_out.py
+++ b/tests/test_forwarding/test_forwarding_state_left_out.py
@@ -11,8 +11,8 @@
 
 from persimmonhinge.forwarding import entry_line as entry_lines
 from persimmonhinge.forwarding import upstream as upstreams
+from persimmonhinge.forwarding.peers import entry_updates as news_packs
 from persimmonhinge.forwarding.peers import messages
-from persimmonhinge.forwarding.peers import news as news_packs
 from persimmonhinge.store import port
 from tests.test_forwarding import test_forwarding_reading as readers
 
@@ -32,24 +32,24 @@
 
 def tell_first(
     reader: readers.Reader, key: str, value: bytes | None, revision: int
-) -> list[messages.News]:
+) -> list[messages.EntryUpdate]:
     """Has the store tell a host of a change; returns the news of it."""
-    told: list[messages.News] = []
+    told: list[messages.EntryUpdate] = []
 
     def note(after: int, entries: list[entry_lines.EntryLine]) -> None:
-        told.extend(news_packs.split_news(after, True, entries))
+        told.extend(news_packs.split_into_updates(after, True, entries))
 
     reader.entries.tell = note
     reader.entries.take_batch([port.WatchEvent(key, value, revision)])
     return [leave_long_out(news) for news in told]
 
 
-def leave_long_out(news: messages.News) -> messages.News:
+def leave_long_out(news: messages.EntryUpdate) -> messages.EntryUpdate:
     """Returns news as they are sent: without a long desired state."""
     octets = sum(len(line.value or b"") for line in news.entries)
     if octets < _LONG_OCTETS:
         return news
-    return news_packs.leave_state_out(news, _STATE)
+    return news_packs.omit_desired_state(news, _STATE)
 
 
 def pull(asking: readers.Reader, asked: readers.Reader, *, short: bool) -> None:
@@ -81,9 +81,9 @@
         reader.entries.take_batch(
             [port.WatchEvent(readers.make_key("1"), readers.make_entry(), 5)]
         )
-    sent: list[messages.News] = []
+    sent: list[messages.EntryUpdate] = []
     ahead.entries.tell = lambda after, lines: sent.extend(
-        news_packs.split_news(after, True, lines)
+        news_packs.split_into_updates(after, True, lines)
     )
     drain = readers.make_entry("draining")
     ahead.entries.take_batch(
@@ -124,8 +124,8 @@
     """
     state = entry_lines.EntryLine(_STATE, make_long_state(2), 7)
     drain = entry_lines.EntryLine(readers.make_key("1"), b"", 6)
-    news = messages.News(5, 7, True, (drain, state))
-    assert news_packs.leave_state_out(news, _STATE).upto == 5
+    news = messages.EntryUpdate(5, 7, True, (drain, state))
+    assert news_packs.omit_desired_state(news, _STATE).revision == 5
 
 
 def test_news_after_a_state_left_out_go_on_for_upstreams() -> None:
@@ -253,12 +253,14 @@
 def test_hosts_of_an_earlier_release_read_what_they_are_sent() -> None:
     """In the middle of an upgrade, hosts drop what others tell them."""
     drain = entry_lines.EntryLine(readers.make_key("1"), b"", 6)
-    news = messages.News(5, 5, True, (drain,), upstreams_upto=7)
+    news = messages.EntryUpdate(5, 5, True, (drain,), upstreams_revision=7)
     former = msgspec.msgpack.decode(
         msgspec.msgpack.encode(news), type=FormerNews
     )
     assert (former.after, former.upto) == (5, 5)
-    request = messages.PullRequest(5, packed=True, short=True)
+    request = messages.PullRequest(
+        5, accepts_compression=True, omits_long_state=True
+    )
     asked = msgspec.msgpack.decode(
         msgspec.msgpack.encode(request), type=FormerRequest
     )
