--- a/persimmonhinge/forwarding/peers/__init__.py
+++ b/persimmonhinge/forwarding/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What hosts that forward packets tell each other."""
+"""Reports, entry updates and snapshots between forwarding hosts."""
--- a/persimmonhinge/forwarding/peers/channel.py
+++ b/persimmonhinge/forwarding/peers/channel.py
@@ -1,4 +1,4 @@
-"""Datagrams to other hosts."""
+"""Sends datagrams to other hosts."""
 
 from __future__ import annotations
 
@@ -14,12 +14,17 @@
 
 
 class PeerChannel:
-    """Sends datagrams; one that can't be sent is counted and dropped."""
+    """Sends datagrams; those that can't be sent are counted and dropped."""
 
     def __init__(
         self, bound_socket: trio.socket.SocketType, counts: counts_module.Counts
     ) -> None:
-        """Takes over a bound socket."""
+        """Initializes the channel.
+
+        Args:
+            bound_socket: The bound datagram socket.
+            counts: Counts the datagrams that can't be sent.
+        """
         self._socket = bound_socket
         self._counts = counts
 
@@ -32,4 +37,6 @@
                 await self._socket.sendto(octets, address)
             except OSError as error:
                 self._counts.add("report_errors_total")
-                logger.debug("Can't send to %s: %s.", address, error)
+                logger.debug(
+                    "Can't send a datagram to host %s: %s.", address, error
+                )
--- a/persimmonhinge/forwarding/peers/codec.py
+++ b/persimmonhinge/forwarding/peers/codec.py
@@ -1,4 +1,4 @@
-"""Messages between hosts as octets; long ones are compressed."""
+"""Encodes and decodes messages between hosts; compresses long ones."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 M = TypeVar("M", bound=msgspec.Struct)
 
-# Messages of more octets than this are compressed: those that fit into one
-# packet anyway gain nothing.
+# Maximum size of a message that is sent uncompressed, octets: compressing a
+# message that fits into one packet anyway gains nothing.
 _MAX_UNCOMPRESSED_OCTETS = 1_000
-# The fastest level of zlib.
+# The fastest compression level of zlib.
 _COMPRESSION_LEVEL = 1
-# Octets of a message that was compressed: a value of the store takes up to a
-# megabyte, and the entries of all upstreams as much.
+# Maximum size of a message after decompression, octets: a value of the store
+# takes up to a megabyte, and the entries of all upstreams take as much.
 _MAX_DECOMPRESSED_OCTETS = 4_000_000
 
 
 class MessageCodec(Generic[M]):
-    """Writes and reads messages of one type or of a union of types.
+    """Encodes and decodes messages of one type or of a union of types.
 
-    Guards against a host that fills its own link with what it tells others:
-    the host that follows the store for 24 others sends each of them a changed
-    desired state, 200 KB over a link of 5 Mbit/s, and what it forwards
-    meanwhile comes 0.3 s late, so that it doubts all upstreams.
+    Compression keeps a host from saturating its own link with updates: without
+    it, a host that follows the store for 24 others sends 200 KB of a changed
+    desired state over a link of 5 Mbit/s, which delays the packets it forwards
+    by 0.3 s, so that it suspects all upstreams.
     """
 
     def __init__(self, message_type: Any) -> None:
-        """Makes a codec.
+        """Initializes the codec.
 
         Args:
-            message_type: The type of messages, or the union of types.
+            message_type: The type of the messages, or the union of their types.
         """
         self._encoder = msgspec.msgpack.Encoder()
         self._uncompressed_decoder = msgspec.msgpack.Decoder(message_type)
@@ -45,7 +45,7 @@
         )
 
     def encode(self, message: M) -> bytes:
-        """Writes a message, compressed if it is long."""
+        """Encodes a message; compresses it if it is long."""
         octets = self._encoder.encode(message)
         if len(octets) <= _MAX_UNCOMPRESSED_OCTETS:
             return octets
@@ -55,10 +55,10 @@
         return self._encoder.encode(packed)
 
     def decode(self, octets: bytes | bytearray) -> M:
-        """Reads a message.
+        """Decodes a message.
 
         Raises:
-            msgspec.MsgspecError: It can't be read.
+            msgspec.MsgspecError: The octets are no valid message.
         """
         message = self._decoder.decode(octets)
         if isinstance(message, messages.CompressedMessage):
@@ -74,17 +74,24 @@
 
 
 def _decompress(octets: bytes) -> bytes:
-    """Returns what was compressed.
+    """Returns the decompressed octets.
 
-    Guards against a few octets that stand for more than memory holds.
+    The size limit keeps a small message from exhausting memory when it is
+    decompressed.
+
+    Raises:
+        msgspec.DecodeError: The octets are no complete zlib stream, or exceed
+            the limit when decompressed.
     """
     stream = zlib.decompressobj()
     try:
-        found = stream.decompress(octets, _MAX_DECOMPRESSED_OCTETS)
+        decompressed = stream.decompress(octets, _MAX_DECOMPRESSED_OCTETS)
     except zlib.error as error:
-        raise msgspec.DecodeError(f"not compressed: {error}") from error
+        raise msgspec.DecodeError(
+            f"message is not valid zlib data: {error}"
+        ) from error
     if not stream.eof:
         raise msgspec.DecodeError(
-            f"cut short, or over {_MAX_DECOMPRESSED_OCTETS} octets"
+            f"message is truncated or exceeds {_MAX_DECOMPRESSED_OCTETS} octets"
         )
-    return found
+    return decompressed
--- a/persimmonhinge/forwarding/peers/early_pull.py
+++ b/persimmonhinge/forwarding/peers/early_pull.py
@@ -1,4 +1,4 @@
-"""Pulls a snapshot at the start, before there is an event loop."""
+"""Pulls a snapshot at startup, before the event loop runs."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
 
 
 def pull_from_seeds(core: core_module.ForwardCore) -> None:
-    """Takes in what one of the hosts of the settings knows.
+    """Pulls snapshots from the seed hosts until this host is complete.
 
-    Guards against a host that is started while the store is away: it would
-    forward nothing until its event loop is there and a peer has reported, a
-    second later, while the fabric hands it packets since too few hosts of its
+    Without a snapshot, a host that starts while the store is unavailable would
+    forward nothing until its event loop runs and a peer has reported, a second
+    later; meanwhile the fabric sends it packets, since too few hosts of its
     domain are in rotation.
 
-    Seeds may be down or gone, so each gets as long as the store had.
+    A seed may be down or removed, so each request has the same time limit as
+    the first call to the store.
 
     Args:
-        core: The parts of the host.
+        core: The components of this host.
     """
     seeds = core.settings.seed_addresses()
     for host in draws.sample(seeds, len(seeds)):
@@ -44,7 +45,7 @@
 async def _request_snapshot(
     core: core_module.ForwardCore, attempt: pull_attempt.PullAttempt
 ) -> None:
-    """Asks a host for all that it knows."""
+    """Requests a snapshot of all entries from a host."""
     settings = core.settings
     transport = blocking_transport.BlockingTransport(
         attempt.host, settings.snapshot_port
@@ -53,13 +54,15 @@
         core.entries.revision, accepts_compression=True
     )
 
-    async def ask() -> None:
+    async def request_and_receive() -> None:
         await transport.open()
         await transport.send_all(msgspec.msgpack.encode(request))
         while data := await transport.receive_some():
             attempt.octets.extend(data)
 
     try:
-        await transport.run_within(settings.first_call_limit_s, ask)
+        await transport.run_within(
+            settings.first_call_limit_s, request_and_receive
+        )
     finally:
         transport.close()
--- a/persimmonhinge/forwarding/peers/entry_updates.py
+++ b/persimmonhinge/forwarding/peers/entry_updates.py
@@ -1,4 +1,4 @@
-"""Divides news into datagrams."""
+"""Splits changed entries into updates that fit into datagrams."""
 
 from __future__ import annotations
 
@@ -7,17 +7,19 @@
 from persimmonhinge.forwarding import entry_line
 from persimmonhinge.forwarding.peers import messages
 
-# Entries in a datagram: an upstream takes about 250 octets.
+# Maximum number of entries in an update: the entry of an upstream takes about
+# 250 octets of the datagram.
 _MAX_ENTRIES_PER_UPDATE = 8
 
 
 def omit_desired_state(
     update: messages.EntryUpdate, state_key: str
 ) -> messages.EntryUpdate:
-    """Returns news without the desired state, complete for upstreams alone.
+    """Returns an update without the desired state, complete for upstreams only.
 
-    Guards against an upstream that goes on getting new flows since its entry
-    stands in one datagram with a desired state that is too long to be sent.
+    A desired state that is too long to be sent would otherwise hold back the
+    entry of an upstream in the same update, so that the upstream would keep
+    getting new flows.
     """
     entries = tuple(line for line in update.entries if line.key != state_key)
     return messages.EntryUpdate(
@@ -34,13 +36,13 @@
     is_absence_final: bool,
     entries: Sequence[entry_line.EntryLine],
 ) -> list[messages.EntryUpdate]:
-    """Returns news in which each names the one before by its revision.
+    """Returns consecutive updates; each is based on the revision before it.
 
     Args:
-        after: Revision to which the sender was complete before.
-        settled: See `messages.News`.
+        base_revision: The revision that the sender was complete to before.
+        is_absence_final: See `messages.EntryUpdate`.
         entries: The entries in the order of their changes; none if the store
-            said that there are none.
+            reported that nothing has changed.
     """
     if not entries:
         return [
@@ -48,20 +50,20 @@
                 base_revision, base_revision, is_absence_final, ()
             )
         ]
-    found = []
+    updates = []
     for first in range(0, len(entries), _MAX_ENTRIES_PER_UPDATE):
         chunk = entries[first : first + _MAX_ENTRIES_PER_UPDATE]
-        upto = chunk[-1].revision
-        rest = entries[first + _MAX_ENTRIES_PER_UPDATE :]
-        if rest and rest[0].revision == upto:
-            # Entries of one change stand in two datagrams: only the second
-            # completes it.
-            upto -= 1
-        upto = max(upto, base_revision)
-        found.append(
+        revision = chunk[-1].revision
+        remaining = entries[first + _MAX_ENTRIES_PER_UPDATE :]
+        if remaining and remaining[0].revision == revision:
+            # The entries of one change are split over two updates; the
+            # change is complete only with the second update.
+            revision -= 1
+        revision = max(revision, base_revision)
+        updates.append(
             messages.EntryUpdate(
-                base_revision, upto, is_absence_final, tuple(chunk)
+                base_revision, revision, is_absence_final, tuple(chunk)
             )
         )
-        base_revision = upto
-    return found
+        base_revision = revision
+    return updates
--- a/persimmonhinge/forwarding/peers/follower_role.py
+++ b/persimmonhinge/forwarding/peers/follower_role.py
@@ -1,4 +1,4 @@
-"""Which hosts follow the store for the others of their failure domain."""
+"""Role of a host that follows the store for its failure domain."""
 
 from __future__ import annotations
 
@@ -8,20 +8,23 @@
 from persimmonhinge.forwarding import wake_up
 from persimmonhinge.forwarding.peers import peer_table
 
-# How much later than its turn may come a host looks, seconds.
+# Time after the confirmation of its knowledge expires at which a host checks its
+# role again, seconds.
 _DEADLINE_SLACK_S = 0.05
 
 
 class FollowerRole:
-    """Tells a host whether it is to follow the store itself.
+    """Decides whether a host follows the store itself.
 
-    One host of each failure domain does, the first by a hash of its name, and
-    tells the others; nobody has to agree on it. Calls to the store grow with
-    failure domains, not with hosts. The hosts of the domains see by each
-    other's reports who is behind, so no second one is needed.
+    One host of each failure domain follows the store, the first by a hash of
+    its name, and sends updates to the others; the hosts need no agreement on
+    it. Calls to the store thus grow with the number of failure domains, not of
+    hosts. Hosts see from the reports of other domains when their own domain is
+    behind, so a domain needs no second follower.
 
     Attributes:
-        reaches_store: False after a failed call, until one is answered.
+        reaches_store: False after a call to the store has failed, until one is
+            answered.
         leaving: True once a planned stop has begun.
     """
 
@@ -34,15 +37,17 @@
         max_unconfirmed_s: float,
         started_at: float,
     ) -> None:
-        """Makes the part of one host.
+        """Initializes the role of one host.
 
         Args:
-            host: Its name.
+            host: Name of the host.
             domain: Its failure domain.
-            book: The other hosts.
-            knowledge: What it believes, and since when.
-            current_s: How long it may be confirmed by nobody, seconds.
-            now: The time of its start.
+            peers: The other hosts.
+            knowledge: Its view of the platform, with the time of the last
+                confirmation.
+            max_unconfirmed_s: Time after which the host follows the store if
+                no confirmation came, seconds.
+            started_at: The time of its start.
         """
         self._host = host
         self._domain = domain
@@ -56,47 +61,47 @@
         self.leaving = False
 
     def should_follow(self, now: float) -> bool:
-        """Tells whether this host is to follow the store.
+        """Returns whether this host has to follow the store now.
 
-        Guards against a failure domain where nobody does though each host
-        thinks that another one will: a host whose knowledge was confirmed by
-        nobody for too long follows, whatever its place.
+        A host whose knowledge was not confirmed for too long follows whatever
+        its rank. Otherwise no host of a failure domain might follow because
+        each expects another one to.
         """
         if now > self._compute_stale_at():
             return True
         return self.reaches_store and self.is_selected()
 
     async def wait_for_change(self, now: float) -> None:
-        """Waits until it may be this host's turn.
+        """Waits until this host may have to follow the store.
 
         Args:
-            now: The time.
+            now: The current time.
         """
-        rest_s = self._compute_stale_at() - now
-        await self._changed.wait(max(rest_s, 0.0) + _DEADLINE_SLACK_S)
+        remaining_s = self._compute_stale_at() - now
+        await self._changed.wait(max(remaining_s, 0.0) + _DEADLINE_SLACK_S)
 
     def _compute_stale_at(self) -> float:
-        """Returns when its knowledge is confirmed by nobody for too long."""
+        """Returns when the knowledge has gone unconfirmed for too long."""
         confirmed_at = self._knowledge.confirmed_at or self._started_at
         return max(confirmed_at, self._started_at) + self._max_unconfirmed_s
 
     def is_selected(self) -> bool:
-        """Tells whether this host is to follow if it reaches the store."""
+        """Returns whether this host follows as long as it reaches the store."""
         if self.leaving:
             return False
-        before = [
-            rival
-            for rival in self._list_candidates()
-            if _rank(rival) < _rank(self._host)
+        ranked_before = [
+            candidate
+            for candidate in self._list_candidates()
+            if _rank(candidate) < _rank(self._host)
         ]
-        return len(before) < self._count_required_followers()
+        return len(ranked_before) < self._count_required_followers()
 
     def is_confirmed_since(self, failed_at: float, now: float) -> bool:
-        """Tells whether another host follows, and reached the store since.
+        """Returns whether another host follows and has since reached the store.
 
         Args:
-            moment: When this host last failed to reach it.
-            now: The time.
+            failed_at: When this host last failed to reach the store.
+            now: The current time.
         """
         confirmed_at = self._knowledge.confirmed_at
         if confirmed_at is None or confirmed_at <= failed_at:
@@ -104,15 +109,15 @@
         return not self.should_follow(now)
 
     def count_domain_hosts(self) -> int:
-        """Returns how many hosts of this domain it knows of, itself too."""
-        heard = self._peers.list_reporting()
-        return 1 + sum(peer.domain == self._domain for peer in heard)
+        """Returns the number of known hosts of this domain, with this host."""
+        reporting = self._peers.list_reporting()
+        return 1 + sum(peer.domain == self._domain for peer in reporting)
 
     def _count_required_followers(self) -> int:
-        """Returns how many hosts of this domain are to follow.
+        """Returns how many hosts of this domain have to follow the store.
 
-        With no host of another domain to see that the one is behind, a
-        second one is needed.
+        A second one is needed if there is no other domain whose reports would
+        show that the only follower is behind.
         """
         for peer in self._peers.list_reporting():
             if peer.domain != self._domain:
--- a/persimmonhinge/forwarding/peers/messages.py
+++ b/persimmonhinge/forwarding/peers/messages.py
@@ -1,4 +1,4 @@
-"""Messages between hosts, as msgpack arrays."""
+"""Messages between forwarding hosts, encoded as msgpack arrays."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, tag="report"):
-    """What a host tells the others at short intervals, as one datagram.
+    """The state of a host, sent to other hosts periodically in one datagram.
 
     Attributes:
         host: Name of the host.
-        incarnation: Number of its process, drawn at its start.
+        incarnation: Random number of its process, generated at its start.
         sequence: Number of the report within the process.
         interval_ms: Time until its next report to the same host, milliseconds.
         domain: Its failure domain.
-        revision: Revision of the store that its knowledge is complete to.
-        age_ms: How long ago the store last confirmed that, milliseconds; -1
-            if it never did.
+        revision: Revision of the store that its entries are complete to.
+        age_ms: Time since the store last confirmed that, milliseconds; -1 if
+            it never did.
         leaving: True once a planned stop has begun.
         reaches_store: False after the store has failed to answer it.
-        loads: Upstreams that have work or are in doubt.
-        peers: Some other hosts that it hears.
-        upstreams_revision: Revision that its knowledge of upstreams is
-            complete to; beyond `revision` while it lacks a desired state. 0
-            from hosts of earlier releases, which know no difference.
+        loads: Loads of the upstreams that have work or are suspected.
+        peers: Addresses of a sample of the hosts that report to it.
+        upstreams_revision: Revision that its entries of upstreams are complete
+            to; beyond `revision` while a desired state is missing. 0 from
+            hosts of earlier releases, which do not distinguish the two.
     """
 
     host: str
@@ -44,23 +44,23 @@
     upstreams_revision: int = 0
 
     def compute_upstreams_revision(self) -> int:
-        """Returns the revision that its upstreams are complete to."""
+        """Returns the revision that the upstream entries are complete to."""
         return max(self.revision, self.upstreams_revision)
 
 
 class EntryUpdate(msgspec.Struct, frozen=True, array_like=True, tag="news"):
-    """Entries that the store has just told a host, as one datagram.
+    """Entries that have just changed in the store, sent in one datagram.
 
     Attributes:
-        after: Revision that the receiver must be complete to, so that it is
-            complete to `upto` with these entries.
-        upto: That revision.
-        settled: False if the store has just returned from an outage, so that
-            entries that are not there may come back.
+        base_revision: Revision that the receiver must be complete to before
+            it applies the update.
+        revision: Revision that such a receiver is complete to afterwards.
+        is_absence_final: False if the store has just returned from an outage,
+            so that missing entries may come back.
         entries: The entries, in the order of their changes.
-        upstreams_upto: Beyond `upto` if a desired state was left out: a
-            receiver whose upstreams are complete to `after` has them complete
-            to this revision.
+        upstreams_revision: Beyond `revision` if a desired state was omitted:
+            a receiver whose entries of upstreams are complete to
+            `base_revision` has them complete to this revision afterwards.
     """
 
     base_revision: int
@@ -71,13 +71,13 @@
 
 
 class PullRequest(msgspec.Struct, frozen=True, array_like=True, tag="pull"):
-    """Asks for the entries that changed after a revision.
+    """Request for a snapshot of the entries that changed after a revision.
 
     Attributes:
-        since: The revision.
-        packed: Whether the answer may be compressed.
-        short: Whether a long desired state is to be left out.
-        may_be_refused: Whether the host understands a refusal.
+        after_revision: The revision.
+        accepts_compression: Whether the answer may be compressed.
+        omits_long_state: Whether the snapshot omits a long desired state.
+        accepts_refusal: Whether the requesting host understands a refusal.
     """
 
     after_revision: int
@@ -89,30 +89,31 @@
 class CompressedMessage(
     msgspec.Struct, frozen=True, array_like=True, tag="packed"
 ):
-    """Another message that is compressed.
+    """A compressed message.
 
     Attributes:
-        octets: The message as octets, compressed as by zlib.
+        octets: The encoded message, compressed by zlib.
     """
 
     octets: bytes
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True, tag="snapshot"):
-    """What a host knows, for one that knows less.
+    """The entries of a host, for a host that is behind.
 
     Attributes:
         revision: Revision of the store that the entries are complete to.
-        settled: As in `News`.
-        entries: The entries that changed after the revision asked for, those
-            that were deleted included.
-        peers: Hosts that it hears.
-        whole: True if an upstream that the entries do not name is gone: the
-            deletions since then are not kept any more.
-        state_revision: Revision up to which a desired state was left out, so
-            that the entries are complete for upstreams alone; 0 if none was.
-        busy: True if the host gives its desired state to enough others
-            already, and so gives nothing now.
+        is_absence_final: See `EntryUpdate`.
+        entries: The entries that changed after the requested revision,
+            including deleted ones.
+        peers: Addresses of hosts that report to the answering host.
+        lists_all_entries: True if an upstream without an entry here has ended:
+            the deletions since the requested revision are no longer stored.
+        omitted_state_revision: Revision up to which a desired state was
+            omitted, so that the entries are complete for upstreams only; 0 if
+            none was omitted.
+        busy: True if the request is refused because the host is already
+            sending its desired state to as many hosts as it may.
     """
 
     revision: int
--- a/persimmonhinge/forwarding/peers/peer_table.py
+++ b/persimmonhinge/forwarding/peers/peer_table.py
@@ -1,4 +1,4 @@
-"""The hosts that a host hears, and what they last told."""
+"""Table of the other hosts and their newest reports."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 logger = early_logs.get_logger(__name__)
 
-# A host that told nothing for so long counts as silent, seconds, or for so many
-# of its own intervals between reports if that is longer: two reports in a row
-# may be lost, and the third one comes up to a tenth of each interval later.
+# A host counts as silent when no report came from it for this time, seconds, or
+# for this many of its own report intervals if that is longer: two consecutive
+# reports may be lost, and each interval may be a tenth longer than announced.
 MIN_SILENCE_TIMEOUT_S = 1.2
 _SILENCE_TIMEOUT_INTERVALS = 3.5
-# A silent host is told no more after this time, seconds; one that lives is
-# heard again, since it goes on telling.
+# A silent host is removed, and gets no more reports, this time after its last
+# report, seconds. A host that is alive is added again by its next report.
 _REMOVAL_TIMEOUT_S = 30.0
 _MAX_PORT = 65_535
 
@@ -37,13 +37,13 @@
 
     Attributes:
         address: Where it receives reports.
-        known_since: When this host first heard of it.
-        heard_at: When its newest report came; None if none did.
+        added_at: When this host added it to the table.
+        last_report_at: When its newest report came; None if none did.
         report: Its newest report; None while it is silent.
-        domain: Its failure domain, None if it never said so.
-        report_due_at: When this host is to report to it, if it is in another
+        domain: Its failure domain; None if it never reported.
+        report_due_at: When the next report to it is due, if it is in another
             failure domain.
-        told: How many reports to it were sent then.
+        sent_reports: Number of reports sent to it on that schedule.
     """
 
     address: flow.Endpoint
@@ -55,11 +55,11 @@
     sent_reports: int = 0
 
     def is_silent(self, now: float) -> bool:
-        """Tells whether its next report is long overdue."""
+        """Returns whether its next report is long overdue."""
         return now > self.compute_silent_at()
 
     def compute_silent_at(self) -> float:
-        """Returns after which time its next report is long overdue."""
+        """Returns the time after which it counts as silent."""
         if self.report is None or self.last_report_at is None:
             return -math.inf
         interval_s = self.report.interval_ms / 1000
@@ -69,7 +69,7 @@
 
 
 class PeerTable:
-    """Keeps the newest report of each host, and what they say together."""
+    """Keeps the newest report of each host and the totals of all reports."""
 
     def __init__(
         self,
@@ -77,12 +77,13 @@
         loads: loads_module.LoadBook,
         suspicions: suspicions_module.Suspicions,
     ) -> None:
-        """Makes an empty book.
+        """Initializes an empty table.
 
         Args:
-            own: Where this host receives reports.
-            loads: Where the work that others see is entered.
-            suspicions: Where the doubts of others are entered.
+            own_address: Where this host receives reports.
+            loads: Receives the loads of upstreams that other hosts report.
+            suspicions: Receives the unanswered opening packets that other
+                hosts report.
         """
         self._own_address = own_address
         self._loads = loads
@@ -91,28 +92,34 @@
         self._listeners: list[Callable[[], None]] = []
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Has a function be called when something is to be looked at anew.
+        """Registers a function that is called when the table changes.
 
-        That is when a host is added, falls silent, or reports anything else
-        than before but loads.
+        It is called when a host is added, falls silent, or reports a change
+        of anything except loads.
         """
         self._listeners.append(listener)
 
     def add(self, address: flow.Endpoint, now: float) -> None:
-        """Adds a host that was named by somebody.
+        """Adds a host that the settings, a report or a snapshot names.
 
-        Guards against a report that names what is no address: to send there
-        would end the host.
+        An unusable address is ignored: sending to it would terminate this
+        host's process.
         """
         if not _is_usable(address):
-            logger.warning("Left out a host.", extra={"address": str(address)})
+            logger.warning(
+                "Ignored a host with an unusable address.",
+                extra={"address": str(address)},
+            )
             return
         if address != self._own_address and address not in self._peers:
             self._peers[address] = Peer(address, now, report_due_at=now)
             self._notify_listeners()
 
     def reaches_store(self, address: flow.Endpoint) -> bool:
-        """Tells whether a host said last that the store answers it."""
+        """Returns whether a host last reported that it reaches the store.
+
+        A host without a report counts as one that reaches the store.
+        """
         peer = self._peers.get(address)
         if peer is None or peer.report is None:
             return True
@@ -121,10 +128,10 @@
     def apply_report(
         self, address: flow.Endpoint, report: messages.Report, now: float
     ) -> bool:
-        """Takes in a report unless a newer one has come.
+        """Applies a report unless a newer one of the same host has come.
 
         Returns:
-            True if it was taken in.
+            True if the report was applied.
         """
         peer = self._peers.get(address)
         if peer is None:
@@ -147,7 +154,11 @@
         return True
 
     def expire_silent(self, now: float) -> list[flow.Endpoint]:
-        """Forgets what silent hosts told; returns those that fell silent."""
+        """Discards the reports of silent hosts; later removes the hosts.
+
+        Returns:
+            The hosts that have fallen silent since the last call.
+        """
         silent = []
         for peer in list(self._peers.values()):
             heard_at = peer.last_report_at or peer.added_at
@@ -164,8 +175,8 @@
     def find_next_silent_at(self, now: float) -> float:
         """Returns a time before which no host falls silent.
 
-        A report that comes later puts the time off, or is of a host that may
-        fall silent after the shortest limit.
+        A report that comes after this call either postpones that time, or is
+        the first one of a host, which then has at least the minimum timeout.
         """
         heard = [
             p.compute_silent_at() for p in self._peers.values() if p.report
@@ -173,25 +184,25 @@
         return min([*heard, now + MIN_SILENCE_TIMEOUT_S])
 
     def list_reporting(self) -> list[Peer]:
-        """Returns the hosts whose reports count."""
+        """Returns the hosts that have reported and are not silent."""
         return [p for p in self._peers.values() if p.report is not None]
 
     def list_host_names(self) -> list[str]:
-        """Returns the names of the hosts whose reports count."""
+        """Returns the names of the hosts that `list_reporting` returns."""
         return [p.report.host for p in self._peers.values() if p.report]
 
     def list_local(self, domain: str) -> list[flow.Endpoint]:
-        """Returns the hosts that are known to be of a failure domain."""
+        """Returns the addresses of the known hosts of a failure domain."""
         return [p.address for p in self._peers.values() if p.domain == domain]
 
     def list_remote(self, domain: str) -> list[Peer]:
-        """Returns the hosts that are not known to be of a failure domain."""
+        """Returns the hosts that are not known to be in a failure domain."""
         return [p for p in self._peers.values() if p.domain != domain]
 
     def find_ahead_in_upstreams(
         self, revision: int, excluded: Collection[flow.Endpoint] = ()
     ) -> Peer | None:
-        """Returns a host that knows more of upstreams; see `find_ahead`."""
+        """Returns a host with newer upstream entries; see `find_ahead`."""
         return _choose_newest(
             (peer.report.compute_upstreams_revision(), peer)
             for peer in self._peers.values()
@@ -203,15 +214,15 @@
     def find_ahead(
         self, revision: int, excluded: Collection[flow.Endpoint] = ()
     ) -> Peer | None:
-        """Returns a host that knows more than a revision, None if none does.
+        """Returns a host that is ahead of a revision, None if none is.
 
-        Guards against many hosts that pull a long desired state from the one
-        that heard of it first, over its thin link: any that knows most will
-        do, in whichever failure domain.
+        The result is a random one of the hosts with the highest revision, in
+        any failure domain, so that not all hosts pull a long desired state
+        over the slow link of the host that received it first.
 
         Args:
-            revision: What the asking host knows.
-            without: Hosts that are not to be asked now.
+            revision: The revision that this host is complete to.
+            excluded: Addresses of hosts that must not be asked now.
         """
         return _choose_newest(
             (peer.report.revision, peer)
@@ -224,11 +235,11 @@
     def sample_addresses(
         self, max_count: int, domain: str | None = None
     ) -> tuple[flow.Endpoint, ...]:
-        """Returns some of the hosts that are heard.
+        """Returns the addresses of a random sample of the reporting hosts.
 
         Args:
-            most: How many at most.
-            domain: Only of this failure domain, if given.
+            max_count: Maximum number of addresses.
+            domain: Failure domain of the hosts; None for any domain.
         """
         heard = [
             peer.address
@@ -250,7 +261,10 @@
 
 
 def _choose_newest(ahead: Iterable[tuple[int, Peer]]) -> Peer | None:
-    """Returns one of the hosts of the highest revision, None without any."""
+    """Returns a random one of the hosts with the highest revision.
+
+    Returns None if there are no hosts.
+    """
     found = list(ahead)
     if not found:
         return None
@@ -259,7 +273,7 @@
 
 
 def _list_decision_fields(report: messages.Report) -> tuple[object, ...]:
-    """Returns what others decide by, apart from loads."""
+    """Returns the fields that other hosts base decisions on, except loads."""
     return (
         report.host,
         report.domain,
--- a/persimmonhinge/forwarding/peers/pull_attempt.py
+++ b/persimmonhinge/forwarding/peers/pull_attempt.py
@@ -1,4 +1,4 @@
-"""One try to pull a snapshot from another host, and its log lines."""
+"""One attempt to pull a snapshot from another host, and its log lines."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class PullAttempt:
-    """Notes how a pull goes, so that one that fails can be explained.
+    """Records the progress of a pull, so that a failed one can be diagnosed.
 
     Attributes:
         host: Address of the other host.
-        octets: What it has sent so far.
+        octets: The octets received from it so far.
     """
 
     def __init__(self, core: core_module.ForwardCore, host: str) -> None:
-        """Begins a pull.
+        """Starts an attempt.
 
         Args:
-            core: The parts of this host.
+            core: The components of this host.
             host: Address of the other host.
         """
         self._core = core
@@ -32,12 +32,12 @@
         self.octets = bytearray()
 
     def apply_snapshot(self, snapshot: messages.Snapshot) -> None:
-        """Takes in a whole snapshot that came."""
+        """Applies a full snapshot, which has the desired state."""
         self._record_success(snapshot)
         self._core.entries.take_snapshot(snapshot, self.host)
 
     def apply_short_snapshot(self, snapshot: messages.Snapshot) -> None:
-        """Takes in a short snapshot that came."""
+        """Applies a short snapshot, which omits a long desired state."""
         self._record_success(snapshot)
         self._core.entries.take_short_snapshot(snapshot, self.host)
 
@@ -46,7 +46,7 @@
             "snapshot_seconds", self._compute_duration_s()
         )
         logger.info(
-            "Pulled a snapshot.",
+            "Pulled a snapshot from a peer.",
             extra={
                 **self._make_log_fields(),
                 "revision": snapshot.revision,
@@ -56,23 +56,25 @@
         )
 
     def record_failure(self, error: Exception) -> None:
-        """Records that no snapshot came.
+        """Records that the pull failed.
 
-        Errors of a time limit have no text, so their type is named.
+        The log line names the type of the error, since timeout errors have no
+        text.
         """
         self._core.counts.add("snapshot_errors_total")
         logger.warning(
-            "Can't pull a snapshot: %s %s.",
+            "Failed to pull a snapshot from a peer: %s %s.",
             type(error).__name__,
             error,
             extra=self._make_log_fields(),
         )
 
     def record_refusal(self) -> None:
-        """Records that the host gives its desired state to others now."""
+        """Records that the host is busy sending its desired state to others."""
         self._core.counts.add("snapshot_refusals_total")
         logger.info(
-            "A peer gives no snapshot now.", extra=self._make_log_fields()
+            "A peer refused a snapshot request because it is busy.",
+            extra=self._make_log_fields(),
         )
 
     def _make_log_fields(self) -> dict[str, object]:
--- a/persimmonhinge/forwarding/peers/pulls.py
+++ b/persimmonhinge/forwarding/peers/pulls.py
@@ -1,4 +1,4 @@
-"""Pulls what this host lacks from others that are ahead."""
+"""Pulls missing entries from hosts that are ahead of this one."""
 
 from __future__ import annotations
 
@@ -16,31 +16,32 @@
 from persimmonhinge.forwarding.peers import peer_table
 from persimmonhinge.forwarding.peers import pull_attempt
 
-# How long a host may send no octets before the pull is given up, seconds.
+# Time without any octets from the other host after which a pull is aborted,
+# seconds.
 _RECEIVE_TIMEOUT_S = 1.0
-# Longest pull, seconds.
+# Maximum duration of a pull, seconds.
 _MAX_PULL_S = 5.0
-# How far behind a host may be before it pulls from one that is ahead: news
-# bring the same within some milliseconds, seconds.
+# Time that this host stays behind before it pulls from a host that is ahead,
+# seconds: updates bring the same entries within some milliseconds.
 _MIN_LAG_S = 0.25
 _CHECK_INTERVAL_S = 0.05
-# How long a host that refused is not asked again, seconds; by then those that
-# it gave the desired state to can give it, too.
+# Time for which a host that refused a request is not asked again, seconds: by
+# then the hosts that it sent the desired state to can send it, too.
 _REFUSAL_BACKOFF_S = 0.2
-# The same for one that did not answer, seconds: long enough to ask others that
-# are ahead, and short against the limits of a drain.
+# Time for which a host that did not answer is not asked again, seconds: long
+# enough to ask other hosts that are ahead, and short against the drain limits.
 _FAILURE_BACKOFF_S = 1.0
 
 
 class SnapshotPuller:
-    """Keeps up with hosts that are ahead.
+    """Pulls snapshots from hosts that are ahead of this one.
 
-    Entries of upstreams are pulled by themselves, and a long desired state by
-    another task, so that no change of an upstream waits for it.
+    One task pulls the entries of upstreams and another one a long desired
+    state, so that no change of an upstream waits for a long desired state.
     """
 
     def __init__(self, core: core_module.ForwardCore) -> None:
-        """Makes the part; nothing is pulled before `run`."""
+        """Initializes the puller; nothing is pulled before `run`."""
         self._core = core
         self._peers = core.peers
         self._port = core.settings.snapshot_port
@@ -52,7 +53,7 @@
         self._excluded_until: dict[flow.Endpoint, float] = {}
 
     async def run(self) -> None:
-        """Pulls what is missing until cancelled."""
+        """Pulls missing entries until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._pull_upstreams)
             nursery.start_soon(self._pull_desired_states)
@@ -64,21 +65,22 @@
     async def _pull_upstreams(self) -> None:
         """Pulls a short snapshot when another host has newer entries.
 
-        Guards against a watch that has gone silent, and against a store that
-        refuses this host alone: upstreams that have left would go on getting
-        flows. A peer that is ahead shows it at its next report.
+        Covers a store watch that has stopped delivering changes, and a store
+        that refuses only this host: without the pull, upstreams that are
+        leaving would keep getting flows. A host that is ahead announces its
+        revision in its next report.
         """
         entries = self._core.entries
         while True:
             await trio.sleep(_CHECK_INTERVAL_S)
-            avoided = self._list_excluded()
+            excluded = self._list_excluded()
             ahead = self._peers.find_ahead_in_upstreams(
-                entries.completeness.upstreams_revision, avoided
+                entries.completeness.upstreams_revision, excluded
             )
             now = trio.current_time()
             if ahead is None:
                 self._behind_since = None
-                if not avoided:
+                if not excluded:
                     await self._may_be_behind.wait()
                 continue
             if self._behind_since is None:
@@ -94,7 +96,7 @@
         return behind_since is not None and now - behind_since > _MIN_LAG_S
 
     async def _pull_desired_states(self) -> None:
-        """Pulls a whole snapshot while a long desired state is missing."""
+        """Pulls a full snapshot while a long desired state is missing."""
         entries = self._core.entries
         while True:
             await trio.sleep(_CHECK_INTERVAL_S * random.uniform(0.5, 1.5))
@@ -111,10 +113,10 @@
         self._excluded_until[peer.address] = trio.current_time() + backoff_s
 
     def _list_excluded(self) -> set[flow.Endpoint]:
-        """Returns the hosts that are not to be asked now.
+        """Returns the addresses of the hosts that must not be asked now.
 
-        Guards against a host that told of the newest entries and died: its
-        report counts for some seconds, in which it alone would be asked.
+        Without this, a host that reported the newest entries and then died
+        would be the only one asked for the seconds until its report expires.
         """
         now = trio.current_time()
         self._excluded_until = {
@@ -158,11 +160,11 @@
         request: messages.PullRequest,
         attempt: pull_attempt.PullAttempt,
     ) -> messages.Snapshot | None:
-        """Returns what a host answers, None if that fails.
+        """Returns the snapshot that a host sends, None if the request fails.
 
-        A host that fails is not asked again for a while. The limit is for
-        silence: an answer that comes slowly but comes is not begun anew, since
-        the next one would be as slow.
+        A host that fails is not asked again for a while. The short limit in
+        `_receive` is for the time without progress: a slow answer that makes
+        progress is not aborted by it, since the next one would be as slow.
         """
         try:
             with trio.fail_after(_MAX_PULL_S):
@@ -183,15 +185,17 @@
         request: messages.PullRequest,
         attempt: pull_attempt.PullAttempt,
     ) -> None:
-        with trio.fail_after(_RECEIVE_TIMEOUT_S) as silence:
+        with trio.fail_after(_RECEIVE_TIMEOUT_S) as idle_limit:
             stream = await trio.open_tcp_stream(attempt.host, self._port)
             async with stream:
                 await stream.send_all(msgspec.msgpack.encode(request))
                 async for data in stream:
                     attempt.octets += data
-                    silence.deadline = trio.current_time() + _RECEIVE_TIMEOUT_S
+                    idle_limit.deadline = (
+                        trio.current_time() + _RECEIVE_TIMEOUT_S
+                    )
 
     def _add_peers(self, snapshot: messages.Snapshot) -> None:
         now = time.monotonic()
-        for named in snapshot.peers:
-            self._peers.add(named, now)
+        for address in snapshot.peers:
+            self._peers.add(address, now)
--- a/persimmonhinge/forwarding/peers/reporter.py
+++ b/persimmonhinge/forwarding/peers/reporter.py
@@ -1,4 +1,4 @@
-"""Reports to other hosts, within a budget of octets."""
+"""Sends reports to other hosts within a bandwidth budget."""
 
 from __future__ import annotations
 
@@ -23,35 +23,36 @@
 from persimmonhinge.forwarding.peers import peer_table
 from persimmonhinge.forwarding.peers import report_schedule
 
-# Reports to hosts of the own failure domain, and to those of others, within the
-# 16 KB a second that a host may spend for control. Octets between domains are
-# priced, and the work of upstreams elsewhere matters only where the own ones
-# are full.
+# Pace of the reports to hosts of the own failure domain, and to hosts of other
+# domains, within the 16 KB per second that a host may spend on control data.
+# Traffic between domains is priced, and the loads of upstreams in other domains
+# matter only when the upstreams of the own domain are full.
 _LOCAL_PACE = report_pace.ReportPace(least_s=0.1, octets_per_s=8_000)
 _REMOTE_PACE = report_pace.ReportPace(least_s=0.5, octets_per_s=3_000)
-# Least time between two looks for a host elsewhere to greet, seconds.
+# Minimum time between two checks for new hosts of other domains, seconds.
 _MIN_NEW_HOST_CHECK_S = 0.1
-# Upstreams in a report, those with most work and doubt first.
+# Maximum number of upstreams in a report. Those with the most unanswered opening
+# packets come first, then those with the most work.
 _MAX_REPORTED_UPSTREAMS = 32
-# Other hosts that a report names: of the failure domain of the host that gets
-# it, since those are to find each other first, and of any.
+# Number of other hosts that a report names: hosts of the receiver's failure
+# domain, since these have to find each other first, and hosts of any domain.
 _NAMED_SAME_DOMAIN_HOSTS = 2
 _NAMED_ANY_DOMAIN_HOSTS = 1
 
 
 class Reporter:
-    """Tells other hosts at intervals what this one sees."""
+    """Sends periodic reports of this host's state to other hosts."""
 
     def __init__(
         self,
         core: core_module.ForwardCore,
         follower_role: follower_role_module.FollowerRole,
     ) -> None:
-        """Makes the part of a process that has just started.
+        """Initializes the reporter of a process that has just started.
 
         Args:
-            core: The parts of the host that need no event loop.
-            following: Whether this host follows the store.
+            core: The components of the host that need no event loop.
+            follower_role: Whether this host follows the store.
         """
         self._core = core
         self._follower_role = follower_role
@@ -68,100 +69,112 @@
     async def send_local_reports(
         self, channel: channel_module.PeerChannel
     ) -> None:
-        """Tells hosts of the own failure domain until cancelled."""
+        """Sends reports to the own failure domain until cancelled."""
         domain = self._core.settings.domain
         while True:
-            near = self._core.peers.list_local(domain)
+            local_hosts = self._core.peers.list_local(domain)
             report = self._make_report(self._list_loads(), domain)
             interval_s = _LOCAL_PACE.compute_interval(
-                _count_octets(report), len(near)
+                _count_octets(report), len(local_hosts)
             )
-            await channel.send_all(_encode(report, interval_s), near)
+            await channel.send_all(_encode(report, interval_s), local_hosts)
             await self.wait_for_local_round(interval_s)
 
     async def wait_for_local_round(self, wait_s: float) -> None:
         """Waits until the next report, or until a long state is in force.
 
-        Guards against hosts that all ask the one that heard of it first: those
-        that have it since would be unknown until their next report, which
-        comes the later the more hosts there are.
+        A host that has received a long desired state reports it at once.
+        Otherwise all hosts would ask the first host that had it, since the
+        others would announce it only in their next report, and the interval
+        between reports grows with the number of hosts.
+
+        Args:
+            wait_s: Mean time until the next report, seconds.
         """
         core = self._core
-        known = core.knowledge.state
+        former_state = core.knowledge.state
         ends_at = trio.current_time() + wait_s * random.uniform(0.9, 1.1)
         while (now := trio.current_time()) < ends_at:
             await self._state_changed.wait(ends_at - now)
-            is_new = core.knowledge.state is not known
+            is_new = core.knowledge.state is not former_state
             if is_new and core.entries.has_long_state_since(0):
                 return
 
     async def send_remote_reports(
         self, channel: channel_module.PeerChannel
     ) -> None:
-        """Tells hosts of other failure domains until cancelled."""
+        """Sends reports to other failure domains until cancelled."""
         round_s = _REMOTE_PACE.least_s
         while True:
             due = self._remote_schedule.choose_due(time.monotonic(), round_s)
-            lines = (
+            loads = (
                 self._list_loads()
                 if self._remote_schedule.should_send_loads(due)
                 else []
             )
-            report = self._make_report(lines, None)
+            report = self._make_report(loads, None)
             octets = _count_octets(report)
             round_s = _REMOTE_PACE.compute_interval(octets, len(due))
-            await self._send_due_reports(channel, due, lines, round_s)
+            await self._send_due_reports(channel, due, loads, round_s)
             budgeted_s = _REMOTE_PACE.compute_budgeted(octets, len(due))
             await trio.sleep(budgeted_s)
             await self._wait_for_remote_round(round_s - budgeted_s)
 
     async def _wait_for_remote_round(self, wait_s: float) -> None:
-        """Waits until the next round, or until there is a host to greet.
+        """Waits until the next round, or until a new host is due for a report.
 
-        Guards against a host that begins to follow the store since it heard
-        nobody at its start: it asked others that told it only at their next
-        round.
+        A host that has just started would otherwise get reports only in the
+        next round of the hosts it reported to, and would begin to follow the
+        store because it had received none.
+
+        Args:
+            wait_s: Mean time until the next round, seconds.
         """
         ends_at = trio.current_time() + wait_s * random.uniform(0.9, 1.1)
         while (now := trio.current_time()) < ends_at:
             await trio.sleep_until(min(ends_at, now + _MIN_NEW_HOST_CHECK_S))
-            stranger_s = (
+            new_host_due_s = (
                 self._remote_schedule.find_new_host_due_at() - time.monotonic()
             )
-            if stranger_s <= 0:
+            if new_host_due_s <= 0:
                 return
-            rest_s = ends_at - trio.current_time()
-            await self._hosts_changed.wait(min(rest_s, stranger_s))
+            remaining_s = ends_at - trio.current_time()
+            await self._hosts_changed.wait(min(remaining_s, new_host_due_s))
 
     async def _send_due_reports(
         self,
         channel: channel_module.PeerChannel,
         due: Sequence[peer_table.Peer],
-        lines: Sequence[load_line.LoadLine],
+        loads: Sequence[load_line.LoadLine],
         round_s: float,
     ) -> None:
-        """Tells each host in turn, with names of hosts of its own domain."""
+        """Sends each due host a report that names hosts of its own domain."""
         interval_s = self._remote_schedule.compute_interval(round_s)
         for peer in due:
             self._remote_schedule.record_sent(
                 peer, interval_s, time.monotonic()
             )
-            report = self._make_report(lines, peer.domain)
+            report = self._make_report(loads, peer.domain)
             octets = _encode(report, interval_s)
             await channel.send_all(octets, [peer.address])
 
     def _list_loads(self) -> list[load_line.LoadLine]:
         core = self._core
-        lines = told_loads.list_lines(
+        loads = told_loads.list_lines(
             core.knowledge, core.loads, core.suspicions, time.monotonic()
         )
-        lines.sort(key=lambda line: (line.missed, line.average), reverse=True)
-        return lines[:_MAX_REPORTED_UPSTREAMS]
+        loads.sort(key=lambda load: (load.missed, load.average), reverse=True)
+        return loads[:_MAX_REPORTED_UPSTREAMS]
 
     def _make_report(
-        self, lines: Sequence[load_line.LoadLine], domain: str | None
+        self, loads: Sequence[load_line.LoadLine], domain: str | None
     ) -> messages.Report:
-        """Returns a report for hosts of a failure domain, None if unknown."""
+        """Returns a report for hosts of a failure domain.
+
+        Args:
+            loads: The loads of upstreams.
+            domain: Failure domain of the receivers; None if it is unknown.
+        """
         core = self._core
         self._sequence += 1
         return messages.Report(
@@ -174,7 +187,7 @@
             age_ms=core.knowledge.compute_age_ms(time.monotonic()),
             leaving=self._follower_role.leaving,
             reaches_store=self._follower_role.reaches_store,
-            loads=tuple(lines),
+            loads=tuple(loads),
             peers=core.peers.sample_addresses(_NAMED_SAME_DOMAIN_HOSTS, domain)
             + core.peers.sample_addresses(_NAMED_ANY_DOMAIN_HOSTS),
             upstreams_revision=core.entries.completeness.upstreams_revision,
@@ -186,10 +199,12 @@
 
 
 def _encode(report: messages.Report, interval_s: float) -> bytes:
-    """Returns a report that names the time to the next one.
+    """Encodes a report with the time until the next one.
 
-    Guards against a live host that is taken for silent: others give up on it by
-    the time that it names, which may grow at once by the hosts it has heard of.
+    Other hosts derive from that time when this host counts as silent. The
+    report has to announce the interval that really follows, which may grow
+    suddenly when many hosts were added; otherwise a live host would be
+    considered silent.
     """
     interval_ms = int(interval_s * 1000)
     return msgspec.msgpack.encode(
--- a/persimmonhinge/forwarding/peers/service.py
+++ b/persimmonhinge/forwarding/peers/service.py
@@ -1,4 +1,4 @@
-"""Tells other hosts what this one sees, and hears them."""
+"""Exchanges reports, entry updates and snapshots with other hosts."""
 
 from __future__ import annotations
 
@@ -26,26 +26,31 @@
 
 logger = logging.getLogger(__name__)
 
+# Maximum size of a received datagram, octets.
 _MAX_DATAGRAM_OCTETS = 65_535
-# Largest datagram of news, octets.
+# Maximum size of an update datagram, octets.
 _MAX_UPDATE_OCTETS = 8192
-# Least time between two looks for silent hosts, seconds.
+# Minimum time between two checks for silent hosts, seconds.
 _MIN_SILENCE_CHECK_S = 0.1
 
 
 class PeerService:
-    """Reports by datagrams; snapshots by streams for hosts that are behind."""
+    """Runs the exchange between this host and other hosts.
+
+    Reports and updates are sent as datagrams; snapshots are sent over TCP to
+    hosts that are behind.
+    """
 
     def __init__(
         self,
         core: core_module.ForwardCore,
         follower_role: follower_role_module.FollowerRole,
     ) -> None:
-        """Makes the part; nothing is sent before `run`.
+        """Initializes the service; nothing is sent before `run`.
 
         Args:
-            core: The parts of the host that need no event loop.
-            following: Whether this host follows the store.
+            core: The components of the host that need no event loop.
+            follower_role: Whether this host follows the store.
         """
         self._core = core
         self._peers = core.peers
@@ -62,10 +67,10 @@
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Tells and hears until cancelled.
+        """Exchanges messages with other hosts until cancelled.
 
         Raises:
-            OSError: A port can't be had.
+            OSError: A port can't be bound.
         """
         settings = self._core.settings
         now = time.monotonic()
@@ -87,45 +92,47 @@
     def _queue_updates(
         self, base_revision: int, entries: list[entry_line.EntryLine]
     ) -> None:
-        settled = self._core.entries.is_settled()
+        is_absence_final = self._core.entries.is_settled()
         self._pending_updates.extend(
-            entry_updates.split_into_updates(base_revision, settled, entries)
+            entry_updates.split_into_updates(
+                base_revision, is_absence_final, entries
+            )
         )
         self._updates_queued.set()
 
     async def send_updates(self, channel: channel_module.PeerChannel) -> None:
-        """Tells the hosts of the own failure domain what is new, at once.
+        """Sends new updates to the own failure domain until cancelled.
 
-        News that are lost, and a desired state too long for a datagram, are
-        pulled by those that see from a report that they are behind.
+        A host that misses an update, or a desired state that is too long for a
+        datagram, sees from a report that it is behind and pulls a snapshot.
         """
         state_key = self._core.entries.state_key
         while True:
             await self._updates_queued.wait()
-            untold, self._pending_updates = self._pending_updates, []
-            near = self._peers.list_local(self._core.settings.domain)
-            for news in untold:
-                octets = self._codec.encode(news)
+            updates, self._pending_updates = self._pending_updates, []
+            local_hosts = self._peers.list_local(self._core.settings.domain)
+            for update in updates:
+                octets = self._codec.encode(update)
                 if len(octets) > _MAX_UPDATE_OCTETS:
-                    news = entry_updates.omit_desired_state(news, state_key)
-                    octets = self._codec.encode(news)
+                    update = entry_updates.omit_desired_state(update, state_key)
+                    octets = self._codec.encode(update)
                 if len(octets) <= _MAX_UPDATE_OCTETS:
-                    await channel.send_all(octets, near)
+                    await channel.send_all(octets, local_hosts)
 
     async def expire_silent_hosts(
         self, on_silent: Callable[[flow.Endpoint], None]
     ) -> None:
-        """Drops what hosts told that fell silent, until cancelled.
+        """Discards the reports of hosts that fall silent, until cancelled.
 
         Args:
-            tell: Called with each of them.
+            on_silent: Called with the address of each host that falls silent.
         """
         while True:
             now = time.monotonic()
             due_s = self._peers.find_next_silent_at(now) - now
             await trio.sleep(max(due_s, _MIN_SILENCE_CHECK_S))
-            for silent in self._peers.expire_silent(time.monotonic()):
-                on_silent(silent)
+            for address in self._peers.expire_silent(time.monotonic()):
+                on_silent(address)
 
     async def _receive(self, socket: trio.socket.SocketType) -> None:
         while True:
@@ -133,17 +140,21 @@
                 octets, source = await socket.recvfrom(_MAX_DATAGRAM_OCTETS)
             except OSError as error:
                 self._core.counts.add("report_errors_total")
-                logger.debug("Can't receive reports: %s.", error)
+                logger.debug(
+                    "Can't receive datagrams from other hosts: %s.", error
+                )
                 continue
             self.handle_datagram(octets, flow.Endpoint(*source[:2]))
 
     def handle_datagram(self, octets: bytes, source: flow.Endpoint) -> None:
-        """Takes in a datagram of another host."""
+        """Handles a datagram from another host."""
         try:
             message = self._codec.decode(octets)
         except msgspec.MsgspecError as error:
             self._core.counts.add("malformed_reports_total")
-            logger.warning("Dropped a report: %s.", error)
+            logger.warning(
+                "Dropped a malformed datagram from another host: %s.", error
+            )
             return
         if isinstance(message, messages.EntryUpdate):
             self._core.entries.take_news(message, source.host)
@@ -153,15 +164,15 @@
     def handle_report(
         self, report: messages.Report, address: flow.Endpoint
     ) -> None:
-        """Takes in a report of another host."""
+        """Handles a report from another host."""
         now = time.monotonic()
         reached_store = self._peers.reaches_store(address)
         if not self._peers.apply_report(address, report, now):
             return
         if reached_store and not report.reaches_store:
             self._core.entries.doubt()
-        for named in report.peers:
-            self._peers.add(named, now)
+        for peer in report.peers:
+            self._peers.add(peer, now)
         entries = self._core.entries
         if (
             report.age_ms >= 0
@@ -172,5 +183,5 @@
             self._core.knowledge.confirm(now - report.age_ms / 1000)
 
 
-def _log_silent_host(silent: flow.Endpoint) -> None:
-    logger.info("Host is silent.", extra={"peer": str(silent)})
+def _log_silent_host(address: flow.Endpoint) -> None:
+    logger.info("Peer fell silent.", extra={"peer": str(address)})
--- a/persimmonhinge/forwarding/peers/snapshot_server.py
+++ b/persimmonhinge/forwarding/peers/snapshot_server.py
@@ -1,4 +1,4 @@
-"""Gives snapshots of entries to other hosts."""
+"""Serves snapshots of the entries to other hosts."""
 
 from __future__ import annotations
 
@@ -14,41 +14,46 @@
 
 logger = logging.getLogger(__name__)
 
-# How long a host may take no octets before it gets no more, seconds.
+# Time that a host may take to send its request, and to accept each chunk of the
+# answer, before the connection is closed, seconds.
 _IO_TIMEOUT_S = 1.0
+# Maximum size of a request, octets.
 _MAX_REQUEST_OCTETS = 64
+# Size of the chunks in which an answer is sent, octets.
 _CHUNK_OCTETS = 16_384
-# An answer of more octets counts as long.
+# Size above which an answer counts as long, octets.
 _LONG_ANSWER_OCTETS = 16_384
-# Hosts that a snapshot names.
+# Maximum number of other hosts that a snapshot names.
 _MAX_NAMED_PEERS = 32
-# Hosts that get a long desired state at a time. The fewer, the sooner the first
-# of them can give it to others; with one, a host that freezes while it takes
-# octets would keep it from all for the time of silence.
+# Maximum number of hosts that a long desired state is sent to at the same time.
+# The fewer they are, the sooner the first of them can send it to others. With
+# one, a host that freezes while it receives would block all others for
+# `_IO_TIMEOUT_S`.
 _MAX_LONG_ANSWERS = 2
 
 
 class SnapshotServer:
-    """Answers requests of other hosts for what they lack.
+    """Answers snapshot requests of hosts that are behind.
 
-    Guards against a host that alone has a new long desired state, and is asked
-    for it by all others at once: each of them would get a small share of its
-    link, and none the whole before it gives up. Those beyond some are refused
-    at once, and ask again where somebody has it by then.
+    Limits the number of long answers sent at the same time. When only one host
+    has a new long desired state and all others ask for it at once, each would
+    get a small share of its link, and none the complete answer before its
+    request times out. Hosts beyond the limit are refused at once, and later
+    ask a host that has received the desired state by then.
     """
 
     def __init__(self, core: core_module.ForwardCore) -> None:
-        """Makes the part; nothing is answered before `run`."""
+        """Initializes the server; nothing is answered before `run`."""
         self._core = core
         self._long_answers = 0
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Answers until cancelled.
+        """Answers requests until cancelled.
 
         Raises:
-            OSError: The port can't be had.
+            OSError: The port can't be bound.
         """
         settings = self._core.settings
         listeners = await trio.open_tcp_listeners(
@@ -61,7 +66,10 @@
         try:
             peer = stream.socket.getpeername()[0]
         except OSError as error:
-            logger.info("A peer has gone: %s.", error)
+            logger.info(
+                "A peer closed its snapshot connection before the request: %s.",
+                error,
+            )
         else:
             await self.answer(stream, peer)
         await trio.aclose_forcefully(stream)
@@ -70,8 +78,8 @@
         """Answers one request.
 
         Args:
-            stream: The connection, which stays open.
-            peer: Address of the other host, for the log.
+            stream: The connection, which is left open.
+            peer: Address of the other host, for log lines.
         """
         answer = b""
         try:
@@ -85,22 +93,22 @@
             msgspec.MsgspecError,
         ) as error:
             logger.info(
-                "A peer did not get its snapshot: %s %s.",
+                "Failed to send a snapshot to a peer: %s %s.",
                 type(error).__name__,
                 error,
                 extra={"peer": peer, "octets": len(answer)},
             )
 
     def _make_answer(self, request: messages.PullRequest) -> bytes:
-        """Returns what a host gets.
+        """Returns the encoded answer to a request.
 
-        Hosts of earlier releases would take a refusal for a snapshot, so they
-        are never refused.
+        Hosts of earlier releases would treat a refusal as a snapshot, so their
+        requests are never refused.
         """
-        is_full = (
+        is_at_limit = (
             self._long_answers >= _MAX_LONG_ANSWERS and request.accepts_refusal
         )
-        if is_full and self._needs_long_state(request):
+        if is_at_limit and self._needs_long_state(request):
             snapshot = messages.Snapshot(0, True, (), (), busy=True)
         else:
             snapshot = self._make_snapshot(request)
@@ -118,13 +126,18 @@
         self, request: messages.PullRequest
     ) -> messages.Snapshot:
         entries = self._core.entries
-        named = self._core.peers.sample_addresses(_MAX_NAMED_PEERS)
+        peers = self._core.peers.sample_addresses(_MAX_NAMED_PEERS)
         if request.omits_long_state:
-            return entries.make_short_snapshot(request.after_revision, named)
-        return entries.make_snapshot(request.after_revision, named)
+            return entries.make_short_snapshot(request.after_revision, peers)
+        return entries.make_snapshot(request.after_revision, peers)
 
     async def _send(self, stream: trio.abc.Stream, answer: bytes) -> None:
-        """Sends an answer to a host for as long as it takes octets."""
+        """Sends an answer for as long as the other host accepts octets.
+
+        Raises:
+            trio.BrokenResourceError: The connection has failed.
+            trio.TooSlowError: The host accepted no octets in time.
+        """
         is_long = len(answer) > _LONG_ANSWER_OCTETS
         self._long_answers += is_long
         try:
@@ -136,10 +149,10 @@
 
 
 async def _receive_request(stream: trio.abc.Stream) -> messages.PullRequest:
-    """Returns a request, which may come in several pieces.
+    """Receives a request, which may arrive in several pieces.
 
     Raises:
-        msgspec.MsgspecError: The peer sent none.
+        msgspec.MsgspecError: The peer sent no valid request.
     """
     octets = bytearray()
     while len(octets) < _MAX_REQUEST_OCTETS:
--- a/tests/test_forwarding/test_forwarding_peers_reporter.py
+++ b/tests/test_forwarding/test_forwarding_peers_reporter.py
@@ -87,7 +87,7 @@
 
 
 def receive_report(
-    peers: peer_table.PeerTable,
+    receiver: peer_table.PeerTable,
     peer: flow.Endpoint,
     domain: str,
     now: float = 0.0,
@@ -106,7 +106,7 @@
         loads=(),
         peers=(),
     )
-    peers.apply_report(peer, report, now)
+    receiver.apply_report(peer, report, now)
 
 
 def make_follower_role(
