--- a/persimmonhinge/forwarding/peers/follower_role.py
+++ b/persimmonhinge/forwarding/peers/follower_role.py
@@ -8,8 +8,8 @@
 from persimmonhinge.forwarding import wake_up
 from persimmonhinge.forwarding.peers import peer_table
 
-# Time after the confirmation of its knowledge expires at which a host checks its
-# role again, seconds.
+# Delay with which a host checks its role again after the confirmation of its
+# knowledge has expired, seconds.
 _DEADLINE_SLACK_S = 0.05
 
 
--- a/persimmonhinge/forwarding/peers/reporter.py
+++ b/persimmonhinge/forwarding/peers/reporter.py
@@ -31,7 +31,7 @@
 _REMOTE_PACE = report_pace.ReportPace(least_s=0.5, octets_per_s=3_000)
 # Minimum time between two checks for new hosts of other domains, seconds.
 _MIN_NEW_HOST_CHECK_S = 0.1
-# Maximum number of upstreams in a report. Those with the most unanswered opening
+# Maximum number of upstreams in a report. Those with most unanswered opening
 # packets come first, then those with the most work.
 _MAX_REPORTED_UPSTREAMS = 32
 # Number of other hosts that a report names: hosts of the receiver's failure
@@ -107,15 +107,15 @@
         round_s = _REMOTE_PACE.least_s
         while True:
             due = self._remote_schedule.choose_due(time.monotonic(), round_s)
-            loads = (
+            upstream_loads = (
                 self._list_loads()
                 if self._remote_schedule.should_send_loads(due)
                 else []
             )
-            report = self._make_report(loads, None)
+            report = self._make_report(upstream_loads, None)
             octets = _count_octets(report)
             round_s = _REMOTE_PACE.compute_interval(octets, len(due))
-            await self._send_due_reports(channel, due, loads, round_s)
+            await self._send_due_reports(channel, due, upstream_loads, round_s)
             budgeted_s = _REMOTE_PACE.compute_budgeted(octets, len(due))
             await trio.sleep(budgeted_s)
             await self._wait_for_remote_round(round_s - budgeted_s)
@@ -145,7 +145,7 @@
         self,
         channel: channel_module.PeerChannel,
         due: Sequence[peer_table.Peer],
-        loads: Sequence[load_line.LoadLine],
+        upstream_loads: Sequence[load_line.LoadLine],
         round_s: float,
     ) -> None:
         """Sends each due host a report that names hosts of its own domain."""
@@ -154,25 +154,27 @@
             self._remote_schedule.record_sent(
                 peer, interval_s, time.monotonic()
             )
-            report = self._make_report(loads, peer.domain)
+            report = self._make_report(upstream_loads, peer.domain)
             octets = _encode(report, interval_s)
             await channel.send_all(octets, [peer.address])
 
     def _list_loads(self) -> list[load_line.LoadLine]:
         core = self._core
-        loads = told_loads.list_lines(
+        upstream_loads = told_loads.list_lines(
             core.knowledge, core.loads, core.suspicions, time.monotonic()
         )
-        loads.sort(key=lambda load: (load.missed, load.average), reverse=True)
-        return loads[:_MAX_REPORTED_UPSTREAMS]
+        upstream_loads.sort(
+            key=lambda load: (load.missed, load.average), reverse=True
+        )
+        return upstream_loads[:_MAX_REPORTED_UPSTREAMS]
 
     def _make_report(
-        self, loads: Sequence[load_line.LoadLine], domain: str | None
+        self, upstream_loads: Sequence[load_line.LoadLine], domain: str | None
     ) -> messages.Report:
         """Returns a report for hosts of a failure domain.
 
         Args:
-            loads: The loads of upstreams.
+            upstream_loads: The loads of upstreams.
             domain: Failure domain of the receivers; None if it is unknown.
         """
         core = self._core
@@ -187,7 +189,7 @@
             age_ms=core.knowledge.compute_age_ms(time.monotonic()),
             leaving=self._follower_role.leaving,
             reaches_store=self._follower_role.reaches_store,
-            loads=tuple(loads),
+            loads=tuple(upstream_loads),
             peers=core.peers.sample_addresses(_NAMED_SAME_DOMAIN_HOSTS, domain)
             + core.peers.sample_addresses(_NAMED_ANY_DOMAIN_HOSTS),
             upstreams_revision=core.entries.completeness.upstreams_revision,
--- a/tests/test_forwarding/test_forwarding_peers_codec.py
+++ b/tests/test_forwarding/test_forwarding_peers_codec.py
@@ -1,4 +1,4 @@
-"""Tests of messages between hosts as octets."""
+"""Tests of the codec of messages between hosts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 _ROUTES = 45
 _DOMAIN_HOSTS = 24
-# A thin link of the users, octets a second.
+# Capacity of a slow link, octets per second.
 _SLOW_LINK_OCTETS_PER_S = 5_000_000 / 8
 
 
@@ -25,7 +25,7 @@
 
 
 def is_refused(octets: bytes) -> bool:
-    """Tells whether octets are refused with the error for them."""
+    """Returns whether decoding octets fails with the documented error."""
     try:
         make_codec().decode(octets)
     except msgspec.MsgspecError:
@@ -39,7 +39,7 @@
 
 
 def make_state() -> bytes:
-    """Returns a desired state as long as those of the largest deployment."""
+    """Returns a desired state as long as that of the largest deployment."""
     routes = [
         {
             "Id": f"r-{number * 7919 % 99991:07d}",
@@ -60,11 +60,11 @@
 def test_changed_state_does_not_fill_the_link_of_the_host_that_tells_it() -> (
     None
 ):
-    """A host doubts all upstreams whenever routes change.
+    """Guards against a host that suspects all upstreams when routes change.
 
-    It follows the store for 24 others and sends each of them the desired
+    The host follows the store for 24 others and sends each of them the desired
     state, one after the other, over a link of 5 Mbit/s. Packets of callers
-    wait behind that for 0.3 s, so every opening seems to be missed.
+    queue behind it for 0.3 s, so every opening packet seems to be unanswered.
     """
     octets = make_codec().encode(make_update(make_state()))
     assert _DOMAIN_HOSTS * len(octets) / _SLOW_LINK_OCTETS_PER_S < 0.1
@@ -94,7 +94,10 @@
 
 
 def test_few_octets_that_stand_for_very_many_are_an_error() -> None:
-    """One datagram of 50 kB makes a host need 50 MB, and it ends."""
+    """Guards against a datagram of 50 kB that exhausts a host's memory.
+
+    Decompressed without a limit, it takes 50 MB and terminates the host.
+    """
     packed = msgspec.msgpack.encode(
         messages.CompressedMessage(zlib.compress(bytes(50_000_000)))
     )
--- a/tests/test_forwarding/test_forwarding_peers_early_pull.py
+++ b/tests/test_forwarding/test_forwarding_peers_early_pull.py
@@ -1,4 +1,4 @@
-"""Tests of the snapshot that a host pulls before it has an event loop."""
+"""Tests of the snapshot that a host pulls before its event loop runs."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class UnreachableStore:
-    """A store that answers nothing."""
+    """A store that never answers."""
 
     async def get_prefix(self, prefix: str, limit: int = 0) -> port.PrefixState:
         """See `port.PlatformReader`."""
@@ -50,11 +50,11 @@
 def run_seed(
     answer: bytes, requests: list[bytes] | None = None
 ) -> Iterator[int]:
-    """Answers one request as a host does; gives its port.
+    """Runs a seed host that answers one request; yields its port.
 
     Args:
-        answer: The answer.
-        asked: Gets the request.
+        answer: The octets of the answer.
+        requests: Receives the octets of the request, if given.
     """
     with socket.create_server((_ADDRESS, 0)) as server:
         server.settimeout(_LIMIT_S)
@@ -100,7 +100,7 @@
 
 
 def start_host(core: core_module.ForwardCore) -> bool:
-    """Starts a host; tells whether it can forward before its event loop."""
+    """Starts a host; returns whether it is complete before its event loop."""
     complete: list[bool] = []
 
     def work() -> None:
@@ -112,11 +112,11 @@
 
 
 def test_host_that_starts_without_a_store_forwards_by_its_seeds() -> None:
-    """Half of a domain's packets are lost while its hosts start.
+    """Guards against losing half of a domain's packets while its hosts start.
 
-    Hosts are killed while the store is away. The fabric hands packets to all
-    hosts of the domain, as too few are in rotation; those that start know
-    nothing until their event loop is there and somebody has reported.
+    Hosts are killed while the store is unavailable. The fabric sends packets
+    to all hosts of the domain, as too few are in rotation, but those that
+    start have no entries until their event loop runs and a peer has reported.
     """
     with run_seed(msgspec.msgpack.encode(_SNAPSHOT)) as snapshot_port:
         core = make_core(snapshot_port)
@@ -126,10 +126,11 @@
 
 
 def test_host_that_starts_without_a_store_takes_a_compressed_snapshot() -> None:
-    """A host that starts in an outage forwards nothing for seconds.
+    """Guards against hosts that forward nothing for seconds after a start.
 
-    The desired state is long; without compression a seed's thin link carries
-    it to some starting hosts in turn.
+    They start during an outage of the store, and the desired state is long.
+    Without compression, the slow link of a seed carries it to the starting
+    hosts one after another.
     """
     state = {"Version": 3, "Routes": [], "Notes": "x" * _LONG_OCTETS}
     line = entry_line.EntryLine("op/config", msgspec.json.encode(state), 8)
--- a/tests/test_forwarding/test_forwarding_peers_follower_role.py
+++ b/tests/test_forwarding/test_forwarding_peers_follower_role.py
@@ -1,4 +1,4 @@
-"""Tests of which hosts follow the store."""
+"""Tests of the selection of the hosts that follow the store."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Member:
-    """A host that hears the others."""
+    """A host that receives the reports of the others."""
 
     def __init__(self, host: str, domain: str = "north") -> None:
         number = int(host.rpartition("-")[2])
@@ -38,7 +38,7 @@
         )
 
     def receive_report(self, other: Member) -> None:
-        """Has the newest report of another host come."""
+        """Applies the newest report of another host."""
         report = messages.Report(
             other.host,
             1,
@@ -55,7 +55,7 @@
         self.peers.apply_report(other.address, report, self.clock.now)
 
     def should_follow(self) -> bool:
-        """Tells whether it is to follow."""
+        """Returns whether it has to follow the store."""
         return self.follower_role.should_follow(self.clock.now)
 
 
@@ -64,9 +64,9 @@
 
 
 def exchange_reports(members: list[Member]) -> None:
-    elsewhere = Member("host-9", "south")
+    other_domain_host = Member("host-9", "south")
     for member in members:
-        member.receive_report(elsewhere)
+        member.receive_report(other_domain_host)
         for other in members:
             if other is not member:
                 member.receive_report(other)
@@ -79,10 +79,11 @@
 
 
 def test_two_hosts_follow_where_there_is_one_domain() -> None:
-    """Nobody sees that the only host that follows is behind.
+    """Guards against a fleet that does not notice that its follower is behind.
 
-    Its watch has gone silent; there is no other failure domain whose hosts
-    would be ahead. Cause: one source for all.
+    The store watch of the only follower has stopped delivering changes. With
+    one failure domain there are no followers of other domains that would be
+    ahead, so a second follower is needed.
     """
     members = make_members()
     for member in members:
@@ -97,26 +98,27 @@
 
 
 def test_next_host_follows_when_the_first_can_not_or_leaves() -> None:
-    """A failure domain hears of no change for as long as one host is refused.
+    """Guards against a failure domain that receives no changes.
 
-    The store refuses the host that follows for its domain; the others wait
-    for its news. Cause: the place of the host alone decides.
+    The store refuses the host that follows for its domain, or that host is
+    leaving, and the others wait for its updates because only the rank of a
+    host decides who follows.
     """
     for make_unable in (
-        lambda member: setattr(member.following, "reaches_store", False),
-        lambda member: setattr(member.following, "leaving", True),
+        lambda member: setattr(member.follower_role, "reaches_store", False),
+        lambda member: setattr(member.follower_role, "leaving", True),
     ):
         members = make_members()
         exchange_reports(members)
         (first,) = [member for member in members if member.should_follow()]
         make_unable(first)
-        rest = make_members()
-        for member in rest:
+        receivers = make_members()
+        for member in receivers:
             for other in members:
                 if other.host != member.host:
                     member.receive_report(other)
             member.receive_report(Member("host-9", "south"))
-        due = [member.host for member in rest if member.should_follow()]
+        due = [member.host for member in receivers if member.should_follow()]
         assert first.host in due or len(due) == 1
         assert len([host for host in due if host != first.host]) == 1
 
--- a/tests/test_forwarding/test_forwarding_peers_large_state.py
+++ b/tests/test_forwarding/test_forwarding_peers_large_state.py
@@ -1,4 +1,4 @@
-"""Tests of what hosts tell each other while a large desired state spreads."""
+"""Tests of the spread of a large desired state between hosts."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def make_large_state(version: int) -> bytes:
-    """Returns a desired state of names that hardly compress."""
+    """Returns a large desired state with names that hardly compress."""
     source = random.Random(1)
     routes = [
         {
@@ -74,14 +74,14 @@
 def apply_change(
     core: core_module.ForwardCore, key: str, value: bytes, revision: int
 ) -> None:
-    """Has the store tell a host of a change."""
+    """Applies a change of the store at a host."""
     core.entries.take_batch([port_module.WatchEvent(key, value, revision)])
 
 
 def make_hosts(
     port: int,
 ) -> tuple[core_module.ForwardCore, core_module.ForwardCore]:
-    """Returns a host that knows all, and one that lacks the last changes."""
+    """Returns a host with all entries and one without the last changes."""
     ahead = hosts.make_core(port, _AHEAD)
     behind = hosts.make_core(port, _BEHIND)
     for core in (ahead, behind):
@@ -103,7 +103,7 @@
 
 
 async def relay_slowly(port: int, stream: trio.SocketStream) -> None:
-    """Passes a connection on to the host that is ahead, at a low rate."""
+    """Relays a connection to the host that is ahead, at a low rate."""
     try:
         async with await trio.open_tcp_stream(_AHEAD, port) as onward:
             await onward.send_all(await stream.receive_some(_CHUNK_OCTETS))
@@ -111,7 +111,7 @@
                 await stream.send_all(data)
                 await trio.sleep(_CHUNK_DELAY_S)
     except trio.BrokenResourceError:
-        # One of the two has given up.
+        # One of the two ends has closed its connection.
         pass
     await trio.aclose_forcefully(stream)
 
@@ -120,14 +120,14 @@
     port: int,
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Carries connections to the host that is ahead, until cancelled."""
+    """Accepts connections for the host that is ahead, until cancelled."""
     listeners = await trio.open_tcp_listeners(port, host=_SLOW_LINK)
     task_status.started()
     await trio.serve_listeners(functools.partial(relay_slowly, port), listeners)
 
 
 def is_upstream_draining(core: core_module.ForwardCore) -> bool:
-    """Tells whether a host has heard that the upstream leaves."""
+    """Returns whether a host sees the upstream as draining."""
     known = core.knowledge.directory.get(_UPSTREAM)
     assert known is not None
     return known.state is upstream.UpstreamState.DRAINING
@@ -135,16 +135,15 @@
 
 @trios.trio_test
 async def test_drain_is_heard_before_a_large_desired_state() -> None:
-    """New requests reach an upstream that said five seconds ago it leaves.
-
-    Operators send a desired state with hundreds of new routes while hosts are
-    added, and an upstream leaves just after an added host has read the store.
-    That host can hear of the drain only by a snapshot from another host, and
-    gets none over a thin link however often it asks. A snapshot was taken
-    whole or not at all within a second, and held the drain and the desired
-    state: an added host that had read the store at 6.49 logged `Can't pull a
-    snapshot` at 10.46 and at 11.73, and `Upstream changed` to draining at
-    12.71, 5.45 s after the host that follows the store.
+    """Guards against new requests to an upstream that left five seconds ago.
+
+    Operators apply a desired state with hundreds of new routes while hosts are
+    added, and an upstream starts to drain just after an added host has read
+    the store. That host learns of the drain only from a snapshot of another
+    host. If a snapshot has the drain and the whole desired state, and has to
+    arrive within a second, every pull over a slow link fails: such a host saw
+    the drain 5.45 s later than the host that follows the store, after two
+    failed pulls.
     """
     port = ports.find_tcp_port(_AHEAD)
     ahead, behind = make_hosts(port)
@@ -159,6 +158,6 @@
             assert failures < _MAX_FAILURES
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
-    # The desired state is still on its way.
+    # The new desired state has not arrived yet.
     assert behind.knowledge.state is not None
     assert behind.knowledge.state.version == 1
--- a/tests/test_forwarding/test_forwarding_peers_peer_table.py
+++ b/tests/test_forwarding/test_forwarding_peers_peer_table.py
@@ -1,4 +1,4 @@
-"""Tests of what hosts are told by each other."""
+"""Tests of the table of other hosts and their reports."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ReceivingHost:
-    """A host that is told."""
+    """A host that receives reports."""
 
     def __init__(self) -> None:
         self.loads = loads.LoadBook()
@@ -40,7 +40,7 @@
         revision: int = 1,
         interval_ms: int = 100,
     ) -> bool:
-        """Has a report come from a peer."""
+        """Applies a report of a peer; returns whether it was applied."""
         line = load_line.LoadLine(TOKEN, in_flight, in_flight * 100, missed)
         report = messages.Report(
             "b",
@@ -59,104 +59,109 @@
 
 
 def test_newest_report_replaces_the_one_before() -> None:
-    told = ReceivingHost()
-    told.receive_report(1, in_flight=3)
-    told.receive_report(2, in_flight=5)
-    assert told.loads.others_in_flight(TOKEN) == 5
-    assert told.loads.others_average(TOKEN) == 5.0
+    host = ReceivingHost()
+    host.receive_report(1, in_flight=3)
+    host.receive_report(2, in_flight=5)
+    assert host.loads.others_in_flight(TOKEN) == 5
+    assert host.loads.others_average(TOKEN) == 5.0
 
 
 def test_report_that_comes_late_is_not_taken() -> None:
-    told = ReceivingHost()
-    told.receive_report(2, in_flight=5)
-    assert not told.receive_report(1, in_flight=3)
-    assert told.loads.others_in_flight(TOKEN) == 5
+    host = ReceivingHost()
+    host.receive_report(2, in_flight=5)
+    assert not host.receive_report(1, in_flight=3)
+    assert host.loads.others_in_flight(TOKEN) == 5
 
 
 def test_restarted_host_is_heard_at_once() -> None:
-    """A host's work is not seen for a while after its restart.
+    """Guards against a host whose load is ignored after its restart.
 
-    Its time of day jumped back, or it counts its reports from 1 again. Cause:
-    reports of two processes compared with each other.
+    Its wall clock was set back, or it numbers its reports from 1 again. The
+    fault occurs if the reports of two processes are compared with each other.
     """
-    told = ReceivingHost()
-    told.receive_report(900, in_flight=5)
-    assert told.receive_report(1, in_flight=2, incarnation=0)
-    assert told.loads.others_in_flight(TOKEN) == 2
+    host = ReceivingHost()
+    host.receive_report(900, in_flight=5)
+    assert host.receive_report(1, in_flight=2, incarnation=0)
+    assert host.loads.others_in_flight(TOKEN) == 2
 
 
 def test_silent_host_has_no_work() -> None:
-    """An upstream is passed over though a dead host's flows have ended.
+    """Guards against an upstream that is avoided for the load of a dead host.
 
-    A host is killed; what it reported last counts on. Cause: reports without
-    an age.
+    A host is killed and its flows have ended, but its last report still counts
+    because reports do not expire.
     """
-    told = ReceivingHost()
-    told.receive_report(1, in_flight=5, now=10.0)
-    assert told.peers.expire_silent(10.5) == []
-    assert told.peers.expire_silent(11.7) == [PEER_ADDRESS]
-    assert told.loads.others_in_flight(TOKEN) == 0
+    host = ReceivingHost()
+    host.receive_report(1, in_flight=5, now=10.0)
+    assert host.peers.expire_silent(10.5) == []
+    assert host.peers.expire_silent(11.7) == [PEER_ADDRESS]
+    assert host.loads.others_in_flight(TOKEN) == 0
 
 
 def test_what_is_no_address_is_left_out() -> None:
-    """A host ends when a report names a host at port 99999.
+    """Guards against a host that terminates on a report with port 99999.
 
-    The report is forged or broken; the next report is sent to that port.
-    Cause: an address that nobody checked.
+    A forged or corrupt report names an invalid address, which is not checked,
+    and the next report is sent to it.
     """
-    told = ReceivingHost()
-    for host, port in (("10.0.0.3", 99_999), ("nowhere", 5), ("10.0.0.3", 0)):
-        told.peers.add(flow.Endpoint(host, port), 1.0)
-    told.peers.add(flow.Endpoint("10.0.0.4", 7), 1.0)
-    known = [peer.address for peer in told.peers.list_remote("north")]
+    host = ReceivingHost()
+    for ip_address, port in (
+        ("10.0.0.3", 99_999),
+        ("nowhere", 5),
+        ("10.0.0.3", 0),
+    ):
+        host.peers.add(flow.Endpoint(ip_address, port), 1.0)
+    host.peers.add(flow.Endpoint("10.0.0.4", 7), 1.0)
+    known = [peer.address for peer in host.peers.list_remote("north")]
     assert known == [flow.Endpoint("10.0.0.4", 7)]
-    assert told.peers.list_local("north") == []
+    assert host.peers.list_local("north") == []
 
 
 def test_doubts_of_several_hosts_hold_an_upstream_back() -> None:
-    told = ReceivingHost()
-    name = suspicions.ids.UpstreamId("i-1")
-    told.receive_report(1, missed=1)
-    assert not told.suspicions.holds(name, TOKEN, 10.0)
-    told.receive_report(2, missed=2)
-    assert told.suspicions.holds(name, TOKEN, 10.0)
-    told.suspicions.record_answer(name, 10.0)
-    assert not told.suspicions.holds(name, TOKEN, 10.1)
-    told.receive_report(3, missed=0)
-    assert not told.suspicions.holds(name, TOKEN, 20.0)
+    host = ReceivingHost()
+    upstream_id = suspicions.ids.UpstreamId("i-1")
+    host.receive_report(1, missed=1)
+    assert not host.suspicions.holds(upstream_id, TOKEN, 10.0)
+    host.receive_report(2, missed=2)
+    assert host.suspicions.holds(upstream_id, TOKEN, 10.0)
+    host.suspicions.record_answer(upstream_id, 10.0)
+    assert not host.suspicions.holds(upstream_id, TOKEN, 10.1)
+    host.receive_report(3, missed=0)
+    assert not host.suspicions.holds(upstream_id, TOKEN, 20.0)
 
 
 def test_hosts_do_not_hold_a_live_upstream_back_for_each_other() -> None:
-    """Three hosts send all new flows to one upstream of four, for 3 s.
+    """Guards against hosts that keep a live upstream suspected in turn.
 
-    Hosts join and packets of flows move, so openings at upstreams that live
-    seem to be missed at several hosts at once. Each of them then holds these
-    upstreams back for what the others missed, and nobody tries again. The
-    one that is left refuses requests (503) though three others are idle.
+    When hosts join, the packets of flows move between hosts, so live upstreams
+    seem to miss opening packets at several hosts at once. Each host then
+    suspects these upstreams because of the misses that the others report, and
+    none tries them again. Three hosts sent all new flows to one upstream of
+    four for 3 s, which refused requests (503) while three were idle.
     """
     hosts = [ReceivingHost(), ReceivingHost()]
-    name = suspicions.ids.UpstreamId("i-1")
+    upstream_id = suspicions.ids.UpstreamId("i-1")
     for host in hosts:
-        for at in (10.0, 10.01):
-            host.suspicions.record_miss(name, at)
-    for at in (10.1, 10.4, 10.8):
-        doubts = [host.suspicions.doubt(name, at) for host in hosts]
-        for host, missed in zip(hosts, reversed(doubts), strict=True):
-            host.receive_report(round(at * 10), missed=missed)
-    assert not any(h.suspicions.holds(name, TOKEN, 10.8) for h in hosts)
+        for now in (10.0, 10.01):
+            host.suspicions.record_miss(upstream_id, now)
+    for now in (10.1, 10.4, 10.8):
+        misses = [host.suspicions.doubt(upstream_id, now) for host in hosts]
+        for host, missed in zip(hosts, reversed(misses), strict=True):
+            host.receive_report(round(now * 10), missed=missed)
+    assert not any(h.suspicions.holds(upstream_id, TOKEN, 10.8) for h in hosts)
 
 
 def test_doubt_is_told_while_a_host_holds_an_upstream_back() -> None:
-    told = ReceivingHost()
-    name = suspicions.ids.UpstreamId("i-1")
-    told.suspicions.record_miss(name, 10.0)
-    told.suspicions.record_miss(name, 10.0)
-    assert told.suspicions.doubt(name, 10.4) == 2
-    assert told.suspicions.doubt(name, 10.6) == 0
-    told.suspicions.record_miss(name, 10.7)
-    assert told.suspicions.doubt(name, 10.8) == 3
-    told.suspicions.record_answer(name, 10.9)
-    assert told.suspicions.doubt(name, 10.9) == 0
+    host = ReceivingHost()
+    upstream_id = suspicions.ids.UpstreamId("i-1")
+    host.suspicions.record_miss(upstream_id, 10.0)
+    host.suspicions.record_miss(upstream_id, 10.0)
+    assert host.suspicions.doubt(upstream_id, 10.4) == 2
+    assert host.suspicions.doubt(upstream_id, 10.6) == 0
+    host.suspicions.record_miss(upstream_id, 10.7)
+    assert host.suspicions.doubt(upstream_id, 10.8) == 3
+    host.suspicions.record_answer(upstream_id, 10.9)
+    assert host.suspicions.doubt(upstream_id, 10.9) == 0
 
 
 @hypothesis.given(
@@ -167,38 +172,41 @@
 def test_sums_are_those_of_the_newest_report(
     reports: list[tuple[int, int]],
 ) -> None:
-    told = ReceivingHost()
+    host = ReceivingHost()
     newest = (-1, 0)
     for sequence, in_flight in reports:
-        told.receive_report(sequence, in_flight=in_flight)
+        host.receive_report(sequence, in_flight=in_flight)
         if sequence > newest[0]:
             newest = (sequence, in_flight)
-    assert told.loads.others_in_flight(TOKEN) == newest[1]
+    assert host.loads.others_in_flight(TOKEN) == newest[1]
 
 
 def test_snapshots_come_from_whoever_knows_most_in_any_domain() -> None:
-    """An upstream that leaves gets new flows for five seconds.
+    """Guards against a leaving upstream that gets new flows for five seconds.
 
-    A host that has just been added knows a little more than the others of its
-    domain; they all pull from it over its thin link, and none gets through.
-    Cause: hosts of other domains, which know more, were asked only after it.
+    A host that has just been added is slightly ahead of the other hosts of its
+    domain. They all pull from it over its slow link, and no pull completes,
+    because hosts of other domains, which are further ahead, are asked later.
     """
-    told = ReceivingHost()
-    elsewhere = flow.Endpoint("10.0.1.1", 7720)
-    told.receive_report(1, revision=5)
-    told.receive_report(1, revision=6, peer=elsewhere, domain="south")
+    host = ReceivingHost()
+    other_domain_address = flow.Endpoint("10.0.1.1", 7720)
+    host.receive_report(1, revision=5)
+    host.receive_report(
+        1, revision=6, peer=other_domain_address, domain="south"
+    )
     for _ in range(20):
-        ahead = told.peers.find_ahead(4)
-        assert ahead is not None and ahead.address == elsewhere
-    assert told.peers.find_ahead(6) is None
+        ahead = host.peers.find_ahead(4)
+        assert ahead is not None and ahead.address == other_domain_address
+    assert host.peers.find_ahead(6) is None
 
 
 def test_host_of_which_two_reports_are_lost_is_not_silent() -> None:
-    """Guards against live hosts taken for silent by two lost datagrams.
+    """Guards against live hosts considered silent after two lost datagrams.
 
-    The third report comes later than planned, as waits are drawn.
+    The third report may come later than announced, since the waits between
+    reports are random.
     """
-    told = ReceivingHost()
-    told.receive_report(1, now=10.0, interval_ms=2_000)
-    assert told.peers.expire_silent(16.6) == []
-    assert told.peers.expire_silent(17.1) == [PEER_ADDRESS]
+    host = ReceivingHost()
+    host.receive_report(1, now=10.0, interval_ms=2_000)
+    assert host.peers.expire_silent(16.6) == []
+    assert host.peers.expire_silent(17.1) == [PEER_ADDRESS]
--- a/tests/test_forwarding/test_forwarding_peers_pulls.py
+++ b/tests/test_forwarding/test_forwarding_peers_pulls.py
@@ -1,4 +1,4 @@
-"""Tests of snapshots that hosts give each other."""
+"""Tests of the snapshots that hosts pull from each other."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 async def pull(port: int, request: messages.PullRequest) -> bytes:
-    """Returns what a host answers to a request."""
+    """Returns the octets of a host's answer to a request."""
     octets = bytearray()
     stream = await trio.open_tcp_stream(_HOST, port)
     async with stream:
@@ -37,10 +37,11 @@
 
 @trios.trio_test
 async def test_host_of_an_earlier_release_can_read_its_snapshot() -> None:
-    """Hosts that are not yet renewed lag behind in the middle of an upgrade.
+    """Guards against hosts that fall behind in the middle of an upgrade.
 
-    They ask without saying that they read compressed messages, and are sent
-    some; so does a host that starts without a store.
+    Hosts of an earlier release, and hosts of it that start without a store,
+    send requests without the flag for compression, and cannot read the
+    compressed answer that they get.
     """
     port = ports.find_tcp_port(_HOST)
     core = hosts.make_core(port)
@@ -62,11 +63,12 @@
 
 @trios.trio_test
 async def test_host_that_does_not_answer_is_not_asked_alone() -> None:
-    """New requests reach an upstream for as long as a dead host is believed.
+    """Guards against a host that asks only a dead host for missing entries.
 
-    A host missed the news of a drain, and sees by their reports that others
-    are ahead. The one that knows most died just after its report, which counts
-    for seconds; it was asked again and again, and the others never.
+    A host missed the update of a drain and sees from their reports that others
+    are ahead. The host that is furthest ahead died just after its report,
+    which counts for seconds. If it is asked again and again, and the others
+    never are, new requests keep reaching the draining upstream meanwhile.
     """
     port = ports.find_tcp_port(_HOST)
     ahead = hosts.make_core(port, _HOST)
--- a/tests/test_forwarding/test_forwarding_peers_report_schedule.py
+++ b/tests/test_forwarding/test_forwarding_peers_report_schedule.py
@@ -1,4 +1,4 @@
-"""Tests of which hosts of other failure domains are told next."""
+"""Tests of the schedule of reports to other failure domains."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ReportingHost:
-    """A host that tells others, on a clock by hand."""
+    """A host that sends reports, with a clock that the test sets."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -31,18 +31,18 @@
             self.peers, _DOMAIN
         )
         self.report_times: dict[flow.Endpoint, list[float]] = {}
-        # When each host is to be told again, by what it was told.
+        # When the next report to each host is due, as the last one announced.
         self.next_report_at: dict[flow.Endpoint, float] = {}
 
     def receive_reports(self, count: int) -> None:
-        """Has it hear hosts of another domain."""
+        """Applies reports of hosts of another domain."""
         for number in range(count):
             reporters.receive_report(
                 self.peers, make_address(number), "south", self.now
             )
 
     def run_round(self) -> None:
-        """Tells those that are due, and waits for the next round."""
+        """Records reports to the due hosts; advances to the next round."""
         interval_s = self.schedule.compute_interval(_ROUND_S)
         for peer in self.schedule.choose_due(self.now, _ROUND_S):
             self.schedule.record_sent(peer, interval_s, self.now)
@@ -51,53 +51,57 @@
         self.now += _ROUND_S
 
     def count_overdue(self) -> int:
-        """Returns the hosts that were promised a report before now."""
+        """Returns the number of hosts whose next report is overdue."""
         late_s = _ROUND_S
         return sum(
-            at + late_s < self.now for at in self.next_report_at.values()
+            due_at + late_s < self.now
+            for due_at in self.next_report_at.values()
         )
 
 
 def make_address(number: int) -> flow.Endpoint:
-    """Returns the address of a host elsewhere."""
+    """Returns the address of a host of another domain."""
     return flow.Endpoint(f"10.1.{number // 250}.{number % 250 + 1}", _PORT)
 
 
 @hypothesis.given(hosts=strategies.integers(1, 600))
 @hypothesis.settings(max_examples=12, deadline=None)
 def test_each_host_is_told_when_it_was_promised(hosts: int) -> None:
-    """Guards against live hosts taken for silent by those elsewhere."""
-    teller = ReportingHost()
-    teller.receive_reports(hosts)
+    """Guards against live hosts that other domains consider silent.
+
+    It happens when a report comes later than the previous one announced.
+    """
+    host = ReportingHost()
+    host.receive_reports(hosts)
     for _ in range(400):
-        teller.run_round()
-        assert teller.count_overdue() == 0
-    assert len(teller.report_times) == hosts
+        host.run_round()
+        assert host.count_overdue() == 0
+    assert len(host.report_times) == hosts
 
 
 def test_few_hosts_are_all_told_each_time_with_loads() -> None:
-    teller = ReportingHost()
-    teller.receive_reports(report_schedule.MAX_REMOTE_HOSTS_WITH_LOADS)
+    host = ReportingHost()
+    host.receive_reports(report_schedule.MAX_REMOTE_HOSTS_WITH_LOADS)
     for _ in range(10):
-        teller.run_round()
-    assert all(len(times) == 10 for times in teller.report_times.values())
-    due = teller.schedule.choose_due(teller.now, _ROUND_S)
-    assert teller.schedule.should_send_loads(due)
+        host.run_round()
+    assert all(len(times) == 10 for times in host.report_times.values())
+    due = host.schedule.choose_due(host.now, _ROUND_S)
+    assert host.schedule.should_send_loads(due)
 
 
 def test_many_hosts_hear_no_loads_from_elsewhere() -> None:
-    teller = ReportingHost()
-    teller.receive_reports(report_schedule.MAX_REMOTE_HOSTS_WITH_LOADS + 1)
-    due = teller.schedule.choose_due(teller.now, _ROUND_S)
+    host = ReportingHost()
+    host.receive_reports(report_schedule.MAX_REMOTE_HOSTS_WITH_LOADS + 1)
+    due = host.schedule.choose_due(host.now, _ROUND_S)
     assert due
-    assert not teller.schedule.should_send_loads(due)
+    assert not host.schedule.should_send_loads(due)
 
 
 def test_host_that_starts_a_moment_later_is_greeted_again_soon() -> None:
-    """Guards against seeds that miss the only greeting, as they start later."""
-    teller = ReportingHost()
-    teller.peers.add(make_address(1), teller.now)
-    (peer,) = teller.schedule.choose_due(teller.now, _ROUND_S)
-    teller.schedule.record_sent(peer, _ROUND_S, teller.now)
-    due_at = teller.schedule.find_new_host_due_at()
-    assert teller.now + 0.05 < due_at <= teller.now + 0.2
+    """Guards against seeds that start too late for the only report."""
+    host = ReportingHost()
+    host.peers.add(make_address(1), host.now)
+    (peer,) = host.schedule.choose_due(host.now, _ROUND_S)
+    host.schedule.record_sent(peer, _ROUND_S, host.now)
+    due_at = host.schedule.find_new_host_due_at()
+    assert host.now + 0.05 < due_at <= host.now + 0.2
--- a/tests/test_forwarding/test_forwarding_peers_reporter.py
+++ b/tests/test_forwarding/test_forwarding_peers_reporter.py
@@ -1,4 +1,4 @@
-"""Tests of when a host reports to others."""
+"""Tests of the times and contents of a host's reports."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 _PORT = 7721
 _LOCAL_HOSTS = 60
-# Well below the time between two reports to so many hosts.
+# A time well below the interval between reports to that many hosts, seconds.
 _SHORT_WAIT_S = 0.2
-# A wait is up to a tenth longer than what was meant.
+# Upper bound of the random factor on the interval between two reports.
 _MAX_WAIT_FACTOR = 1.1
 _REMOTE_HOSTS = 540
-# Time for a host to tell all others once, seconds.
+# Time in which a host sends a report to every other host, seconds.
 _FULL_ROUND_S = 300.0
 _COUNT_PERIOD_S = 60.0
 _FIRST_REPORT_LIMIT_S = 1.0
@@ -37,7 +37,7 @@
 
 
 class RecordingChannel(channel_module.PeerChannel):
-    """Notes when reports are sent, and what they are."""
+    """Records the reports that are sent, and when they are sent."""
 
     def __init__(self) -> None:
         self.sent_at: list[float] = []
@@ -53,26 +53,26 @@
         self.addresses.extend(addresses)
 
     async def wait_for(self, reports: int) -> None:
-        """Waits until so many reports were sent."""
+        """Waits until a number of reports were sent."""
         while len(self.sent_at) < reports:
             await trio.sleep(0.01)
 
     def read_interval(self, number: int) -> float:
-        """Returns the time to the next report that one names, seconds."""
+        """Returns the interval that a sent report announces, seconds."""
         octets = self.octets[number]
         report = msgspec.msgpack.decode(octets, type=messages.Report)
         return report.interval_ms / 1000
 
 
 def make_core(local_hosts: int = _LOCAL_HOSTS) -> core_module.ForwardCore:
-    """Returns a host of a large failure domain."""
+    """Returns the core of a host of a large failure domain."""
     core = hosts.make_core(_PORT)
     add_local_hosts(core, local_hosts)
     return core
 
 
 def add_local_hosts(core: core_module.ForwardCore, count: int) -> None:
-    """Has a host hear others of its domain."""
+    """Applies reports of other hosts of the own domain."""
     for number in range(count):
         receive_report(
             core.peers, flow.Endpoint(f"10.0.0.{number + 2}", _PORT), "north"
@@ -80,7 +80,7 @@
 
 
 def add_remote_hosts(core: core_module.ForwardCore, count: int) -> None:
-    """Has a host hear others of other domains."""
+    """Applies reports of hosts of another domain."""
     for number in range(count):
         address = f"10.1.{number // 250}.{number % 250 + 1}"
         receive_report(core.peers, flow.Endpoint(address, _PORT), "south")
@@ -92,7 +92,7 @@
     domain: str,
     now: float = 0.0,
 ) -> None:
-    """Has a report of another host come."""
+    """Applies a report of another host."""
     report = messages.Report(
         host=peer.host,
         incarnation=1,
@@ -112,7 +112,7 @@
 def make_follower_role(
     core: core_module.ForwardCore, started_at: float = 0.0
 ) -> follower_role.FollowerRole:
-    """Returns whether a host follows the store."""
+    """Returns the follower role of a host."""
     settings = core.settings
     return follower_role.FollowerRole(
         settings.host,
@@ -125,20 +125,20 @@
 
 
 def make_reporter(core: core_module.ForwardCore) -> reporter.Reporter:
-    """Returns what tells others of a host."""
+    """Returns the reporter of a host."""
     return reporter.Reporter(core, make_follower_role(core))
 
 
 async def send_remote_reports(
     core: core_module.ForwardCore, channel: RecordingChannel
 ) -> None:
-    """Has a host tell hosts of other domains until cancelled."""
+    """Sends reports to other domains until cancelled."""
     with mock.patch.object(time, "monotonic", trio.current_time):
         await make_reporter(core).send_remote_reports(channel)
 
 
 async def count_reports_after(state: bytes) -> int:
-    """Returns how many reports follow a desired state within a moment."""
+    """Returns the number of reports shortly after a new desired state."""
     core = make_core()
     channel = RecordingChannel()
     async with trio.open_nursery() as nursery:
@@ -154,24 +154,25 @@
 
 @trios.clock_test
 async def test_time_that_passes_between_two_looks_ends_no_host() -> None:
-    """Hosts end by themselves, now and then, on a busy machine.
+    """Guards against hosts that terminate now and then on a busy machine.
 
-    What is left of a wait is worked out after a look at the clock that found
-    it not over, and is below zero by then: `ValueError: seconds must be
-    non-negative`.
+    The remaining time of a wait is computed from a second reading of the
+    clock. It is negative if the wait ended since the first reading, which
+    raises `ValueError: seconds must be non-negative`.
     """
-    waiting = make_reporter(make_core())
-    looks = itertools.count(0.0, 0.07)
-    with mock.patch.object(trio, "current_time", lambda: next(looks)):
-        await waiting.wait_for_local_round(0.1)
+    host_reporter = make_reporter(make_core())
+    clock_readings = itertools.count(0.0, 0.07)
+    with mock.patch.object(trio, "current_time", lambda: next(clock_readings)):
+        await host_reporter.wait_for_local_round(0.1)
 
 
 @trios.clock_test
 async def test_host_that_has_a_long_state_says_so_at_once() -> None:
-    """A route that was added is refused for seconds in a large domain.
+    """Guards against a new route that is refused for seconds in a large domain.
 
-    All hosts ask the one that had the desired state first, since those that
-    have it by then say so only at their next report, seconds later.
+    All hosts ask the host that had the desired state first, since the hosts
+    that have received it by then announce it only in their next report,
+    seconds later.
     """
     assert await count_reports_after(states.make_large_state(2)) == 1
 
@@ -185,10 +186,10 @@
 async def test_report_names_the_wait_that_follows_after_hosts_were_added() -> (
     None
 ):
-    """Guards against live hosts taken for silent all over a fleet that starts.
+    """Guards against live hosts considered silent while a fleet starts.
 
-    A host that has just heard of many others reports much more seldom from
-    then on.
+    A host to which many others were just added reports much less often from
+    then on, but its last report announced the shorter interval.
     """
     core = make_core(local_hosts=2)
     channel = RecordingChannel()
@@ -207,9 +208,10 @@
 async def test_host_that_is_new_elsewhere_is_told_soon_in_a_large_fleet() -> (
     None
 ):
-    """Guards against a host that hears other domains only after half a minute.
+    """Guards against a new host that gets no remote reports for half a minute.
 
-    Reports to other domains come the more seldom the more hosts there are.
+    The interval between reports to a host of another domain grows with the
+    number of hosts.
     """
     core = make_core(local_hosts=0)
     add_remote_hosts(core, _REMOTE_HOSTS)
@@ -225,7 +227,7 @@
 
 @trios.clock_test
 async def test_reports_to_other_domains_stay_as_many_with_more_hosts() -> None:
-    """Guards against a fleet whose hosts spend all on telling other domains."""
+    """Guards against reports to other domains that use up a host's budget."""
     few, many = [
         await count_remote_reports(n)
         for n in (_REMOTE_HOSTS // 4, _REMOTE_HOSTS)
@@ -234,13 +236,13 @@
 
 
 async def count_remote_reports(remote_hosts: int) -> int:
-    """Returns the reports of a host to other domains in some seconds."""
+    """Returns the number of reports to other domains in a fixed period."""
     core = make_core(local_hosts=0)
     add_remote_hosts(core, remote_hosts)
     channel = RecordingChannel()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(send_remote_reports, core, channel)
-        # All have been told once.
+        # Every host has got a report by then.
         await trio.sleep(_FULL_ROUND_S)
         channel.addresses.clear()
         await trio.sleep(_COUNT_PERIOD_S)
--- a/tests/test_forwarding/test_forwarding_peers_service.py
+++ b/tests/test_forwarding/test_forwarding_peers_service.py
@@ -1,4 +1,4 @@
-"""Tests of what a host does with reports."""
+"""Tests of the handling of received reports."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ReceivingHost:
-    """A host that takes in reports, without a network."""
+    """A host that receives reports without a network."""
 
     def __init__(self) -> None:
         settings = settings_module.parse(
@@ -46,7 +46,7 @@
         self._sequence = 0
 
     def receive_report(self, *, reaches_store: bool, age_ms: int = 0) -> None:
-        """Has a report of the peer come."""
+        """Handles a report of the peer."""
         self._sequence += 1
         report = messages.Report(
             host="h-2",
@@ -66,25 +66,25 @@
 
 @trios.trio_test
 async def test_outage_that_the_last_follower_saw_is_a_reason_to_doubt() -> None:
-    """All feeds break at the host that takes over from another one.
+    """Guards against a new follower that breaks all feeds after an outage.
 
-    The host that follows the store is refused; entries expire meanwhile; the
-    next one reads them right after the store's return and finds none. Cause:
-    the second never saw the outage.
+    The store refuses the host that follows it, and entries expire meanwhile.
+    The next follower reads the store right after its return and finds no
+    entries. It has not seen the outage itself, so it takes them for deleted.
     """
-    listener = ReceivingHost()
+    host = ReceivingHost()
     key = readers.make_key("1")
-    listener.core.entries.take(key, readers.make_entry(), 5)
-    listener.receive_report(reaches_store=True)
-    listener.receive_report(reaches_store=False)
-    listener.core.entries.take(key, None, 6)
-    (known,) = listener.core.knowledge.directory.all()
+    host.core.entries.take(key, readers.make_entry(), 5)
+    host.receive_report(reaches_store=True)
+    host.receive_report(reaches_store=False)
+    host.core.entries.take(key, None, 6)
+    (known,) = host.core.knowledge.directory.all()
     assert known.state is upstream.UpstreamState.MISSING
 
 
 @trios.trio_test
 async def test_confirmation_of_another_host_is_as_old_as_it_says() -> None:
-    listener = ReceivingHost()
-    listener.receive_report(reaches_store=True, age_ms=700)
-    age_ms = listener.core.knowledge.compute_age_ms(time.monotonic())
+    host = ReceivingHost()
+    host.receive_report(reaches_store=True, age_ms=700)
+    age_ms = host.core.knowledge.compute_age_ms(time.monotonic())
     assert 700 <= age_ms < 5_000
--- a/tests/test_forwarding/test_forwarding_peers_snapshot_server.py
+++ b/tests/test_forwarding/test_forwarding_peers_snapshot_server.py
@@ -1,4 +1,4 @@
-"""Tests of a host that many ask for the same long desired state."""
+"""Tests of a host that many hosts ask for a long desired state."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class SnapshotHost:
-    """A host that has a long desired state, asked by others at once."""
+    """A host with a long desired state that other hosts ask for it."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
         core = hosts.make_core(_PORT)
@@ -52,12 +52,12 @@
         request: messages.PullRequest,
         first_octets: int = _MAX_READ_OCTETS,
     ) -> trio.abc.Stream:
-        """Sends a request whose answer waits until it is read.
+        """Sends a request; the answer is held until the caller reads it.
 
         Args:
             request: The request.
-            first_octets: How many octets of it come first; the rest does when
-                they were read.
+            first_octets: Number of octets that are sent first; the remaining
+                octets are sent when these were read.
         """
         ours, theirs = trio.testing.lockstep_stream_pair()
         self._nursery.start_soon(self.answer, theirs)
@@ -69,12 +69,12 @@
         return ours
 
     async def answer(self, stream: trio.abc.Stream) -> None:
-        """Answers a request, and closes."""
+        """Answers a request and closes the connection."""
         await self._server.answer(stream, _PEER)
         await stream.aclose()
 
     async def read(self, stream: trio.abc.Stream) -> messages.Snapshot:
-        """Reads an answer to its end."""
+        """Reads a complete answer."""
         octets = bytearray()
         while data := await stream.receive_some(_MAX_READ_OCTETS):
             octets += data
@@ -83,71 +83,75 @@
 
 @trios.clock_test
 async def test_host_asked_by_all_gives_to_some_at_a_time() -> None:
-    """A route that was added is refused for seconds at most hosts.
+    """Guards against a new route that is refused for seconds at most hosts.
 
-    One host has the desired state first; all others ask it at once, share
-    its thin link, and each gives up before it has the whole. Those beyond
-    two are refused at once, and changes of upstreams still pass.
+    One host has the desired state first. If it answers all others at once,
+    they share its slow link, and each request times out before its answer is
+    complete. Requests beyond two are therefore refused at once, but changes of
+    upstreams are still sent.
     """
     async with trio.open_nursery() as nursery:
-        asked = SnapshotHost(nursery)
+        host = SnapshotHost(nursery)
         waiting = [
-            await asked.send_request(_FULL_REQUEST)
+            await host.send_request(_FULL_REQUEST)
             for _ in range(_MAX_LONG_ANSWERS)
         ]
-        refused = await asked.read(await asked.send_request(_FULL_REQUEST))
-        short = await asked.read(await asked.send_request(_SHORT_REQUEST))
-        given = [await asked.read(stream) for stream in waiting]
-        later = await asked.read(await asked.send_request(_FULL_REQUEST))
+        refused = await host.read(await host.send_request(_FULL_REQUEST))
+        short = await host.read(await host.send_request(_SHORT_REQUEST))
+        answers = [await host.read(stream) for stream in waiting]
+        later = await host.read(await host.send_request(_FULL_REQUEST))
     assert refused.busy and not refused.entries
     assert [line.key for line in short.entries] == [readers.make_key("1")]
-    assert all(len(snapshot.entries) == 2 for snapshot in (*given, later))
+    assert all(len(snapshot.entries) == 2 for snapshot in (*answers, later))
 
 
 @trios.clock_test
 async def test_host_of_an_earlier_release_is_not_refused() -> None:
     async with trio.open_nursery() as nursery:
-        asked = SnapshotHost(nursery)
+        host = SnapshotHost(nursery)
         waiting = [
-            await asked.send_request(_EARLIER_RELEASE_REQUEST) for _ in range(6)
+            await host.send_request(_EARLIER_RELEASE_REQUEST) for _ in range(6)
         ]
-        given = [await asked.read(stream) for stream in waiting]
-    assert not any(snapshot.busy for snapshot in given)
+        answers = [await host.read(stream) for stream in waiting]
+    assert not any(snapshot.busy for snapshot in answers)
 
 
 @trios.clock_test
 async def test_host_that_reads_nothing_blocks_no_others() -> None:
-    """Two hosts freeze while they pull; nobody else gets a state."""
+    """Guards against two frozen hosts that keep others from a desired state.
+
+    Both stop reading in the middle of a pull.
+    """
     async with trio.open_nursery() as nursery:
-        asked = SnapshotHost(nursery)
+        host = SnapshotHost(nursery)
         for _ in range(_MAX_LONG_ANSWERS):
-            await asked.send_request(_FULL_REQUEST)
+            await host.send_request(_FULL_REQUEST)
         await trio.sleep(2.0)
-        given = await asked.read(await asked.send_request(_FULL_REQUEST))
-    assert not given.busy
+        answer = await host.read(await host.send_request(_FULL_REQUEST))
+    assert not answer.busy
 
 
 @trios.clock_test
 async def test_request_that_comes_in_pieces_is_answered() -> None:
-    """Guards against hosts that stay behind since their request was split.
+    """Guards against hosts that stay behind because their request was split.
 
-    A stream keeps no bounds of messages: the network may hand over the first
-    octets of a request before the rest.
+    A stream does not preserve message boundaries: the first octets of a
+    request may arrive before the remaining ones.
     """
     async with trio.open_nursery() as nursery:
-        asked = SnapshotHost(nursery)
-        snapshot = await asked.read(
-            await asked.send_request(_SHORT_REQUEST, first_octets=3)
+        host = SnapshotHost(nursery)
+        snapshot = await host.read(
+            await host.send_request(_SHORT_REQUEST, first_octets=3)
         )
     assert [line.key for line in snapshot.entries] == [readers.make_key("1")]
 
 
 @trios.clock_test
 async def test_peer_that_sends_no_request_is_let_go() -> None:
-    """Guards against connections that are held by what is no request."""
+    """Guards against connections that an invalid request keeps open."""
     async with trio.open_nursery() as nursery:
-        asked = SnapshotHost(nursery)
+        host = SnapshotHost(nursery)
         ours, theirs = trio.testing.lockstep_stream_pair()
-        nursery.start_soon(asked.answer, theirs)
+        nursery.start_soon(host.answer, theirs)
         await ours.send_all(b"\xc1")
         assert await ours.receive_some(1) == b""
