--- a/persimmonhinge/forwarding/peers/entry_updates.py
+++ b/persimmonhinge/forwarding/peers/entry_updates.py
@@ -21,7 +21,7 @@
     entry of an upstream in the same update, so that the upstream would keep
     getting new flows.
     """
-    entries = tuple(line for line in update.entries if line.key != state_key)
+    entries = tuple(entry for entry in update.entries if entry.key != state_key)
     return messages.EntryUpdate(
         update.base_revision,
         update.base_revision,
--- a/persimmonhinge/forwarding/peers/peer_table.py
+++ b/persimmonhinge/forwarding/peers/peer_table.py
@@ -137,18 +137,18 @@
         if peer is None:
             peer = Peer(address, now, report_due_at=now)
             self._peers[address] = peer
-        former = peer.report
-        if former is not None and _is_newer(former, report):
+        previous = peer.report
+        if previous is not None and _is_newer(previous, report):
             return False
         self._subtract_report(peer)
         peer.report = report
         peer.domain = report.domain
         peer.last_report_at = now
-        for line in report.loads:
-            self._loads.add_others(line.token, line.in_flight, line.average)
-            self._suspicions.add_others(line.token, line.missed)
-        if former is None or _list_decision_fields(
-            former
+        for load in report.loads:
+            self._loads.add_others(load.token, load.in_flight, load.average)
+            self._suspicions.add_others(load.token, load.missed)
+        if previous is None or _list_decision_fields(
+            previous
         ) != _list_decision_fields(report):
             self._notify_listeners()
         return True
@@ -161,12 +161,12 @@
         """
         silent = []
         for peer in list(self._peers.values()):
-            heard_at = peer.last_report_at or peer.added_at
+            last_seen_at = peer.last_report_at or peer.added_at
             if peer.report is not None and peer.is_silent(now):
                 self._subtract_report(peer)
                 peer.report = None
                 silent.append(peer.address)
-            if peer.report is None and now - heard_at > _REMOVAL_TIMEOUT_S:
+            if peer.report is None and now - last_seen_at > _REMOVAL_TIMEOUT_S:
                 del self._peers[peer.address]
         if silent:
             self._notify_listeners()
@@ -178,10 +178,10 @@
         A report that comes after this call either postpones that time, or is
         the first one of a host, which then has at least the minimum timeout.
         """
-        heard = [
+        silent_times = [
             p.compute_silent_at() for p in self._peers.values() if p.report
         ]
-        return min([*heard, now + MIN_SILENCE_TIMEOUT_S])
+        return min([*silent_times, now + MIN_SILENCE_TIMEOUT_S])
 
     def list_reporting(self) -> list[Peer]:
         """Returns the hosts that have reported and are not silent."""
@@ -241,12 +241,12 @@
             max_count: Maximum number of addresses.
             domain: Failure domain of the hosts; None for any domain.
         """
-        heard = [
+        addresses = [
             peer.address
             for peer in self.list_reporting()
             if domain in (None, peer.domain)
         ]
-        return tuple(draws.sample(heard, max_count))
+        return tuple(draws.sample(addresses, max_count))
 
     def _notify_listeners(self) -> None:
         for listener in self._listeners:
@@ -255,9 +255,9 @@
     def _subtract_report(self, peer: Peer) -> None:
         if peer.report is None:
             return
-        for line in peer.report.loads:
-            self._loads.add_others(line.token, -line.in_flight, -line.average)
-            self._suspicions.add_others(line.token, -line.missed)
+        for load in peer.report.loads:
+            self._loads.add_others(load.token, -load.in_flight, -load.average)
+            self._suspicions.add_others(load.token, -load.missed)
 
 
 def _choose_newest(ahead: Iterable[tuple[int, Peer]]) -> Peer | None:
@@ -265,11 +265,13 @@
 
     Returns None if there are no hosts.
     """
-    found = list(ahead)
-    if not found:
+    candidates = list(ahead)
+    if not candidates:
         return None
-    newest = max(known for known, _ in found)
-    return draws.choose([peer for known, peer in found if known == newest])
+    newest = max(revision for revision, _ in candidates)
+    return draws.choose(
+        [peer for revision, peer in candidates if revision == newest]
+    )
 
 
 def _list_decision_fields(report: messages.Report) -> tuple[object, ...]:
@@ -292,7 +294,7 @@
     return 0 < address.port <= _MAX_PORT
 
 
-def _is_newer(former: messages.Report, report: messages.Report) -> bool:
-    if former.incarnation != report.incarnation:
+def _is_newer(previous: messages.Report, report: messages.Report) -> bool:
+    if previous.incarnation != report.incarnation:
         return False
-    return former.sequence >= report.sequence
+    return previous.sequence >= report.sequence
--- a/persimmonhinge/forwarding/peers/report_schedule.py
+++ b/persimmonhinge/forwarding/peers/report_schedule.py
@@ -20,8 +20,8 @@
 _MAX_REPORTS_PER_ROUND = 16
 # Number of reports sent in quick succession to a host that has never reported,
 # and the time between them, seconds: that host may start a moment later than
-# this one. Only if other domains have at most `MAX_REMOTE_HOSTS_WITH_LOADS`
-# hosts.
+# this one. They apply if other domains have at most
+# `MAX_REMOTE_HOSTS_WITH_LOADS` hosts.
 _MAX_INITIAL_REPORTS = 4
 _INITIAL_REPORT_INTERVAL_S = 0.1
 
--- a/persimmonhinge/forwarding/peers/reporter.py
+++ b/persimmonhinge/forwarding/peers/reporter.py
@@ -31,8 +31,8 @@
 _REMOTE_PACE = report_pace.ReportPace(least_s=0.5, octets_per_s=3_000)
 # Minimum time between two checks for new hosts of other domains, seconds.
 _MIN_NEW_HOST_CHECK_S = 0.1
-# Maximum number of upstreams in a report. Those with most unanswered opening
-# packets come first, then those with the most work.
+# Maximum number of upstreams in a report. Those with the most unanswered
+# opening packets come first, then those with the most work.
 _MAX_REPORTED_UPSTREAMS = 32
 # Number of other hosts that a report names: hosts of the receiver's failure
 # domain, since these have to find each other first, and hosts of any domain.
--- a/tests/test_forwarding/test_forwarding_peers_early_pull.py
+++ b/tests/test_forwarding/test_forwarding_peers_early_pull.py
@@ -136,13 +136,13 @@
     line = entry_line.EntryLine("op/config", msgspec.json.encode(state), 8)
     entries = (line, *_SNAPSHOT.entries[1:])
     snapshot = messages.Snapshot(9, False, entries, ())
-    asked: list[bytes] = []
+    requests: list[bytes] = []
     with run_seed(
-        codec.SNAPSHOT_CODEC.encode(snapshot), asked
+        codec.SNAPSHOT_CODEC.encode(snapshot), requests
     ) as snapshot_port:
         core = make_core(snapshot_port)
         assert start_host(core)
-    request = msgspec.msgpack.decode(asked[0], type=messages.PullRequest)
+    request = msgspec.msgpack.decode(requests[0], type=messages.PullRequest)
     assert request.accepts_compression
 
 
--- a/tests/test_forwarding/test_forwarding_peers_service.py
+++ b/tests/test_forwarding/test_forwarding_peers_service.py
@@ -70,7 +70,7 @@
 
     The store refuses the host that follows it, and entries expire meanwhile.
     The next follower reads the store right after its return and finds no
-    entries. It has not seen the outage itself, so it takes them for deleted.
+    entries. It has not seen the outage itself, so it treats them as deleted.
     """
     host = ReceivingHost()
     key = readers.make_key("1")
