--- a/tests/test_forwarding/test_forwarding_follower.py
+++ b/tests/test_forwarding/test_forwarding_follower.py
@@ -80,11 +80,11 @@
     def __init__(self, hosts: int = 1) -> None:
         self._hosts = hosts
 
-    def is_due(self, now: float) -> bool:
+    def should_follow(self, now: float) -> bool:
         """Returns true."""
         return True
 
-    def is_next(self) -> bool:
+    def is_selected(self) -> bool:
         """Returns true."""
         return True
 
@@ -92,11 +92,11 @@
         """Waits a moment."""
         await trio.sleep(_POLL_S)
 
-    def is_told_since(self, moment: float, now: float) -> bool:
+    def is_confirmed_since(self, failed_at: float, now: float) -> bool:
         """Returns false: no other host follows."""
         return False
 
-    def count_domain(self) -> int:
+    def count_domain_hosts(self) -> int:
         """Returns the hosts of its domain."""
         return self._hosts
 
@@ -297,17 +297,19 @@
         self._store = store
         self._is_first = number == 0
 
-    def is_due(self, now: float) -> bool:
+    def should_follow(self, now: float) -> bool:
         """Returns true for the first host, and where nobody was answered."""
         return self._is_first or now - self._store.answered_at > _CURRENT_S
 
-    def is_next(self) -> bool:
+    def is_selected(self) -> bool:
         """Returns true for the first host."""
         return self._is_first
 
-    def is_told_since(self, moment: float, now: float) -> bool:
+    def is_confirmed_since(self, failed_at: float, now: float) -> bool:
         """Returns true if the store has answered and another one follows."""
-        return self._store.answered_at > moment and not self.is_due(now)
+        return self._store.answered_at > failed_at and not self.should_follow(
+            now
+        )
 
 
 @trios.clock_test
