--- a/benchmarks/host_cost.py
+++ b/benchmarks/host_cost.py
@@ -29,7 +29,7 @@
 _SETTLE_S = 20.0
 _SEED = 1
 # The part that takes messages of other hosts.
-HEARD = "take_message"
+HEARD = "handle_datagram"
 
 
 class PartCosts(trio.abc.Instrument):
--- a/persimmonhinge/forwarding/peers/codec.py
+++ b/persimmonhinge/forwarding/peers/codec.py
@@ -49,10 +49,10 @@
         octets = self._encoder.encode(message)
         if len(octets) <= _MAX_UNCOMPRESSED_OCTETS:
             return octets
-        packed = messages.CompressedMessage(
+        compressed = messages.CompressedMessage(
             zlib.compress(octets, _COMPRESSION_LEVEL)
         )
-        return self._encoder.encode(packed)
+        return self._encoder.encode(compressed)
 
     def decode(self, octets: bytes | bytearray) -> M:
         """Decodes a message.
--- a/tests/test_forwarding/test_forwarding_peers_codec.py
+++ b/tests/test_forwarding/test_forwarding_peers_codec.py
@@ -83,14 +83,14 @@
 
 @hypothesis.given(strategies.binary(max_size=200))
 def test_what_is_not_compressed_data_is_an_error(octets: bytes) -> None:
-    packed = msgspec.msgpack.encode(messages.CompressedMessage(octets))
-    assert is_refused(packed)
+    compressed = msgspec.msgpack.encode(messages.CompressedMessage(octets))
+    assert is_refused(compressed)
 
 
 def test_data_that_are_cut_short_are_an_error() -> None:
     octets = zlib.compress(msgspec.msgpack.encode(make_update(make_state())))
-    packed = msgspec.msgpack.encode(messages.CompressedMessage(octets[:-1]))
-    assert is_refused(packed)
+    compressed = msgspec.msgpack.encode(messages.CompressedMessage(octets[:-1]))
+    assert is_refused(compressed)
 
 
 def test_few_octets_that_stand_for_very_many_are_an_error() -> None:
@@ -98,10 +98,10 @@
 
     Decompressed without a limit, it takes 50 MB and terminates the host.
     """
-    packed = msgspec.msgpack.encode(
+    compressed = msgspec.msgpack.encode(
         messages.CompressedMessage(zlib.compress(bytes(50_000_000)))
     )
-    assert is_refused(packed)
+    assert is_refused(compressed)
 
 
 def test_message_in_a_message_in_a_message_is_an_error() -> None:
@@ -109,5 +109,5 @@
         zlib.compress(msgspec.msgpack.encode(make_update(b"")))
     )
     octets = zlib.compress(msgspec.msgpack.encode(inner))
-    packed = msgspec.msgpack.encode(messages.CompressedMessage(octets))
-    assert is_refused(packed)
+    compressed = msgspec.msgpack.encode(messages.CompressedMessage(octets))
+    assert is_refused(compressed)
--- a/tests/test_forwarding/test_forwarding_peers_large_state.py
+++ b/tests/test_forwarding/test_forwarding_peers_large_state.py
@@ -135,7 +135,7 @@
 
 @trios.trio_test
 async def test_drain_is_heard_before_a_large_desired_state() -> None:
-    """Guards against new requests to an upstream that left five seconds ago.
+    """Guards against new requests to an upstream 5 s after its drain began.
 
     Operators apply a desired state with hundreds of new routes while hosts are
     added, and an upstream starts to drain just after an added host has read
--- a/tests/test_forwarding/test_forwarding_peers_pulls.py
+++ b/tests/test_forwarding/test_forwarding_peers_pulls.py
@@ -51,14 +51,14 @@
     async with trio.open_nursery() as nursery:
         await nursery.start(snapshot_server.SnapshotServer(core).run)
         plain = await pull(port, messages.PullRequest(0))
-        packed = await pull(
+        compressed = await pull(
             port, messages.PullRequest(0, accepts_compression=True)
         )
         nursery.cancel_scope.cancel()
     snapshot = msgspec.msgpack.decode(plain, type=messages.Snapshot)
     assert len(snapshot.entries) == _UPSTREAMS
-    assert len(packed) < len(plain) / 3
-    assert codec.SNAPSHOT_CODEC.decode(packed) == snapshot
+    assert len(compressed) < len(plain) / 3
+    assert codec.SNAPSHOT_CODEC.decode(compressed) == snapshot
 
 
 @trios.trio_test
