--- a/persimmonhinge/forwarding/follower.py
+++ b/persimmonhinge/forwarding/follower.py
@@ -145,9 +145,13 @@
         the first that is answered tells the others, which go on following for
         a moment.
         """
-        if self._following.is_confirmed_since(failed_at, time.monotonic()):
+        if self._following.has_other_follower_since(
+            failed_at, time.monotonic()
+        ):
             logger.info("Does not call the store: another host reached it.")
-        while self._following.is_confirmed_since(failed_at, time.monotonic()):
+        while self._following.has_other_follower_since(
+            failed_at, time.monotonic()
+        ):
             await trio.sleep(_CHECK_S)
 
     async def _follow(self) -> None:
--- a/persimmonhinge/forwarding/peers/codec.py
+++ b/persimmonhinge/forwarding/peers/codec.py
@@ -27,9 +27,9 @@
     """Encodes and decodes messages of one type or of a union of types.
 
     Compression keeps a host from saturating its own link with updates: without
-    it, a host that follows the store for 24 others sends 200 KB of a changed
-    desired state over a link of 5 Mbit/s, which delays the packets it forwards
-    by 0.3 s, so that it suspects all upstreams.
+    it, a host that follows the store for 24 others sends them copies of a
+    changed desired state, 200 KB in total, over a link of 5 Mbit/s. This delays
+    the packets that it forwards by 0.3 s, so that it suspects all upstreams.
     """
 
     def __init__(self, message_type: Any) -> None:
--- a/persimmonhinge/forwarding/peers/early_pull.py
+++ b/persimmonhinge/forwarding/peers/early_pull.py
@@ -13,7 +13,7 @@
 
 
 def pull_from_seeds(core: core_module.ForwardCore) -> None:
-    """Pulls snapshots from the seed hosts until this host is complete.
+    """Pulls snapshots from the seed hosts until all entries are present.
 
     Without a snapshot, a host that starts while the store is unavailable would
     forward nothing until its event loop runs and a peer has reported, a second
@@ -45,7 +45,7 @@
 async def _request_snapshot(
     core: core_module.ForwardCore, attempt: pull_attempt.PullAttempt
 ) -> None:
-    """Requests a snapshot of all entries from a host."""
+    """Requests the entries that this host is missing from another host."""
     settings = core.settings
     transport = blocking_transport.BlockingTransport(
         attempt.host, settings.snapshot_port
--- a/persimmonhinge/forwarding/peers/entry_updates.py
+++ b/persimmonhinge/forwarding/peers/entry_updates.py
@@ -39,7 +39,8 @@
     """Returns consecutive updates; each is based on the revision before it.
 
     Args:
-        base_revision: The revision that the sender was complete to before.
+        base_revision: The revision that the sender was complete to before these
+            changes.
         is_absence_final: See `messages.EntryUpdate`.
         entries: The entries in the order of their changes; none if the store
             reported that nothing has changed.
--- a/persimmonhinge/forwarding/peers/follower_role.py
+++ b/persimmonhinge/forwarding/peers/follower_role.py
@@ -8,8 +8,8 @@
 from persimmonhinge.forwarding import wake_up
 from persimmonhinge.forwarding.peers import peer_table
 
-# Delay with which a host checks its role again after the confirmation of its
-# knowledge has expired, seconds.
+# Delay with which a host checks its role again after the last confirmation of
+# its view of the platform has expired, seconds.
 _DEADLINE_SLACK_S = 0.05
 
 
@@ -20,7 +20,7 @@
     its name, and sends updates to the others; the hosts need no agreement on
     it. Calls to the store thus grow with the number of failure domains, not of
     hosts. Hosts see from the reports of other domains when their own domain is
-    behind, so a domain needs no second follower.
+    behind, so a domain needs a second follower only if it is the only domain.
 
     Attributes:
         reaches_store: False after a call to the store has failed, until one is
@@ -63,9 +63,9 @@
     def should_follow(self, now: float) -> bool:
         """Returns whether this host has to follow the store now.
 
-        A host whose knowledge was not confirmed for too long follows whatever
-        its rank. Otherwise no host of a failure domain might follow because
-        each expects another one to.
+        A host whose view of the platform was not confirmed for too long follows
+        the store regardless of its rank. Otherwise no host of a failure domain
+        might follow because each expects another one to.
         """
         if now > self._compute_stale_at():
             return True
@@ -81,12 +81,12 @@
         await self._changed.wait(max(remaining_s, 0.0) + _DEADLINE_SLACK_S)
 
     def _compute_stale_at(self) -> float:
-        """Returns when the knowledge has gone unconfirmed for too long."""
+        """Returns when the last confirmation of this host's view expires."""
         confirmed_at = self._knowledge.confirmed_at or self._started_at
         return max(confirmed_at, self._started_at) + self._max_unconfirmed_s
 
     def is_selected(self) -> bool:
-        """Returns whether this host follows as long as it reaches the store."""
+        """Returns whether this host follows by rank if it reaches the store."""
         if self.leaving:
             return False
         ranked_before = [
@@ -96,7 +96,7 @@
         ]
         return len(ranked_before) < self._count_required_followers()
 
-    def is_confirmed_since(self, failed_at: float, now: float) -> bool:
+    def has_other_follower_since(self, failed_at: float, now: float) -> bool:
         """Returns whether another host follows and has since reached the store.
 
         Args:
--- a/persimmonhinge/forwarding/peers/messages.py
+++ b/persimmonhinge/forwarding/peers/messages.py
@@ -74,7 +74,7 @@
     """Request for a snapshot of the entries that changed after a revision.
 
     Attributes:
-        after_revision: The revision.
+        after_revision: Revision that the requesting host is complete to.
         accepts_compression: Whether the answer may be compressed.
         omits_long_state: Whether the snapshot omits a long desired state.
         accepts_refusal: Whether the requesting host understands a refusal.
--- a/persimmonhinge/forwarding/peers/pull_attempt.py
+++ b/persimmonhinge/forwarding/peers/pull_attempt.py
@@ -12,7 +12,9 @@
 
 
 class PullAttempt:
-    """Records the progress of a pull, so that a failed one can be diagnosed.
+    """Records the progress of a pull and applies the snapshot.
+
+    The log lines give the progress, so that a failed pull can be diagnosed.
 
     Attributes:
         host: Address of the other host.
--- a/persimmonhinge/forwarding/peers/pulls.py
+++ b/persimmonhinge/forwarding/peers/pulls.py
@@ -21,8 +21,8 @@
 _RECEIVE_TIMEOUT_S = 1.0
 # Maximum duration of a pull, seconds.
 _MAX_PULL_S = 5.0
-# Time that this host stays behind before it pulls from a host that is ahead,
-# seconds: updates bring the same entries within some milliseconds.
+# Minimum time that this host is behind before it pulls from a host that is
+# ahead, seconds: updates bring the same entries within some milliseconds.
 _MIN_LAG_S = 0.25
 _CHECK_INTERVAL_S = 0.05
 # Time for which a host that refused a request is not asked again, seconds: by
--- a/persimmonhinge/forwarding/peers/report_schedule.py
+++ b/persimmonhinge/forwarding/peers/report_schedule.py
@@ -32,7 +32,7 @@
     Keeps the number of reports between domains from growing with the square of
     the number of hosts. A host gets its next report after the interval that
     its previous report announced. A host that never got a report is due at
-    once, so that a host that starts soon receives reports from other domains.
+    once, so that other domains report to a new host shortly after its start.
     Hosts whose domain is not known yet are treated as hosts of other domains.
     """
 
@@ -100,8 +100,9 @@
     def should_send_loads(self, due: Collection[peer_table.Peer]) -> bool:
         """Returns whether the reports to some hosts contain loads.
 
-        They do if other domains have few hosts. A host that has not reported
-        yet needs a short report soon rather than a long one.
+        They do if other domains have few hosts and one of the receivers has
+        reported. A host that has not reported yet needs a short report soon
+        rather than a long one.
 
         Args:
             due: The hosts that get the reports.
--- a/persimmonhinge/forwarding/peers/reporter.py
+++ b/persimmonhinge/forwarding/peers/reporter.py
@@ -81,7 +81,7 @@
             await self.wait_for_local_round(interval_s)
 
     async def wait_for_local_round(self, wait_s: float) -> None:
-        """Waits until the next report, or until a long state is in force.
+        """Waits until the next report, or until a long state was applied.
 
         A host that has received a long desired state reports it at once.
         Otherwise all hosts would ask the first host that had it, since the
--- a/persimmonhinge/forwarding/peers/service.py
+++ b/persimmonhinge/forwarding/peers/service.py
@@ -35,7 +35,7 @@
 
 
 class PeerService:
-    """Runs the exchange between this host and other hosts.
+    """Runs the tasks that exchange messages with other hosts.
 
     Reports and updates are sent as datagrams; snapshots are sent over TCP to
     hosts that are behind.
@@ -171,8 +171,8 @@
             return
         if reached_store and not report.reaches_store:
             self._core.entries.doubt()
-        for peer in report.peers:
-            self._peers.add(peer, now)
+        for peer_address in report.peers:
+            self._peers.add(peer_address, now)
         entries = self._core.entries
         if (
             report.age_ms >= 0
--- a/persimmonhinge/forwarding/peers/snapshot_server.py
+++ b/persimmonhinge/forwarding/peers/snapshot_server.py
@@ -21,7 +21,7 @@
 _MAX_REQUEST_OCTETS = 64
 # Size of the chunks in which an answer is sent, octets.
 _CHUNK_OCTETS = 16_384
-# Size above which an answer counts as long, octets.
+# Size above which an answer counts towards `_MAX_LONG_ANSWERS`, octets.
 _LONG_ANSWER_OCTETS = 16_384
 # Maximum number of other hosts that a snapshot names.
 _MAX_NAMED_PEERS = 32
--- a/tests/test_forwarding/test_forwarding_follower.py
+++ b/tests/test_forwarding/test_forwarding_follower.py
@@ -92,7 +92,7 @@
         """Waits a moment."""
         await trio.sleep(_POLL_S)
 
-    def is_confirmed_since(self, failed_at: float, now: float) -> bool:
+    def has_other_follower_since(self, failed_at: float, now: float) -> bool:
         """Returns false: no other host follows."""
         return False
 
@@ -305,7 +305,7 @@
         """Returns true for the first host."""
         return self._is_first
 
-    def is_confirmed_since(self, failed_at: float, now: float) -> bool:
+    def has_other_follower_since(self, failed_at: float, now: float) -> bool:
         """Returns true if the store has answered and another one follows."""
         return self._store.answered_at > failed_at and not self.should_follow(
             now
--- a/tests/test_forwarding/test_forwarding_peers_early_pull.py
+++ b/tests/test_forwarding/test_forwarding_peers_early_pull.py
@@ -21,8 +21,8 @@
 from tests.test_forwarding import test_forwarding_reading as readers
 
 _ADDRESS = "127.0.0.1"
-_LIMIT_S = 5.0
-_LONG_OCTETS = 20_000
+_TIMEOUT_S = 5.0
+_LONG_STATE_OCTETS = 20_000
 _SNAPSHOT = messages.Snapshot(
     revision=9,
     is_absence_final=False,
@@ -39,7 +39,7 @@
 
 
 class UnreachableStore:
-    """A store that never answers."""
+    """A store whose connections are reset."""
 
     async def get_prefix(self, prefix: str, limit: int = 0) -> port.PrefixState:
         """See `port.PlatformReader`."""
@@ -57,7 +57,7 @@
         requests: Receives the octets of the request, if given.
     """
     with socket.create_server((_ADDRESS, 0)) as server:
-        server.settimeout(_LIMIT_S)
+        server.settimeout(_TIMEOUT_S)
 
         def serve() -> None:
             with contextlib.suppress(OSError):
@@ -75,7 +75,7 @@
 
 
 def make_core(
-    snapshot_port: int, own: str = "127.0.0.9"
+    snapshot_port: int, own_address: str = "127.0.0.9"
 ) -> core_module.ForwardCore:
     """Returns a host that has just started, with two seeds and no store."""
     settings = settings_module.parse(
@@ -83,12 +83,12 @@
             {
                 "host": "h-1",
                 "domain": "north",
-                "packets": f"{own}:1",
-                "pages": f"{own}:2",
+                "packets": f"{own_address}:1",
+                "pages": f"{own_address}:2",
                 "peer_ports": [snapshot_port - 1, snapshot_port],
-                "seeds": [f"{_ADDRESS}:7", f"{own}:7"],
+                "seeds": [f"{_ADDRESS}:7", f"{own_address}:7"],
                 "store": {"address": f"{_ADDRESS}:9"},
-                "first_call_limit_s": _LIMIT_S,
+                "first_call_limit_s": _TIMEOUT_S,
             }
         )
     )
@@ -132,7 +132,7 @@
     Without compression, the slow link of a seed carries it to the starting
     hosts one after another.
     """
-    state = {"Version": 3, "Routes": [], "Notes": "x" * _LONG_OCTETS}
+    state = {"Version": 3, "Routes": [], "Notes": "x" * _LONG_STATE_OCTETS}
     line = entry_line.EntryLine("op/config", msgspec.json.encode(state), 8)
     entries = (line, *_SNAPSHOT.entries[1:])
     snapshot = messages.Snapshot(9, False, entries, ())
@@ -162,6 +162,6 @@
 
 
 def test_host_that_is_its_own_seed_does_not_ask_itself() -> None:
-    core = make_core(9, own=_ADDRESS)
+    core = make_core(9, own_address=_ADDRESS)
     assert not start_host(core)
     assert core.counts.get("snapshot_errors_total") == 0
--- a/tests/test_forwarding/test_forwarding_peers_pulls.py
+++ b/tests/test_forwarding/test_forwarding_peers_pulls.py
@@ -39,9 +39,9 @@
 async def test_host_of_an_earlier_release_can_read_its_snapshot() -> None:
     """Guards against hosts that fall behind in the middle of an upgrade.
 
-    Hosts of an earlier release, and hosts of it that start without a store,
-    send requests without the flag for compression, and cannot read the
-    compressed answer that they get.
+    Hosts that still run an earlier release send requests without the flag for
+    compression, also when they start while the store is unavailable. They fall
+    behind if the answer is compressed, since they cannot read it.
     """
     port = ports.find_tcp_port(_HOST)
     core = hosts.make_core(port)
--- a/tests/test_forwarding/test_forwarding_peers_report_schedule.py
+++ b/tests/test_forwarding/test_forwarding_peers_report_schedule.py
@@ -98,7 +98,7 @@
 
 
 def test_host_that_starts_a_moment_later_is_greeted_again_soon() -> None:
-    """Guards against seeds that start too late for the only report."""
+    """Guards against seeds that start after the only report to them."""
     host = ReportingHost()
     host.peers.add(make_address(1), host.now)
     (peer,) = host.schedule.choose_due(host.now, _ROUND_S)
