--- a/benchmarks/host_cost.py
+++ b/benchmarks/host_cost.py
@@ -29,7 +29,7 @@
 _SETTLE_S = 20.0
 _SEED = 1
 # The part that takes messages of other hosts.
-HEARD = "take_message"
+HEARD = "handle_datagram"
 
 
 class PartCosts(trio.abc.Instrument):
@@ -83,7 +83,7 @@
     """Plays a fleet until it is settled, and counts from then on."""
     fleet = fleets.Fleet(hosts, domains, _SEED)
     for host in fleet.hosts:
-        heard = costs.count_heard(host.service.take_message)
+        heard = costs.count_heard(host.service.handle_datagram)
         setattr(host.service, HEARD, heard)
     async with fleets.run_fleet(fleet):
         await trio.sleep(_SETTLE_S)
--- a/persimmonhinge/forwarding/application.py
+++ b/persimmonhinge/forwarding/application.py
@@ -12,7 +12,7 @@
 from persimmonhinge.forwarding import follower
 from persimmonhinge.forwarding import gauges
 from persimmonhinge.forwarding import settings
-from persimmonhinge.forwarding.peers import following
+from persimmonhinge.forwarding.peers import follower_role
 from persimmonhinge.forwarding.peers import service
 from persimmonhinge.metrics import host_pages
 from persimmonhinge.metrics import page
@@ -48,7 +48,7 @@
         self._stopping = trio.Event()
         self._last_received_at = 0.0
         self._packets_received = auto_reset_event.AutoResetEvent()
-        self._following = following.Following(
+        self._following = follower_role.FollowerRole(
             self._settings.host,
             self._settings.domain,
             core.peers,
--- a/persimmonhinge/forwarding/core.py
+++ b/persimmonhinge/forwarding/core.py
@@ -17,7 +17,7 @@
 from persimmonhinge.forwarding.decisions import openings
 from persimmonhinge.forwarding.decisions import suspicions
 from persimmonhinge.forwarding.decisions import warm_up_shares
-from persimmonhinge.forwarding.peers import book
+from persimmonhinge.forwarding.peers import peer_table
 from persimmonhinge.light_typing import TYPE_CHECKING
 from persimmonhinge.metrics import counts
 from persimmonhinge.policies import choice
@@ -82,7 +82,7 @@
         self.tracker = tracker.FlowTracker(
             flow_table.FlowTable(_MAX_FLOWS), self.loads, self.counts
         )
-        self.peers = book.PeerBook(
+        self.peers = peer_table.PeerTable(
             flow.Endpoint(settings.own_address, settings.report_port),
             self.loads,
             self.suspicions,
@@ -97,7 +97,7 @@
                 self.knowledge,
                 self.suspicions,
                 warm_up_shares.WarmUpShares(
-                    settings.host, self.peers.list_hosts
+                    settings.host, self.peers.list_host_names
                 ),
                 settings.domain_regions(),
             ),
--- a/persimmonhinge/forwarding/entry_replica.py
+++ b/persimmonhinge/forwarding/entry_replica.py
@@ -154,30 +154,32 @@
         """Returns whether entries absent from the store were really deleted."""
         return self._knowledge.store_trust.confirms_absence(time.monotonic())
 
-    def apply_update(self, update: messages.News, source: str) -> None:
+    def apply_update(self, update: messages.EntryUpdate, source: str) -> None:
         """Applies changes that another host received from the store.
 
         Guards against gaps: updates are datagrams, and the entries of a lost
         one must not count as known because a later one has arrived.
         """
         if update.entries:
-            self._apply_entries(update.entries, source, settled=update.settled)
-        if update.after <= self.revision:
-            self._advance(update.upto)
-        if update.after <= self.completeness.upstreams_revision:
-            self.completeness.record_missing_state(update.upstreams_upto)
+            self._apply_entries(
+                update.entries, source, settled=update.is_absence_final
+            )
+        if update.base_revision <= self.revision:
+            self._advance(update.revision)
+        if update.base_revision <= self.completeness.upstreams_revision:
+            self.completeness.record_missing_state(update.upstreams_revision)
             self.completeness.advance_upstreams(
-                max(update.upto, update.upstreams_upto)
+                max(update.revision, update.upstreams_revision)
             )
         if self._covers_update(update):
             self._knowledge.confirm(time.monotonic())
 
-    def _covers_update(self, update: messages.News) -> bool:
+    def _covers_update(self, update: messages.EntryUpdate) -> bool:
         """Returns whether this replica is as recent as an update's sender."""
         known = self.completeness
-        upstreams_revision = max(update.upto, update.upstreams_upto)
+        upstreams_revision = max(update.revision, update.upstreams_revision)
         return (
-            0 < update.upto <= known.revision
+            0 < update.revision <= known.revision
             and upstreams_revision <= known.upstreams_revision
         )
 
@@ -226,16 +228,18 @@
         snapshot = self.make_snapshot(since_revision, peers)
         entries = snapshot.entries
         state_revision = self.completeness.find_missing_state_revision()
-        if self.has_long_state_since(0 if snapshot.whole else since_revision):
+        if self.has_long_state_since(
+            0 if snapshot.lists_all_entries else since_revision
+        ):
             state_key = self._reader.state_key
             entries = tuple(e for e in entries if e.key != state_key)
             state_revision = max(state_revision, self._find_state_revision())
         return messages.Snapshot(
             self.completeness.upstreams_revision,
-            snapshot.settled,
+            snapshot.is_absence_final,
             entries,
             peers,
-            snapshot.whole,
+            snapshot.lists_all_entries,
             state_revision,
         )
 
@@ -269,8 +273,10 @@
         It holds another host's changes after `upstreams_revision`.
         """
         self._apply_snapshot_entries(snapshot, source)
-        if snapshot.state_revision > self._find_state_revision():
-            self.completeness.record_missing_state(snapshot.state_revision)
+        if snapshot.omitted_state_revision > self._find_state_revision():
+            self.completeness.record_missing_state(
+                snapshot.omitted_state_revision
+            )
         self.completeness.advance_upstreams(snapshot.revision)
 
     def record_answer(self) -> None:
@@ -306,8 +312,10 @@
     def _apply_snapshot_entries(
         self, snapshot: messages.Snapshot, source: str
     ) -> None:
-        self._apply_entries(snapshot.entries, source, settled=snapshot.settled)
-        if snapshot.whole:
+        self._apply_entries(
+            snapshot.entries, source, settled=snapshot.is_absence_final
+        )
+        if snapshot.lists_all_entries:
             present_keys = {entry.key for entry in snapshot.entries}
             self._delete_absent_entries(present_keys, snapshot.revision, source)
 
--- a/persimmonhinge/forwarding/follower.py
+++ b/persimmonhinge/forwarding/follower.py
@@ -11,7 +11,7 @@
 
 from persimmonhinge import errors
 from persimmonhinge.forwarding import entry_replica
-from persimmonhinge.forwarding.peers import following as following_module
+from persimmonhinge.forwarding.peers import follower_role as following_module
 from persimmonhinge.store import port
 
 logger = logging.getLogger(__name__)
@@ -57,7 +57,7 @@
         self,
         store: port.PlatformReader,
         entries: entry_replica.EntryReplica,
-        following: following_module.Following,
+        following: following_module.FollowerRole,
         min_call_interval_s: float,
     ) -> None:
         """Creates a follower; it reads nothing before `run` is called.
@@ -83,7 +83,7 @@
             await self._read_once()
         await trio.sleep(_DISCOVERY_DELAY_S)
         while True:
-            if not self._following.is_due(time.monotonic()):
+            if not self._following.should_follow(time.monotonic()):
                 await self._wait_for_turn()
                 continue
             logger.info("Follows the store.")
@@ -111,13 +111,13 @@
         only if it is next in order to follow. For any other host the call would
         be wasted: it finds out whether the store is reachable when it is due.
         """
-        if not self._following.is_next():
+        if not self._following.is_selected():
             self._following.reaches_store = True
         if self._following.reaches_store:
             await self._following.wait_for_change(time.monotonic())
             return
         with trio.move_on_after(_PROBE_INTERVAL_S):
-            while not self._following.is_due(time.monotonic()):
+            while not self._following.should_follow(time.monotonic()):
                 await trio.sleep(_POLL_INTERVAL_S)
             return
         try:
@@ -131,7 +131,7 @@
         last_due_at = time.monotonic()
         while time.monotonic() - last_due_at < _HANDOVER_DELAY_S:
             await trio.sleep(_POLL_INTERVAL_S)
-            if self._following.is_due(time.monotonic()):
+            if self._following.should_follow(time.monotonic()):
                 last_due_at = time.monotonic()
 
     async def _follow_with_retries(self) -> None:
@@ -159,9 +159,13 @@
         becomes available again. The first host that gets an answer reports it
         to the others, which are still following for a short time.
         """
-        if self._following.is_told_since(failed_at, time.monotonic()):
+        if self._following.has_other_follower_since(
+            failed_at, time.monotonic()
+        ):
             logger.info("Not calling the store: another host has reached it.")
-        while self._following.is_told_since(failed_at, time.monotonic()):
+        while self._following.has_other_follower_since(
+            failed_at, time.monotonic()
+        ):
             await trio.sleep(_POLL_INTERVAL_S)
 
     async def _read_and_watch(self) -> None:
@@ -184,7 +188,7 @@
         more hosts a failure domain has, the longer each of them waits.
         """
         domain_interval_s = (
-            self._following.count_domain() * _DOMAIN_RETRY_INTERVAL_S
+            self._following.count_domain_hosts() * _DOMAIN_RETRY_INTERVAL_S
         )
         max_interval_s = max(_MAX_RETRY_INTERVAL_S, domain_interval_s)
         doublings = min(self._failures, _RETRY_DOUBLINGS)
--- a/persimmonhinge/forwarding/peers/early_pull.py
+++ b/persimmonhinge/forwarding/peers/early_pull.py
@@ -1,29 +1,30 @@
-"""Pulls a snapshot at the start, before there is an event loop."""
+"""Pulls a snapshot at startup, before the event loop runs."""
 
 from __future__ import annotations
 
 import msgspec
 
 from persimmonhinge import random_sampling
-from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding.peers import codec as codecs
+from persimmonhinge.forwarding import core as core_module
+from persimmonhinge.forwarding.peers import codec
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.forwarding.peers import pull_attempt
 from persimmonhinge.store import blocking_transport
 
 
-def pull_from_seeds(core: cores.ForwardCore) -> None:
-    """Takes in what one of the hosts of the settings knows.
+def pull_from_seeds(core: core_module.ForwardCore) -> None:
+    """Pulls snapshots from the seed hosts until all entries are present.
 
-    Guards against a host that is started while the store is away: it would
-    forward nothing until its event loop is there and a peer has reported, a
-    second later, while the fabric hands it packets since too few hosts of its
+    Without a snapshot, a host that starts while the store is unavailable would
+    forward nothing until its event loop runs and a peer has reported, a second
+    later; meanwhile the fabric sends it packets, since too few hosts of its
     domain are in rotation.
 
-    Seeds may be down or gone, so each gets as long as the store had.
+    A seed may be down or removed, so each request has the same time limit as
+    the first call to the store.
 
     Args:
-        core: The parts of the host.
+        core: The components of this host.
     """
     seeds = core.settings.seed_addresses()
     for host in random_sampling.sample(seeds, len(seeds)):
@@ -31,33 +32,37 @@
             continue
         attempt = pull_attempt.PullAttempt(core, host)
         try:
-            blocking_transport.run(_exchange(core, attempt))
-            snapshot = codecs.SNAPSHOTS.decode(attempt.octets)
+            blocking_transport.run(_request_snapshot(core, attempt))
+            snapshot = codec.SNAPSHOT_CODEC.decode(attempt.octets)
         except (OSError, msgspec.MsgspecError) as error:
             attempt.record_failure(error)
             continue
-        attempt.take(snapshot)
+        attempt.apply_snapshot(snapshot)
         if core.knowledge.is_complete():
             return
 
 
-async def _exchange(
-    core: cores.ForwardCore, attempt: pull_attempt.PullAttempt
+async def _request_snapshot(
+    core: core_module.ForwardCore, attempt: pull_attempt.PullAttempt
 ) -> None:
-    """Asks a host for all that it knows."""
+    """Requests the entries that this host is missing from another host."""
     settings = core.settings
     transport = blocking_transport.BlockingTransport(
         attempt.host, settings.snapshot_port
     )
-    request = messages.PullRequest(core.entries.revision, packed=True)
+    request = messages.PullRequest(
+        core.entries.revision, accepts_compression=True
+    )
 
-    async def ask() -> None:
+    async def request_and_receive() -> None:
         await transport.open()
         await transport.send_all(msgspec.msgpack.encode(request))
         while data := await transport.receive_some():
             attempt.octets.extend(data)
 
     try:
-        await transport.run_within(settings.first_call_limit_s, ask)
+        await transport.run_within(
+            settings.first_call_limit_s, request_and_receive
+        )
     finally:
         transport.close()
--- a/persimmonhinge/forwarding/peers/pull_attempt.py
+++ b/persimmonhinge/forwarding/peers/pull_attempt.py
@@ -1,83 +1,91 @@
-"""One try to pull a snapshot from another host, and its log lines."""
+"""One attempt to pull a snapshot from another host, and its log lines."""
 
 from __future__ import annotations
 
 import time
 
 from persimmonhinge import early_logs
-from persimmonhinge.forwarding import core as cores
+from persimmonhinge.forwarding import core as core_module
 from persimmonhinge.forwarding.peers import messages
 
 logger = early_logs.get_logger(__name__)
 
 
 class PullAttempt:
-    """Notes how a pull goes, so that one that fails can be explained.
+    """Records the progress of a pull and applies the snapshot.
+
+    The log lines give the progress, so that a failed pull can be diagnosed.
 
     Attributes:
         host: Address of the other host.
-        octets: What it has sent so far.
+        octets: The octets received from it so far.
     """
 
-    def __init__(self, core: cores.ForwardCore, host: str) -> None:
-        """Begins a pull.
+    def __init__(self, core: core_module.ForwardCore, host: str) -> None:
+        """Starts an attempt.
 
         Args:
-            core: The parts of this host.
+            core: The components of this host.
             host: Address of the other host.
         """
         self._core = core
-        self._began_at = time.monotonic()
+        self._started_at = time.monotonic()
         self.host = host
         self.octets = bytearray()
 
-    def take(self, snapshot: messages.Snapshot) -> None:
-        """Takes in a whole snapshot that came."""
-        self._record(snapshot)
+    def apply_snapshot(self, snapshot: messages.Snapshot) -> None:
+        """Applies a full snapshot, which has the desired state."""
+        self._record_success(snapshot)
         self._core.entries.apply_snapshot(snapshot, self.host)
 
-    def take_short(self, snapshot: messages.Snapshot) -> None:
-        """Takes in a short snapshot that came."""
-        self._record(snapshot)
+    def apply_short_snapshot(self, snapshot: messages.Snapshot) -> None:
+        """Applies a short snapshot, which omits a long desired state."""
+        self._record_success(snapshot)
         self._core.entries.apply_short_snapshot(snapshot, self.host)
 
-    def _record(self, snapshot: messages.Snapshot) -> None:
-        self._core.counts.observe("snapshot_seconds", self._compute_time_s())
+    def _record_success(self, snapshot: messages.Snapshot) -> None:
+        self._core.counts.observe(
+            "snapshot_seconds", self._compute_duration_s()
+        )
         logger.info(
-            "Pulled a snapshot.",
+            "Pulled a snapshot from a peer.",
             extra={
-                **self._describe(),
+                **self._make_log_fields(),
                 "revision": snapshot.revision,
                 "entries": len(snapshot.entries),
-                "state_revision": snapshot.state_revision,
+                "state_revision": snapshot.omitted_state_revision,
             },
         )
 
     def record_failure(self, error: Exception) -> None:
-        """Records that no snapshot came.
+        """Records that the pull failed.
 
-        Errors of a time limit have no text, so their type is named.
+        The log line names the type of the error, since timeout errors have no
+        text.
         """
         self._core.counts.add("snapshot_errors_total")
         logger.warning(
-            "Can't pull a snapshot: %s %s.",
+            "Failed to pull a snapshot from a peer: %s %s.",
             type(error).__name__,
             error,
-            extra=self._describe(),
+            extra=self._make_log_fields(),
         )
 
     def record_refusal(self) -> None:
-        """Records that the host gives its desired state to others now."""
+        """Records that the host is busy sending its desired state to others."""
         self._core.counts.add("snapshot_refusals_total")
-        logger.info("A peer gives no snapshot now.", extra=self._describe())
+        logger.info(
+            "A peer refused a snapshot request because it is busy.",
+            extra=self._make_log_fields(),
+        )
 
-    def _describe(self) -> dict[str, object]:
+    def _make_log_fields(self) -> dict[str, object]:
         return {
             "peer": self.host,
             "former": self._core.entries.revision,
             "octets": len(self.octets),
-            "took_s": round(self._compute_time_s(), 3),
+            "took_s": round(self._compute_duration_s(), 3),
         }
 
-    def _compute_time_s(self) -> float:
-        return time.monotonic() - self._began_at
+    def _compute_duration_s(self) -> float:
+        return time.monotonic() - self._started_at
--- a/persimmonhinge/forwarding/reloading.py
+++ b/persimmonhinge/forwarding/reloading.py
@@ -10,7 +10,7 @@
 from persimmonhinge import structured_logs
 from persimmonhinge.forwarding import flow
 from persimmonhinge.forwarding import settings as settings_module
-from persimmonhinge.forwarding.peers import book
+from persimmonhinge.forwarding.peers import peer_table
 
 logger = logging.getLogger(__name__)
 
@@ -25,7 +25,7 @@
         self,
         path: str,
         settings: settings_module.ForwardSettings,
-        peers: book.PeerBook,
+        peers: peer_table.PeerTable,
     ) -> None:
         """Creates the reloader.
 
--- a/tests/test_forwarding/failed_hosts.py
+++ b/tests/test_forwarding/failed_hosts.py
@@ -51,7 +51,7 @@
 def list_followers(fleet: fleet_module.Fleet) -> list[fleet_module.Host]:
     """Returns the hosts that follow the store, one for each failure domain."""
     now = trio.current_time()
-    return [host for host in fleet.hosts if host.role.is_due(now)]
+    return [host for host in fleet.hosts if host.role.should_follow(now)]
 
 
 async def fail_follower(fleet: fleet_module.Fleet, change: Change) -> None:
--- a/tests/test_forwarding/test_forwarding_entry_replica.py
+++ b/tests/test_forwarding/test_forwarding_entry_replica.py
@@ -15,8 +15,8 @@
 from persimmonhinge.forwarding import store_entry
 from persimmonhinge.forwarding import upstream
 from persimmonhinge.forwarding.decisions import store_availability
+from persimmonhinge.forwarding.peers import entry_updates
 from persimmonhinge.forwarding.peers import messages
-from persimmonhinge.forwarding.peers import news
 from persimmonhinge.metrics import counts
 from persimmonhinge.platform import adapter
 from persimmonhinge.store import port
@@ -259,7 +259,7 @@
     replica.entries.apply(make_key("1"), make_entry(), 5)
     deletion = store_entry.StoreEntry(make_key("1"), None, 6)
     replica.entries.apply_update(
-        messages.News(5, 6, False, (deletion,)), "peer"
+        messages.EntryUpdate(5, 6, False, (deletion,)), "peer"
     )
     assert replica.find_upstream_state("1") is upstream.UpstreamState.MISSING
 
@@ -279,8 +279,10 @@
         )
         for number, rev in ((1, 6), (2, 7))
     )
-    lost = messages.News(5, 6, True, (first,))
-    replica.entries.apply_update(messages.News(6, 7, True, (second,)), "peer")
+    lost = messages.EntryUpdate(5, 6, True, (first,))
+    replica.entries.apply_update(
+        messages.EntryUpdate(6, 7, True, (second,)), "peer"
+    )
     assert replica.find_upstream_state("2") is upstream.UpstreamState.DRAINING
     assert replica.entries.revision == 5
     replica.entries.apply_update(lost, "peer")
@@ -305,7 +307,7 @@
         )
     replica = HostReplica()
     replica.entries.completeness.advance(10)
-    updates = news.split_news(10, True, entries)
+    updates = entry_updates.split_into_updates(10, True, entries)
     for number, update in enumerate(updates):
         if number not in lost:
             replica.entries.apply_update(update, "peer")
@@ -349,13 +351,13 @@
     """Guards against a host that calls the store just after another one did."""
     replica = HostReplica()
     replica.entries.apply("op/config", make_state(1), 3)
-    (update,) = news.split_news(3, True, [])
+    (update,) = entry_updates.split_into_updates(3, True, [])
     replica.entries.apply_update(update, "10.0.0.2")
     assert replica.knowledge.confirmed_at is None
     replica.entries.apply_batch(
         [port.WatchEvent("op/config", make_state(2), 4)]
     )
-    (update,) = news.split_news(4, True, [])
+    (update,) = entry_updates.split_into_updates(4, True, [])
     replica.entries.apply_update(update, "10.0.0.2")
     assert replica.knowledge.confirmed_at is not None
 
@@ -366,6 +368,6 @@
     replica.entries.apply_batch(
         [port.WatchEvent("op/config", make_state(1), 3)]
     )
-    (update,) = news.split_news(9, True, [])
+    (update,) = entry_updates.split_into_updates(9, True, [])
     replica.entries.apply_update(update, "10.0.0.2")
     assert replica.knowledge.confirmed_at is None
--- a/tests/test_forwarding/test_forwarding_evacuation.py
+++ b/tests/test_forwarding/test_forwarding_evacuation.py
@@ -207,7 +207,7 @@
     receiver.entries.apply_short_snapshot(snapshot, "peer")
     assert receiver.knowledge.evacuated == {scenes.LOCAL_DOMAIN}
     entry = store_entry.StoreEntry(_EVACUATION_KEY, None, 11)
-    update = messages.News(10, 11, True, (entry,))
+    update = messages.EntryUpdate(10, 11, True, (entry,))
     receiver.entries.apply_update(update, "peer")
     assert not receiver.knowledge.evacuated
 
--- a/tests/test_forwarding/test_forwarding_omitted_state.py
+++ b/tests/test_forwarding/test_forwarding_omitted_state.py
@@ -11,8 +11,8 @@
 
 from persimmonhinge.forwarding import store_entry
 from persimmonhinge.forwarding import upstream as upstream_module
+from persimmonhinge.forwarding.peers import entry_updates as news_module
 from persimmonhinge.forwarding.peers import messages
-from persimmonhinge.forwarding.peers import news as news_module
 from persimmonhinge.store import port
 from tests.test_forwarding import test_forwarding_entry_replica as readers
 
@@ -32,26 +32,26 @@
 
 def apply_store_change(
     replica: readers.HostReplica, key: str, value: bytes | None, revision: int
-) -> list[messages.News]:
+) -> list[messages.EntryUpdate]:
     """Applies a change of the store to a host; returns the updates it sends."""
-    updates: list[messages.News] = []
+    updates: list[messages.EntryUpdate] = []
 
     def record_changes(
         after: int, entries: list[store_entry.StoreEntry]
     ) -> None:
-        updates.extend(news_module.split_news(after, True, entries))
+        updates.extend(news_module.split_into_updates(after, True, entries))
 
     replica.entries.on_changes = record_changes
     replica.entries.apply_batch([port.WatchEvent(key, value, revision)])
     return [omit_long_state(update) for update in updates]
 
 
-def omit_long_state(news: messages.News) -> messages.News:
+def omit_long_state(news: messages.EntryUpdate) -> messages.EntryUpdate:
     """Returns an update as it is sent, without a long desired state."""
     octets = sum(len(entry.value or b"") for entry in news.entries)
     if octets < _LONG_OCTETS:
         return news
-    return news_module.leave_state_out(news, _STATE_KEY)
+    return news_module.omit_desired_state(news, _STATE_KEY)
 
 
 def pull(
@@ -88,9 +88,9 @@
         replica.entries.apply_batch(
             [port.WatchEvent(readers.make_key("1"), readers.make_entry(), 5)]
         )
-    sent: list[messages.News] = []
+    sent: list[messages.EntryUpdate] = []
     ahead.entries.on_changes = lambda after, entries: sent.extend(
-        news_module.split_news(after, True, entries)
+        news_module.split_into_updates(after, True, entries)
     )
     drain = readers.make_entry("draining")
     ahead.entries.apply_batch(
@@ -137,8 +137,8 @@
     """
     state = store_entry.StoreEntry(_STATE_KEY, make_long_state(2), 7)
     drain = store_entry.StoreEntry(readers.make_key("1"), b"", 6)
-    update = messages.News(5, 7, True, (drain, state))
-    assert news_module.leave_state_out(update, _STATE_KEY).upto == 5
+    update = messages.EntryUpdate(5, 7, True, (drain, state))
+    assert news_module.omit_desired_state(update, _STATE_KEY).revision == 5
 
 
 def test_news_after_a_state_left_out_go_on_for_upstreams() -> None:
@@ -279,12 +279,14 @@
 def test_hosts_of_an_earlier_release_read_what_they_are_sent() -> None:
     """Guards against messages that hosts drop during an upgrade."""
     drain = store_entry.StoreEntry(readers.make_key("1"), b"", 6)
-    update = messages.News(5, 5, True, (drain,), upstreams_upto=7)
+    update = messages.EntryUpdate(5, 5, True, (drain,), upstreams_revision=7)
     former = msgspec.msgpack.decode(
         msgspec.msgpack.encode(update), type=FormerNews
     )
     assert (former.after, former.upto) == (5, 5)
-    request = messages.PullRequest(5, packed=True, short=True)
+    request = messages.PullRequest(
+        5, accepts_compression=True, omits_long_state=True
+    )
     former_request = msgspec.msgpack.decode(
         msgspec.msgpack.encode(request), type=FormerRequest
     )
--- a/tests/test_forwarding/test_forwarding_peers_pulls.py
+++ b/tests/test_forwarding/test_forwarding_peers_pulls.py
@@ -1,4 +1,4 @@
-"""Tests of snapshots that hosts give each other."""
+"""Tests of the snapshots that hosts pull from each other."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 import trio
 
 from persimmonhinge import ids
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding.peers import codec as codecs
+from persimmonhinge.forwarding import flow
+from persimmonhinge.forwarding.peers import codec
 from persimmonhinge.forwarding.peers import messages
 from persimmonhinge.forwarding.peers import pulls
 from persimmonhinge.forwarding.peers import snapshot_server
@@ -21,11 +21,11 @@
 _DEAD = "127.0.0.6"
 _UPSTREAMS = 40
 _UPSTREAM = ids.UpstreamId("i-1")
-_MOST_FAILURES = 5
+_MAX_FAILURES = 5
 
 
 async def pull(port: int, request: messages.PullRequest) -> bytes:
-    """Returns what a host answers to a request."""
+    """Returns the octets of a host's answer to a request."""
     octets = bytearray()
     stream = await trio.open_tcp_stream(_HOST, port)
     async with stream:
@@ -37,10 +37,11 @@
 
 @trios.trio_test
 async def test_host_of_an_earlier_release_can_read_its_snapshot() -> None:
-    """Hosts that are not yet renewed lag behind in the middle of an upgrade.
+    """Guards against hosts that fall behind in the middle of an upgrade.
 
-    They ask without saying that they read compressed messages, and are sent
-    some; so does a host that starts without a store.
+    Hosts that still run an earlier release send requests without the flag for
+    compression, also when they start while the store is unavailable. They fall
+    behind if the answer is compressed, since they cannot read it.
     """
     port = ports.find_tcp_port(_HOST)
     core = hosts.make_core(port)
@@ -50,21 +51,24 @@
     async with trio.open_nursery() as nursery:
         await nursery.start(snapshot_server.SnapshotServer(core).run)
         plain = await pull(port, messages.PullRequest(0))
-        packed = await pull(port, messages.PullRequest(0, packed=True))
+        compressed = await pull(
+            port, messages.PullRequest(0, accepts_compression=True)
+        )
         nursery.cancel_scope.cancel()
     snapshot = msgspec.msgpack.decode(plain, type=messages.Snapshot)
     assert len(snapshot.entries) == _UPSTREAMS
-    assert len(packed) < len(plain) / 3
-    assert codecs.SNAPSHOTS.decode(packed) == snapshot
+    assert len(compressed) < len(plain) / 3
+    assert codec.SNAPSHOT_CODEC.decode(compressed) == snapshot
 
 
 @trios.trio_test
 async def test_host_that_does_not_answer_is_not_asked_alone() -> None:
-    """New requests reach an upstream for as long as a dead host is believed.
+    """Guards against a host that asks only a dead host for missing entries.
 
-    A host missed the news of a drain, and sees by their reports that others
-    are ahead. The one that knows most died just after its report, which counts
-    for seconds; it was asked again and again, and the others never.
+    A host missed the update of a drain and sees from their reports that others
+    are ahead. The host that is furthest ahead died just after its report,
+    which counts for seconds. If it is asked again and again, and the others
+    never are, new requests keep reaching the draining upstream meanwhile.
     """
     port = ports.find_tcp_port(_HOST)
     ahead = hosts.make_core(port, _HOST)
@@ -85,12 +89,12 @@
             (),
             (),
         )
-        behind.peers.take(flows.Endpoint(host, port - 1), report, 0.0)
+        behind.peers.apply_report(flow.Endpoint(host, port - 1), report, 0.0)
     async with trio.open_nursery() as nursery:
         await nursery.start(snapshot_server.SnapshotServer(ahead).run)
         nursery.start_soon(pulls.SnapshotPuller(behind).run)
         while behind.knowledge.directory.get(_UPSTREAM) is None:
             failures = behind.counts.get("snapshot_errors_total")
-            assert failures < _MOST_FAILURES
+            assert failures < _MAX_FAILURES
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
--- a/tests/test_forwarding/test_forwarding_peers_service.py
+++ b/tests/test_forwarding/test_forwarding_peers_service.py
@@ -1,40 +1,40 @@
-"""Tests of what a host does with reports."""
+"""Tests of the handling of received reports."""
 
 from __future__ import annotations
 
 import socket
 import time
 
-from persimmonhinge.forwarding import core as cores
-from persimmonhinge.forwarding import flow as flows
-from persimmonhinge.forwarding import settings as forward_settings
-from persimmonhinge.forwarding import upstream as upstreams
-from persimmonhinge.forwarding.peers import following
+from persimmonhinge.forwarding import core
+from persimmonhinge.forwarding import flow
+from persimmonhinge.forwarding import settings as settings_module
+from persimmonhinge.forwarding import upstream
+from persimmonhinge.forwarding.peers import follower_role
 from persimmonhinge.forwarding.peers import messages
-from persimmonhinge.forwarding.peers import service as services
+from persimmonhinge.forwarding.peers import service
 from persimmonhinge.platform import adapter
 from tests.support import trios
 from tests.test_forwarding import test_forwarding_entry_replica as readers
 
-PEER = flows.Endpoint("10.0.0.2", 7720)
+PEER_ADDRESS = flow.Endpoint("10.0.0.2", 7720)
 
 
-class Listener:
-    """A host that takes in reports, without a network."""
+class ReceivingHost:
+    """A host that receives reports without a network."""
 
     def __init__(self) -> None:
-        settings = forward_settings.parse(
+        settings = settings_module.parse(
             b"{host: h-1, domain: north, packets: '127.0.0.1:1',"
             b" pages: '127.0.0.1:2', peer_ports: [3, 18],"
             b" store: {address: '127.0.0.1:9'}}"
         )
         bound = socket.socket(type=socket.SOCK_DGRAM)
         bound.bind(("127.0.0.1", 0))
-        self.core = cores.ForwardCore(
+        self.core = core.ForwardCore(
             settings, bound, adapter.PacketFormat(), adapter.EntryFormat()
         )
         bound.close()
-        role = following.Following(
+        role = follower_role.FollowerRole(
             "h-1",
             "north",
             self.core.peers,
@@ -42,11 +42,11 @@
             settings.max_current_age_s,
             time.monotonic(),
         )
-        self.service = services.PeerService(self.core, role)
+        self.service = service.PeerService(self.core, role)
         self._sequence = 0
 
-    def hear(self, *, reaches_store: bool, age_ms: int = 0) -> None:
-        """Has a report of the peer come."""
+    def receive_report(self, *, reaches_store: bool, age_ms: int = 0) -> None:
+        """Handles a report of the peer."""
         self._sequence += 1
         report = messages.Report(
             host="h-2",
@@ -61,30 +61,30 @@
             loads=(),
             peers=(),
         )
-        self.service.take_report(report, PEER)
+        self.service.handle_report(report, PEER_ADDRESS)
 
 
 @trios.trio_test
 async def test_outage_that_the_last_follower_saw_is_a_reason_to_doubt() -> None:
-    """All feeds break at the host that takes over from another one.
+    """Guards against a new follower that breaks all feeds after an outage.
 
-    The host that follows the store is refused; entries expire meanwhile; the
-    next one reads them right after the store's return and finds none. Cause:
-    the second never saw the outage.
+    The store refuses the host that follows it, and entries expire meanwhile.
+    The next follower reads the store right after its return and finds no
+    entries. It has not seen the outage itself, so it treats them as deleted.
     """
-    listener = Listener()
+    host = ReceivingHost()
     key = readers.make_key("1")
-    listener.core.entries.apply(key, readers.make_entry(), 5)
-    listener.hear(reaches_store=True)
-    listener.hear(reaches_store=False)
-    listener.core.entries.apply(key, None, 6)
-    (known,) = listener.core.knowledge.directory.list_all()
-    assert known.state is upstreams.UpstreamState.MISSING
+    host.core.entries.apply(key, readers.make_entry(), 5)
+    host.receive_report(reaches_store=True)
+    host.receive_report(reaches_store=False)
+    host.core.entries.apply(key, None, 6)
+    (known,) = host.core.knowledge.directory.list_all()
+    assert known.state is upstream.UpstreamState.MISSING
 
 
 @trios.trio_test
 async def test_confirmation_of_another_host_is_as_old_as_it_says() -> None:
-    listener = Listener()
-    listener.hear(reaches_store=True, age_ms=700)
-    age_ms = listener.core.knowledge.compute_age_ms(time.monotonic())
+    host = ReceivingHost()
+    host.receive_report(reaches_store=True, age_ms=700)
+    age_ms = host.core.knowledge.compute_age_ms(time.monotonic())
     assert 700 <= age_ms < 5_000
