--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -185,7 +185,7 @@
 
     def look(_: int) -> list[bool]:
         host.view.changed.announce()
-        return [host.roles.keeps(t) for t in host.roles.list_targets()]
+        return [host.roles.is_kept_here(t) for t in host.roles.list_targets()]
 
     return measure_us(look, 1)
 
--- a/persimmonhinge/parts.py
+++ b/persimmonhinge/parts.py
@@ -46,7 +46,7 @@
     membership: memberships.Membership
     control: controls.Control
     chooser: choosers.UpstreamChooser
-    keepers: keepers.Keepers
+    keepers: keepers.Keeper
     feeds: feed_parts.Feeds
     home: homes.Home
     front: fronts.Front
@@ -78,7 +78,7 @@
         base.network,
         random.Random(),
     )
-    keeper_part = keepers.Keepers(
+    keeper_part = keepers.Keeper(
         settings,
         base.view,
         base.placement,
@@ -86,7 +86,7 @@
         base.network,
         base.counts,
     )
-    membership.on_new_incarnation(keeper_part.note_incarnation)
+    membership.on_new_incarnation(keeper_part.record_incarnation)
     front = fronts.Front(settings, base.contracts, base.counts)
     feeds = _make_feeds(settings, base, front, chooser)
     home = _make_home(settings, base, front, chooser, feeds)
--- /dev/null
+++ b/persimmonhinge/upstreams/added_upstreams.py
@@ -0,0 +1,63 @@
+"""Which upstreams are cold because their contract names them newly."""
+
+from __future__ import annotations
+
+import trio
+
+from persimmonhinge import ids
+from persimmonhinge.contracts import contract as contract_module
+from persimmonhinge.contracts import store as store_module
+
+_UpstreamKey = tuple[str, contract_module.Address]
+
+
+class AddedUpstreams:
+    """Remembers when each upstream came into its contract.
+
+    Every host watches all contracts, so a host that takes the role of
+    keeper over knows whether the upstream is cold or has long been warm.
+    What stands in the first revision that a host sees is taken for warm: a
+    host that starts must not withhold slots that others gave before.
+    """
+
+    def __init__(self, store: store_module.ContractStore) -> None:
+        self._store = store
+        self._store_version = -1
+        self._added_at: dict[
+            ids.ServiceName, dict[_UpstreamKey, float | None]
+        ] = {}
+
+    def refresh(self) -> None:
+        """Takes in changes of contracts."""
+        if self._store_version == self._store.changed.version:
+            return
+        self._store_version = self._store.changed.version
+        for entry in self._store.entries():
+            service = ids.ServiceName(entry.contract.service)
+            previous = self._added_at.get(service)
+            self._added_at[service] = self._compute_added_at(
+                entry.contract, previous
+            )
+
+    def find_added_at(
+        self, service: ids.ServiceName, upstream: contract_module.Upstream
+    ) -> float | None:
+        """Returns when an upstream was new, None if it is warm."""
+        self.refresh()
+        key = (upstream.id, upstream.address)
+        return self._added_at.get(service, {}).get(key)
+
+    def _compute_added_at(
+        self,
+        contract: contract_module.Contract,
+        previous: dict[_UpstreamKey, float | None] | None,
+    ) -> dict[_UpstreamKey, float | None]:
+        added_at: dict[_UpstreamKey, float | None] = {}
+        for upstream in contract.upstreams:
+            if upstream.state is contract_module.UpstreamState.DRAINING:
+                # One that is taken back has most likely been restarted.
+                continue
+            key = (upstream.id, upstream.address)
+            default = None if previous is None else trio.current_time()
+            added_at[key] = (previous or {}).get(key, default)
+        return added_at
--- a/persimmonhinge/upstreams/context.py
+++ b/persimmonhinge/upstreams/context.py
@@ -10,9 +10,9 @@
 
 import trio
 
-from persimmonhinge.coap import transmission as transmissions
-from persimmonhinge.contracts import store as stores
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.coap import transmission
+from persimmonhinge.contracts import store
+from persimmonhinge.metrics import counts as counts_module
 from persimmonhinge.upstreams import arrival
 from persimmonhinge.upstreams import event_budget
 
@@ -33,11 +33,11 @@
         event_budget: Bounds the events that feeds hold.
     """
 
-    contracts: stores.ContractStore
-    counts: host_counts.Counts
+    contracts: store.ContractStore
+    counts: counts_module.Counts
     randomness: random.Random
     open_socket: arrival.SocketOpener
-    timers: transmissions.Transmission
+    timers: transmission.Transmission
     nursery: trio.Nursery
     event_budget: event_budget.EventBudget
 
--- a/persimmonhinge/upstreams/dispatching.py
+++ b/persimmonhinge/upstreams/dispatch_handler.py
@@ -9,60 +9,60 @@
 import trio
 
 from persimmonhinge import errors
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.peers import network as networks
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.peers import network
 from persimmonhinge.peers.messages import work
-from persimmonhinge.upstreams import executed as executed_tables
-from persimmonhinge.upstreams import job as jobs
-from persimmonhinge.upstreams import kept as kept_parts
+from persimmonhinge.upstreams import executed_table
+from persimmonhinge.upstreams import job as job_module
+from persimmonhinge.upstreams import kept as kept_module
 from persimmonhinge.upstreams import requests
-from persimmonhinge.upstreams import roles as role_parts
-from persimmonhinge.upstreams import target as targets
-from persimmonhinge.upstreams import upstreams as upstream_sets
+from persimmonhinge.upstreams import roles as roles_module
+from persimmonhinge.upstreams import target as target_module
+from persimmonhinge.upstreams import upstreams as upstreams_module
 
 # An upstream that keeps the deadline answers just when it passes.
-_DEADLINE_MARGIN_S = 0.05
+_ANSWER_GRACE_S = 0.05
 
 _Outcome = work.Outcome
 
 
-class Dispatching:
+class DispatchHandler:
     """Decides about each `Dispatch` and waits for its outcome."""
 
     def __init__(
         self,
-        roles: role_parts.Roles,
-        upstreams: upstream_sets.KeptUpstreams,
-        executed: executed_tables.ExecutedTable,
-        counts: host_counts.Counts,
+        roles: roles_module.Roles,
+        upstreams: upstreams_module.KeptUpstreams,
+        executed: executed_table.ExecutedTable,
+        counts: counts_module.Counts,
     ) -> None:
         self._roles = roles
         self._upstreams = upstreams
         self._executed = executed
         self._counts = counts
-        self._numbers = itertools.count()
+        self._sequence_numbers = itertools.count()
 
     async def handle(
-        self, caller: networks.Caller, dispatch: work.Dispatch
+        self, caller: network.Caller, dispatch: work.Dispatch
     ) -> work.Dispatched:
         """Runs a request, joins the running one, or refuses it."""
-        outcome = await self._serve(caller, dispatch)
+        outcome = await self._process_dispatch(caller, dispatch)
         self._counts.add(
             "keeper_dispatched_total", outcome=outcome.outcome.value
         )
         return outcome
 
-    async def _serve(
-        self, caller: networks.Caller, dispatch: work.Dispatch
+    async def _process_dispatch(
+        self, caller: network.Caller, dispatch: work.Dispatch
     ) -> work.Dispatched:
         # No checkpoint from here to the submission of the job, so that two
         # copies of a request can't both pass the check.
         if not dispatch.idempotent:
-            known = self._check_executed(dispatch)
-            if isinstance(known, work.Dispatched):
-                return known
-            if known is not None:
-                return await self._listen(caller, known)
+            existing = self._check_duplicate(dispatch)
+            if isinstance(existing, work.Dispatched):
+                return existing
+            if existing is not None:
+                return await self._await_outcome(caller, existing)
         target = self._roles.find_target(
             dispatch.service, dispatch.revision, dispatch.upstream
         )
@@ -70,33 +70,35 @@
             return work.Dispatched(
                 _Outcome.STALE, reason="contracts differ between hosts"
             )
-        if not self._roles.keeps(target):
+        if not self._roles.is_kept_here(target):
             keeper = self._roles.find_keeper(target)
-            return upstream_sets.refuse_role(keeper.host if keeper else None)
-        kept = self._upstreams.get(target)
+            return upstreams_module.make_not_keeper_outcome(
+                keeper.host if keeper else None
+            )
+        kept = self._upstreams.get_or_create(target)
         job = self._make_job(dispatch, target)
         if isinstance(job, work.Dispatched):
             return job
         if not dispatch.idempotent:
-            self._executed.begin(dispatch, job)
+            self._executed.start_request(dispatch, job)
         kept.submit(job)
-        outcome = await self._listen(caller, job)
+        outcome = await self._await_outcome(caller, job)
         return _add_load(outcome, kept)
 
-    def _check_executed(
+    def _check_duplicate(
         self, dispatch: work.Dispatch
-    ) -> jobs.Job | work.Dispatched | None:
+    ) -> job_module.Job | work.Dispatched | None:
         if not dispatch.ticket or not dispatch.digest:
-            return _refuse("work that runs once needs a ticket")
-        known = self._executed.check(dispatch)
-        if known is None or isinstance(known, work.Dispatched):
-            return known
+            return _make_not_run("work that runs once needs a ticket")
+        existing = self._executed.check_dispatch(dispatch)
+        if existing is None or isinstance(existing, work.Dispatched):
+            return existing
         self._counts.add("keeper_duplicates_total")
-        return known.job or known.outcome
+        return existing.job or existing.outcome
 
     def _make_job(
-        self, dispatch: work.Dispatch, target: targets.Target
-    ) -> jobs.Job | work.Dispatched:
+        self, dispatch: work.Dispatch, target: target_module.Target
+    ) -> job_module.Job | work.Dispatched:
         call_class = target.entry.contract.get_class(dispatch.call_class)
         if call_class is None:
             return work.Dispatched(
@@ -105,49 +107,53 @@
         try:
             request = requests.read_request(dispatch.request, target.service)
         except errors.MalformedDatagramError as error:
-            return _refuse(str(error))
-        return jobs.Job(
+            return _make_not_run(str(error))
+        return job_module.Job(
             dispatch,
             request,
             call_class,
             trio.current_time() + dispatch.deadline_ms / 1000,
-            next(self._numbers),
+            next(self._sequence_numbers),
         )
 
-    async def _listen(
-        self, caller: networks.Caller, job: jobs.Job
+    async def _await_outcome(
+        self, caller: network.Caller, job: job_module.Job
     ) -> work.Dispatched:
         """Returns the outcome of a job, unless the home goes away first."""
-        job.listeners += 1
+        job.waiter_count += 1
         try:
-            if job.state is not jobs.JobState.DONE:
-                await self._wait(caller, job)
+            if job.state is not job_module.JobState.DONE:
+                await self._wait_until_deadline(caller, job)
         finally:
-            job.listeners -= 1
-        if job.state is jobs.JobState.DONE:
+            job.waiter_count -= 1
+        if job.state is job_module.JobState.DONE:
             return job.outcome
-        return self._give_up(job)
+        return self._abandon_job(job)
 
-    async def _wait(self, caller: networks.Caller, job: jobs.Job) -> None:
-        with trio.move_on_at(job.deadline + _DEADLINE_MARGIN_S) as scope:
-            look = functools.partial(_cancel_when_gone, caller, scope)
-            caller.watch(look)
-            look()
+    async def _wait_until_deadline(
+        self, caller: network.Caller, job: job_module.Job
+    ) -> None:
+        with trio.move_on_at(job.deadline + _ANSWER_GRACE_S) as scope:
+            check_caller = functools.partial(
+                _cancel_if_caller_gone, caller, scope
+            )
+            caller.watch(check_caller)
+            check_caller()
             await job.wait()
 
-    def _give_up(self, job: jobs.Job) -> work.Dispatched:
+    def _abandon_job(self, job: job_module.Job) -> work.Dispatched:
         """Drops a job that nobody waits for any more.
 
         Work that runs at most once is left alone while it runs: its answer
         is kept for a home that asks again.
         """
-        if job.listeners == 0 and self._cancel(job):
+        if job.waiter_count == 0 and self._cancel_job(job):
             return job.outcome
         return work.Dispatched(
             _Outcome.UNKNOWN, reason="still running at the deadline"
         )
 
-    def _cancel(self, job: jobs.Job) -> bool:
+    def _cancel_job(self, job: job_module.Job) -> bool:
         """Cancels a job as far as that is safe.
 
         Returns:
@@ -162,11 +168,13 @@
             return False
         transfer.abandon()
         if not transfer.may_run:
-            job.finish(_refuse("upload was cut off"))
+            job.finish(_make_not_run("upload was cut off"))
         return not transfer.may_run
 
 
-def _cancel_when_gone(caller: networks.Caller, scope: trio.CancelScope) -> None:
+def _cancel_if_caller_gone(
+    caller: network.Caller, scope: trio.CancelScope
+) -> None:
     """Cancels a scope if the home has cancelled or its link is lost."""
     try:
         while (message := caller.take()) is not None:
@@ -177,10 +185,10 @@
 
 
 def _add_load(
-    outcome: work.Dispatched, kept: kept_parts.KeptUpstream
+    outcome: work.Dispatched, kept: kept_module.KeptUpstream
 ) -> work.Dispatched:
     return msgspec.structs.replace(outcome, load=kept.read_load())
 
 
-def _refuse(reason: str) -> work.Dispatched:
+def _make_not_run(reason: str) -> work.Dispatched:
     return work.Dispatched(_Outcome.NOT_RUN, reason=reason)
--- a/persimmonhinge/upstreams/executed_entry.py
+++ b/persimmonhinge/upstreams/executed_entry.py
@@ -7,7 +7,7 @@
 
 from persimmonhinge import ids
 from persimmonhinge.peers.messages import work
-from persimmonhinge.upstreams import job as jobs
+from persimmonhinge.upstreams import job
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
         "job",
         "key",
         "outcome",
-        "refused_at_ms",
+        "refused_home_uptime_ms",
         "state",
         "upstream",
     )
@@ -77,10 +77,10 @@
         self.home = home
         self.expiry_ms = expiry_ms
         self.state = state
-        self.job: jobs.Job | None = None
+        self.job: job.Job | None = None
         self.outcome: work.Dispatched | None = None
         self.upstream = ids.UpstreamId("")
-        self.refused_at_ms = 0
+        self.refused_home_uptime_ms = 0
 
     @property
     def answer_octets(self) -> int:
--- /dev/null
+++ b/persimmonhinge/upstreams/executed_table.py
@@ -0,0 +1,255 @@
+"""The table that keeps a non-idempotent request from running twice."""
+
+from __future__ import annotations
+
+import functools
+
+from persimmonhinge import ids
+from persimmonhinge.peers.messages import work
+from persimmonhinge.upstreams import executed_entry
+from persimmonhinge.upstreams import executed_rows
+from persimmonhinge.upstreams import job as job_module
+from persimmonhinge.upstreams import uptimes as uptimes_module
+
+# How far a dispatch may lag behind the home's newest one. A refused
+# dispatch needs to be remembered only for so long.
+MAX_DISPATCH_AGE_MS = 5_000
+MAX_ENTRIES = 100_000
+MAX_ANSWER_OCTETS = 64 * 1024 * 1024
+
+_State = executed_entry.EntryState
+_Outcome = work.Outcome
+
+
+class ExecutedTable:
+    """Remembers each non-idempotent request until its ticket has expired.
+
+    A row is written before the request leaves for the upstream. It is
+    forgotten only once the home's uptime is surely above the expiry of the
+    ticket; from then on no question about the ticket is answered with "not
+    run", because the row may have been there. Rows are never evicted: a
+    full table takes no new work.
+    """
+
+    def __init__(
+        self,
+        uptimes: uptimes_module.Uptimes,
+        max_entries: int = MAX_ENTRIES,
+        max_answer_octets: int = MAX_ANSWER_OCTETS,
+    ) -> None:
+        self.uptimes = uptimes
+        self._max_entries = max_entries
+        self._max_answer_octets = max_answer_octets
+        self._rows = executed_rows.ExecutedRows()
+
+    def __len__(self) -> int:
+        return len(self._rows)
+
+    @property
+    def is_full(self) -> bool:
+        """True if it takes no new row."""
+        if len(self._rows) >= self._max_entries:
+            return True
+        return self._rows.answer_octets >= self._max_answer_octets
+
+    def check_dispatch(
+        self, dispatch: work.Dispatch
+    ) -> executed_entry.ExecutedEntry | work.Dispatched | None:
+        """Tells what is to be done with a dispatch.
+
+        Returns:
+            The row to wait for or to answer from; the final outcome if it
+            must not run; None if it may run, once `begin` was called.
+        """
+        self.uptimes.record_uptime(dispatch.home, dispatch.home_uptime_ms)
+        self.remove_expired(dispatch.home)
+        existing = self._find_row(dispatch)
+        if existing is not None:
+            return self._check_existing(existing, dispatch)
+        return self._refuse_unsafe(dispatch)
+
+    def start_request(
+        self, dispatch: work.Dispatch, job: job_module.Job
+    ) -> None:
+        """Writes the row of a job that is about to wait or to run."""
+        entry = executed_entry.ExecutedEntry(
+            _make_key(dispatch),
+            dispatch.home,
+            dispatch.ticket_expiry_ms,
+            _State.PENDING,
+        )
+        entry.job = job
+        job.on_finish = functools.partial(self.finish_request, dispatch)
+        self._rows.put(entry, entry.expiry_ms)
+
+    def finish_request(
+        self, dispatch: work.Dispatch, outcome: work.Dispatched
+    ) -> None:
+        """Keeps the outcome of a job, or that it was refused."""
+        entry = self._rows.get(_make_key(dispatch))
+        if entry is None or entry.state is not _State.PENDING:
+            return
+        entry.job = None
+        if outcome.outcome in (_Outcome.ANSWERED, _Outcome.UNKNOWN):
+            entry.state = _State.ENDED
+            entry.outcome = outcome
+            self._rows.answer_octets += entry.answer_octets
+            return
+        refused = executed_entry.ExecutedEntry(
+            entry.key, entry.home, entry.expiry_ms, _State.REFUSED
+        )
+        refused.upstream = dispatch.upstream
+        refused.refused_home_uptime_ms = dispatch.home_uptime_ms
+        expiry_ms = dispatch.home_uptime_ms + MAX_DISPATCH_AGE_MS + 1
+        self._rows.put(refused, min(expiry_ms, entry.expiry_ms))
+
+    def recover_request(
+        self, query: work.Recover
+    ) -> executed_entry.ExecutedEntry | work.Dispatched:
+        """Tells what became of a request, and fences it if it did not run.
+
+        Returns:
+            The row to wait for or to answer from, or the final outcome.
+        """
+        self.uptimes.record_ticket_expiry(query.home, query.ticket_expiry_ms)
+        self.remove_expired(query.home)
+        existing = self._find_rows(query)
+        started = [entry for entry in existing if _may_have_run(entry)]
+        if len(started) > 1:
+            # The caller used its token for several requests and did not
+            # show again which one it means.
+            return _make_unknown("several requests have this token")
+        if started:
+            return started[0]
+        if self._is_expired(query.home, query.ticket_expiry_ms):
+            return _make_unknown("ticket has expired")
+        fence = executed_entry.ExecutedEntry(
+            executed_entry.ExecutedKey(query.ticket, query.token, query.digest),
+            query.home,
+            query.ticket_expiry_ms,
+            _State.FENCED,
+        )
+        if self.is_full and self._rows.get(fence.key) is None:
+            return _make_unknown("table is full")
+        self._rows.put(fence, fence.expiry_ms)
+        return _make_not_run("did not run here and will not")
+
+    def remove_expired(self, home: ids.HostRef) -> None:
+        """Forgets the rows of a home that may be forgotten."""
+        uptime_ms = self.uptimes.get_lower_bound_ms(home)
+        for entry in self._rows.pop_due(home, uptime_ms):
+            if entry.state is _State.PENDING:
+                self._rows.schedule_check(
+                    entry, uptime_ms + MAX_DISPATCH_AGE_MS
+                )
+            else:
+                self._rows.remove(entry)
+
+    def remove_all_expired(self) -> None:
+        """Forgets all rows that may be forgotten."""
+        for home in self._rows.list_homes():
+            self.remove_expired(home)
+
+    def list_final_rows(self) -> list[executed_entry.ExecutedEntry]:
+        """Returns the rows that a successor needs, pending ones not."""
+        return [
+            entry
+            for entry in self._rows
+            if entry.state in (_State.ENDED, _State.FENCED)
+        ]
+
+    def add_handed_over_row(self, entry: executed_entry.ExecutedEntry) -> bool:
+        """Takes in a row of a former keeper.
+
+        Returns:
+            False if the table is full.
+        """
+        existing = self._rows.get(entry.key)
+        if existing is not None and _may_have_run(existing):
+            return True
+        if self.is_full:
+            return False
+        self._rows.put(entry, entry.expiry_ms)
+        return True
+
+    def _check_existing(
+        self, existing: executed_entry.ExecutedEntry, dispatch: work.Dispatch
+    ) -> executed_entry.ExecutedEntry | work.Dispatched | None:
+        if existing.state is _State.FENCED:
+            return _make_not_run("was declared not run")
+        if existing.state is not _State.REFUSED:
+            return existing
+        # Guards against a request that runs after its caller was told that
+        # it did not: a copy of the refused dispatch may still come out of a
+        # link that was lost. Such a copy left the home no later than the
+        # one that was refused, so only a dispatch sent later may run. One
+        # for another upstream in the same millisecond is a new attempt.
+        sent_later = dispatch.home_uptime_ms > existing.refused_home_uptime_ms
+        sent_at_same_time = (
+            dispatch.home_uptime_ms == existing.refused_home_uptime_ms
+        )
+        if sent_later or (
+            sent_at_same_time and dispatch.upstream != existing.upstream
+        ):
+            return self._refuse_unsafe(dispatch)
+        return _make_not_run("an earlier attempt was refused")
+
+    def _refuse_unsafe(self, dispatch: work.Dispatch) -> work.Dispatched | None:
+        if self._is_expired(dispatch.home, dispatch.ticket_expiry_ms):
+            # It may have run and been forgotten.
+            return _make_unknown("ticket has expired")
+        age_ms = (
+            self.uptimes.get_lower_bound_ms(dispatch.home)
+            - dispatch.home_uptime_ms
+        )
+        if age_ms > MAX_DISPATCH_AGE_MS:
+            # It comes out of a link that stood still. An attempt that was
+            # refused in between may have been forgotten by now.
+            return _make_not_run("dispatch is too old")
+        if self.is_full:
+            return _make_not_run("table of requests is full", retry_after_s=1)
+        return None
+
+    def _is_expired(self, home: ids.HostRef, expiry_ms: int) -> bool:
+        return self.uptimes.get_lower_bound_ms(home) >= expiry_ms
+
+    def _find_row(
+        self, dispatch: work.Dispatch
+    ) -> executed_entry.ExecutedEntry | None:
+        key = _make_key(dispatch)
+        existing = self._rows.get(key)
+        if existing is not None and existing.state is not _State.REFUSED:
+            return existing
+        fence = self._rows.get(
+            executed_entry.ExecutedKey(key.ticket, key.token, b"")
+        )
+        return fence or existing
+
+    def _find_rows(
+        self, query: work.Recover
+    ) -> list[executed_entry.ExecutedEntry]:
+        rows = self._rows.get_by_token(query.ticket, query.token)
+        if not query.digest:
+            return list(rows.values())
+        entry = rows.get(query.digest)
+        return [] if entry is None else [entry]
+
+
+def _make_key(dispatch: work.Dispatch) -> executed_entry.ExecutedKey:
+    return executed_entry.ExecutedKey(
+        dispatch.ticket, dispatch.token, dispatch.digest
+    )
+
+
+def _may_have_run(entry: executed_entry.ExecutedEntry) -> bool:
+    return entry.state in (_State.PENDING, _State.ENDED)
+
+
+def _make_not_run(reason: str, retry_after_s: int = 0) -> work.Dispatched:
+    return work.Dispatched(
+        _Outcome.NOT_RUN, retry_after_s=retry_after_s, reason=reason
+    )
+
+
+def _make_unknown(reason: str) -> work.Dispatched:
+    return work.Dispatched(_Outcome.UNKNOWN, reason=reason)
--- a/persimmonhinge/upstreams/feeding.py
+++ b/persimmonhinge/upstreams/feeding.py
@@ -86,10 +86,10 @@
         target = self._roles.find_target(
             opened.service, opened.revision, opened.upstream
         )
-        if target is None or not self._roles.keeps(target):
+        if target is None or not self._roles.is_kept_here(target):
             # Hosts differ for a moment; the home looks again.
             return messages.FeedEnd(_Cause.MOVED)
-        kept = self._upstreams.get(target)
+        kept = self._upstreams.get_or_create(target)
         load = kept.read_load()
         if not kept.accepting:
             return messages.FeedEnd(_Cause.REFUSED, load=load)
@@ -164,7 +164,7 @@
         )
         if target is None or not feed.kept.accepting:
             feed.ask_to_move(_Cause.DRAINING)
-        elif not self._roles.keeps(target):
+        elif not self._roles.is_kept_here(target):
             feed.ask_to_move(_Cause.MOVED)
 
     async def _open(
--- a/persimmonhinge/upstreams/handing.py
+++ b/persimmonhinge/upstreams/handover_sender.py
@@ -9,59 +9,59 @@
 
 from persimmonhinge import errors
 from persimmonhinge import ids
-from persimmonhinge.membership import view as views
-from persimmonhinge.peers import network as networks
-from persimmonhinge.peers.messages import handover as messages
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.peers import network as network_module
+from persimmonhinge.peers.messages import handover
 from persimmonhinge.peers.messages import work
-from persimmonhinge.upstreams import executed as executed_tables
-from persimmonhinge.upstreams import executed_entry as entries
-from persimmonhinge.upstreams import inheritance as inheritances
-from persimmonhinge.upstreams import kept as kept_parts
-from persimmonhinge.upstreams import roles as role_parts
-from persimmonhinge.upstreams import upstreams as upstream_sets
+from persimmonhinge.upstreams import executed_entry
+from persimmonhinge.upstreams import executed_table
+from persimmonhinge.upstreams import former_keepers as former_keepers_module
+from persimmonhinge.upstreams import kept as kept_module
+from persimmonhinge.upstreams import roles as roles_module
+from persimmonhinge.upstreams import upstreams as upstreams_module
 
 logger = logging.getLogger(__name__)
 
-_LOOK_INTERVAL_S = 0.05
+_POLL_INTERVAL_S = 0.05
 _CALL_TIMEOUT_S = 2.0
 # How long a successor that lives is tried, and the pause between two attempts,
 # seconds: a link that broke is dialed again after 0.2 s at first.
-_TRY_S = 3.0
-_RETRY_S = 0.1
-_ROWS_IN_PART = 200
-_OCTETS_IN_PART = 262_144
+_MAX_RETRY_DURATION_S = 3.0
+_RETRY_INTERVAL_S = 0.1
+_MAX_PART_ROWS = 200
+_MAX_PART_OCTETS = 262_144
 
 
-class Handing:
+class HandoverSender:
     """Tells successors what runs at upstreams and what has run."""
 
     def __init__(
         self,
-        view: views.View,
-        roles: role_parts.Roles,
-        upstreams: upstream_sets.KeptUpstreams,
-        executed: executed_tables.ExecutedTable,
-        inheritance: inheritances.Inheritance,
-        network: networks.PeerNetwork,
+        view: view_module.View,
+        roles: roles_module.Roles,
+        upstreams: upstreams_module.KeptUpstreams,
+        executed: executed_table.ExecutedTable,
+        former_keepers: former_keepers_module.FormerKeepers,
+        network: network_module.PeerNetwork,
     ) -> None:
         self._view = view
         self._roles = roles
         self._upstreams = upstreams
         self._executed = executed
-        self._inheritance = inheritance
+        self._former_keepers = former_keepers
         self._network = network
-        self._followed: set[kept_parts.KeptUpstream] = set()
+        self._reported: set[kept_module.KeptUpstream] = set()
 
-    def follow_moved(self, nursery: trio.Nursery) -> None:
+    def start_reports(self, nursery: trio.Nursery) -> None:
         """Begins to report on upstreams whose role has moved away."""
         for kept in self._upstreams.list_all():
-            if kept in self._followed or not kept.slots.running:
+            if kept in self._reported or not kept.slots.running:
                 continue
             if self._find_successor(kept) is not None:
-                self._followed.add(kept)
-                nursery.start_soon(self._follow, kept)
+                self._reported.add(kept)
+                nursery.start_soon(self._report_running, kept)
 
-    async def leave(self) -> None:
+    async def hand_over(self) -> None:
         """Hands the table over, waits for what runs, hands over the rest.
 
         The table goes to every successor, so that whichever is asked after
@@ -69,38 +69,38 @@
         """
         self._upstreams.refresh()
         successors = self._list_successors()
-        sent: set[entries.ExecutedEntry] = set()
-        await self._hand_rows(successors, sent)
+        sent: set[executed_entry.ExecutedEntry] = set()
+        await self._send_rows(successors, sent)
         while any(k.slots.running for k in self._upstreams.list_all()):
-            await trio.sleep(_LOOK_INTERVAL_S)
-        await self._hand_rows(successors, sent)
-        for former in self._inheritance.list_all():
-            await self._finish(successors, former)
-        await self._finish(successors, self._view.self_member.ref)
+            await trio.sleep(_POLL_INTERVAL_S)
+        await self._send_rows(successors, sent)
+        for former in self._former_keepers.list_complete():
+            await self._send_final_part(successors, former)
+        await self._send_final_part(successors, self._view.self_member.ref)
         while any(kept.open_feeds for kept in self._upstreams.list_all()):
-            await trio.sleep(_LOOK_INTERVAL_S)
+            await trio.sleep(_POLL_INTERVAL_S)
 
-    async def _follow(self, kept: kept_parts.KeptUpstream) -> None:
+    async def _report_running(self, kept: kept_module.KeptUpstream) -> None:
         """Tells the successor how many requests still run, until none do."""
-        told = -1
+        reported_busy = -1
         try:
-            while told != 0:
+            while reported_busy != 0:
                 successor = self._find_successor(kept)
                 if successor is None:
                     return
                 busy = len(kept.slots.running)
-                if busy != told:
+                if busy != reported_busy:
                     part = self._make_part(
                         upstreams=(kept.target.key,), busy=(busy,)
                     )
-                    await self._call(successor, part)
-                    told = busy
-                await trio.sleep(_LOOK_INTERVAL_S)
+                    await self._send_part(successor, part)
+                    reported_busy = busy
+                await trio.sleep(_POLL_INTERVAL_S)
         finally:
-            self._followed.discard(kept)
+            self._reported.discard(kept)
 
     def _find_successor(
-        self, kept: kept_parts.KeptUpstream
+        self, kept: kept_module.KeptUpstream
     ) -> ids.HostId | None:
         keeper = self._roles.find_keeper(kept.target)
         if keeper is None or keeper.host == self._view.me:
@@ -119,36 +119,40 @@
         }
         return sorted(found)
 
-    async def _hand_rows(
+    async def _send_rows(
         self,
         successors: list[ids.HostId],
-        sent: set[entries.ExecutedEntry],
+        sent: set[executed_entry.ExecutedEntry],
     ) -> None:
-        fresh = [e for e in self._executed.list_lasting() if e not in sent]
-        sent.update(fresh)
-        homes = self._list_homes()
-        for rows in _split([self._write_row(entry) for entry in fresh]):
+        unsent = [e for e in self._executed.list_final_rows() if e not in sent]
+        sent.update(unsent)
+        homes = self._list_home_uptimes()
+        for rows in _split_rows([self._make_row(entry) for entry in unsent]):
             part = self._make_part(executed=rows, homes=homes)
             for successor in tuple(successors):
-                if not await self._call(successor, part):
+                if not await self._send_part(successor, part):
                     # It lacks rows, so it must not hear that it has all.
                     successors.remove(successor)
 
-    async def _finish(
+    async def _send_final_part(
         self, successors: list[ids.HostId], former: ids.HostRef
     ) -> None:
         part = self._make_part(
-            former=former, final=True, homes=self._list_homes()
+            former=former, final=True, homes=self._list_home_uptimes()
         )
         for successor in successors:
-            await self._call(successor, part)
+            await self._send_part(successor, part)
 
-    def _write_row(self, entry: entries.ExecutedEntry) -> messages.Executed:
+    def _make_row(
+        self, entry: executed_entry.ExecutedEntry
+    ) -> handover.Executed:
         outcome, answer = work.Outcome.NOT_RUN, b""
         if entry.outcome is not None:
             outcome, answer = entry.outcome.outcome, entry.outcome.answer
-        uptime_ms = max(0, self._executed.uptimes.read(entry.home))
-        return messages.Executed(
+        uptime_ms = max(
+            0, self._executed.uptimes.get_lower_bound_ms(entry.home)
+        )
+        return handover.Executed(
             entry.key.ticket,
             entry.key.token,
             entry.key.digest,
@@ -158,20 +162,20 @@
             answer,
         )
 
-    def _list_homes(self) -> tuple[messages.HomeUptime, ...]:
-        uptimes = self._executed.uptimes.read_all()
-        return tuple(messages.HomeUptime(*item) for item in uptimes.items())
+    def _list_home_uptimes(self) -> tuple[handover.HomeUptime, ...]:
+        uptimes = self._executed.uptimes.get_all_lower_bounds_ms()
+        return tuple(handover.HomeUptime(*item) for item in uptimes.items())
 
     def _make_part(
         self,
         former: ids.HostRef | None = None,
         upstreams: tuple[ids.UpstreamId, ...] = (),
-        executed: tuple[messages.Executed, ...] = (),
+        executed: tuple[handover.Executed, ...] = (),
         busy: tuple[int, ...] = (),
         final: bool = False,
-        homes: tuple[messages.HomeUptime, ...] = (),
-    ) -> messages.KeeperHandover:
-        return messages.KeeperHandover(
+        homes: tuple[handover.HomeUptime, ...] = (),
+    ) -> handover.KeeperHandover:
+        return handover.KeeperHandover(
             former or self._view.self_member.ref,
             upstreams,
             executed,
@@ -180,36 +184,36 @@
             homes,
         )
 
-    async def _call(
-        self, host: ids.HostId, part: messages.KeeperHandover
+    async def _send_part(
+        self, host: ids.HostId, part: handover.KeeperHandover
     ) -> bool:
         """Hands a part over; False if the successor could not be reached."""
-        ends_at = trio.current_time() + _TRY_S
+        retry_until = trio.current_time() + _MAX_RETRY_DURATION_S
         while True:
             try:
                 await self._network.call(host, part, _CALL_TIMEOUT_S)
                 return True
             except errors.PeerError as error:
                 logger.info("Hand-over failed: %s.", error)
-            if trio.current_time() >= ends_at or not self._lives(host):
+            if trio.current_time() >= retry_until or not self._is_alive(host):
                 return False
-            await trio.sleep(_RETRY_S)
+            await trio.sleep(_RETRY_INTERVAL_S)
 
-    def _lives(self, host: ids.HostId) -> bool:
+    def _is_alive(self, host: ids.HostId) -> bool:
         member = self._view.get(host)
         return member is not None and member.answers
 
 
-def _split(
-    rows: list[messages.Executed],
-) -> Iterator[tuple[messages.Executed, ...]]:
+def _split_rows(
+    rows: list[handover.Executed],
+) -> Iterator[tuple[handover.Executed, ...]]:
     """Cuts rows into parts that a link carries without holding up others."""
-    part: list[messages.Executed] = []
+    part: list[handover.Executed] = []
     octets = 0
     for row in rows:
         part.append(row)
         octets += len(row.answer)
-        if len(part) >= _ROWS_IN_PART or octets >= _OCTETS_IN_PART:
+        if len(part) >= _MAX_PART_ROWS or octets >= _MAX_PART_OCTETS:
             yield tuple(part)
             part, octets = [], 0
     if part:
--- a/persimmonhinge/upstreams/job.py
+++ b/persimmonhinge/upstreams/job.py
@@ -9,9 +9,9 @@
 
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import contract as contracts
+from persimmonhinge.contracts import contract
 from persimmonhinge.peers.messages import work
-from persimmonhinge.upstreams import transfer as transfers
+from persimmonhinge.upstreams import transfer
 
 
 class JobState(enum.Enum):
@@ -52,38 +52,38 @@
         self,
         dispatch: work.Dispatch,
         request: codec.Message,
-        call_class: contracts.CallClass,
+        call_class: contract.CallClass,
         deadline: float,
         sequence: int,
     ) -> None:
         self.dispatch = dispatch
         self.request = request
-        self._class = call_class
+        self._call_class = call_class
         self.deadline = deadline
         self.sequence = sequence
         self.cost_s = 0.0
         self.state = JobState.WAITING
-        self.listeners = 0
+        self.waiter_count = 0
         self.withdraw: Callable[[], bool] | None = None
-        self.transfer: transfers.Transfer | None = None
+        self.transfer: transfer.Transfer | None = None
         self.on_finish: Callable[[work.Dispatched], None] | None = None
-        self._done = trio.Event()
+        self._finished = trio.Event()
         self._outcome: work.Dispatched | None = None
 
     @property
     def call_class(self) -> ids.CallClassName:
         """Name of its call class."""
-        return ids.CallClassName(self._class.name)
+        return ids.CallClassName(self._call_class.name)
 
     @property
     def priority(self) -> int:
         """Priority of its call class."""
-        return self._class.priority
+        return self._call_class.priority
 
     @property
     def share(self) -> float:
         """Part of the slots that is kept for its call class."""
-        return self._class.share
+        return self._call_class.share
 
     @property
     def outcome(self) -> work.Dispatched:
@@ -99,9 +99,9 @@
         self._outcome = outcome
         if self.on_finish is not None:
             self.on_finish(outcome)
-        self._done.set()
+        self._finished.set()
 
     async def wait(self) -> work.Dispatched:
         """Returns the outcome once it is there."""
-        await self._done.wait()
+        await self._finished.wait()
         return self.outcome
--- a/persimmonhinge/upstreams/keeper.py
+++ b/persimmonhinge/upstreams/keeper.py
@@ -11,55 +11,57 @@
 
 from persimmonhinge import changes
 from persimmonhinge import ids
-from persimmonhinge.coap import transmission as transmissions
-from persimmonhinge.contracts import store as stores
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.peers import network as networks
+from persimmonhinge.coap import transmission
+from persimmonhinge.contracts import store
+from persimmonhinge.membership import member
+from persimmonhinge.membership import placement as placement_module
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.peers import network as network_module
 from persimmonhinge.peers.messages import feeds
 from persimmonhinge.peers.messages import handover
 from persimmonhinge.peers.messages import work
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.settings import entry
 from persimmonhinge.upstreams import arrival
-from persimmonhinge.upstreams import context as contexts
-from persimmonhinge.upstreams import dispatching as dispatching_parts
+from persimmonhinge.upstreams import context as context_module
+from persimmonhinge.upstreams import dispatch_handler as dispatch_handler_module
 from persimmonhinge.upstreams import event_budget
-from persimmonhinge.upstreams import executed as executed_tables
-from persimmonhinge.upstreams import feeding as feeding_parts
-from persimmonhinge.upstreams import handing as handing_parts
-from persimmonhinge.upstreams import inheritance as inheritances
-from persimmonhinge.upstreams import orphans as orphan_parts
-from persimmonhinge.upstreams import recovering as recovering_parts
-from persimmonhinge.upstreams import roles as role_parts
-from persimmonhinge.upstreams import taking as taking_parts
+from persimmonhinge.upstreams import executed_table
+from persimmonhinge.upstreams import feeding as feeding_module
+from persimmonhinge.upstreams import former_keepers
+from persimmonhinge.upstreams import (
+    handover_receiver as handover_receiver_module,
+)
+from persimmonhinge.upstreams import handover_sender as handover_sender_module
+from persimmonhinge.upstreams import orphans as orphans_module
+from persimmonhinge.upstreams import recover_handler as recover_handler_module
+from persimmonhinge.upstreams import roles
 from persimmonhinge.upstreams import udp
-from persimmonhinge.upstreams import upstreams as upstream_sets
-from persimmonhinge.upstreams import uptimes as home_uptimes
+from persimmonhinge.upstreams import upstreams as upstreams_module
+from persimmonhinge.upstreams import uptimes
 
 logger = logging.getLogger(__name__)
 
 # Views and contracts change in bursts; one look at all upstreams serves
 # the whole burst.
-_BURST_S = 0.05
-_FORGET_INTERVAL_S = 1.0
-_TIDY_INTERVAL_S = 0.05
+_REFRESH_INTERVAL_S = 0.05
+_EXPIRY_INTERVAL_S = 1.0
+_SWEEP_INTERVAL_S = 0.05
 
 
-class Keepers:
+class Keeper:
     """Runs requests and feeds at the upstreams that this host keeps."""
 
     def __init__(
         self,
-        settings: settings_entry.EntrySettings,
-        view: views.View,
-        placement: placements.Placement,
-        contracts: stores.ContractStore,
-        network: networks.PeerNetwork,
-        counts: host_counts.Counts,
+        settings: entry.EntrySettings,
+        view: view_module.View,
+        placement: placement_module.Placement,
+        contracts: store.ContractStore,
+        network: network_module.PeerNetwork,
+        counts: counts_module.Counts,
         open_socket: arrival.SocketOpener | None = None,
-        timers: transmissions.Transmission | None = None,
+        timers: transmission.Transmission | None = None,
     ) -> None:
         """Makes the keeper of a host.
 
@@ -81,17 +83,21 @@
         self._open_socket = open_socket or functools.partial(
             udp.UdpSocket, settings.upstream_address, counts=counts
         )
-        self._timers = timers or transmissions.Transmission()
-        self._roles = role_parts.Roles(view, placement, contracts)
-        self._executed = executed_tables.ExecutedTable(
-            home_uptimes.Uptimes(trio.current_time)
+        self._timers = timers or transmission.Transmission()
+        self._roles = roles.Roles(view, placement, contracts)
+        self._executed = executed_table.ExecutedTable(
+            uptimes.Uptimes(trio.current_time)
+        )
+        self._former_keepers = former_keepers.FormerKeepers(trio.current_time)
+        self._upstreams: upstreams_module.KeptUpstreams | None = None
+        self._handover_sender: handover_sender_module.HandoverSender | None = (
+            None
         )
-        self._inheritance = inheritances.Inheritance(trio.current_time)
-        self._upstreams: upstream_sets.KeptUpstreams | None = None
-        self._handing: handing_parts.Handing | None = None
         counts.watch("keeper_executed_rows", lambda: len(self._executed))
         for name in ("busy", "queued", "feeds"):
-            counts.watch(f"keeper_{name}", functools.partial(self._sum, name))
+            counts.watch(
+                f"keeper_{name}", functools.partial(self._sum_loads, name)
+            )
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -99,10 +105,10 @@
         """Serves homes until it is cancelled."""
         async with trio.open_nursery() as nursery:
             context = self._make_context(nursery)
-            upstreams = upstream_sets.KeptUpstreams(context, self._roles)
-            handing = self._make_handing(upstreams)
+            upstreams = upstreams_module.KeptUpstreams(context, self._roles)
+            handover_sender = self._make_handover_sender(upstreams)
             self._upstreams = upstreams
-            self._handing = handing
+            self._handover_sender = handover_sender
             self._register(context, upstreams)
             for changed in (self._view.changed, self._contracts.changed):
                 # Read before the first look, or a change that comes before
@@ -113,15 +119,15 @@
                     changed,
                     version,
                     upstreams,
-                    handing,
+                    handover_sender,
                     nursery,
                 )
             upstreams.refresh()
             nursery.start_soon(self._sweep, upstreams)
             task_status.started()
 
-    def note_incarnation(
-        self, former: members.Member, present: members.Member
+    def record_incarnation(
+        self, former: member.Member, present: member.Member
     ) -> None:
         """Takes in that this host has become a new incarnation.
 
@@ -129,7 +135,7 @@
         for requests that ran through the former one.
         """
         logger.info("Answers for its former incarnation %08x.", former.ref)
-        self._inheritance.add_own(former.ref)
+        self._former_keepers.add_own_incarnation(former.ref)
 
     async def leave(self) -> None:
         """Hands over what this host keeps and waits for what runs.
@@ -137,24 +143,26 @@
         To be called once this host's own view says that it leaves, so that
         nothing new begins. It takes as long as what runs takes.
         """
-        if self._handing is not None:
-            await self._handing.leave()
+        if self._handover_sender is not None:
+            await self._handover_sender.hand_over()
 
-    def loads(self) -> list[work.UpstreamLoad]:
+    def list_loads(self) -> list[work.UpstreamLoad]:
         """Returns the state of all upstreams kept, as `service/upstream`."""
         if self._upstreams is None:
             return []
         return [
-            _name_fully(kept.target.key, kept.read_load())
+            _qualify_upstream(kept.target.key, kept.read_load())
             for kept in self._upstreams.list_kept()
         ]
 
-    def _sum(self, name: str) -> int:
-        return sum(getattr(load, name) for load in self.loads())
+    def _sum_loads(self, field: str) -> int:
+        return sum(getattr(load, field) for load in self.list_loads())
 
-    def _make_context(self, nursery: trio.Nursery) -> contexts.KeeperContext:
+    def _make_context(
+        self, nursery: trio.Nursery
+    ) -> context_module.KeeperContext:
         me = self._view.self_member
-        return contexts.KeeperContext(
+        return context_module.KeeperContext(
             self._contracts,
             self._counts,
             random.Random(f"{me.host}/{me.incarnation}"),
@@ -166,79 +174,79 @@
 
     def _register(
         self,
-        context: contexts.KeeperContext,
-        upstreams: upstream_sets.KeptUpstreams,
+        context: context_module.KeeperContext,
+        upstreams: upstreams_module.KeptUpstreams,
     ) -> None:
-        dispatching = dispatching_parts.Dispatching(
+        dispatch_handler = dispatch_handler_module.DispatchHandler(
             self._roles, upstreams, self._executed, self._counts
         )
-        recovering = recovering_parts.Recovering(
-            self._view, self._executed, self._inheritance, self._counts
+        recover_handler = recover_handler_module.RecoverHandler(
+            self._view, self._executed, self._former_keepers, self._counts
         )
-        taking = taking_parts.Taking(
+        handover_receiver = handover_receiver_module.HandoverReceiver(
             self._roles,
             upstreams,
             self._executed,
-            self._inheritance,
+            self._former_keepers,
             self._counts,
         )
-        orphans = orphan_parts.Orphans(
+        orphans = orphans_module.Orphans(
             context, self._view, self._placement, self._network
         )
-        feeding = feeding_parts.Feeding(
+        feeding = feeding_module.Feeding(
             context, self._view, self._roles, upstreams, orphans
         )
-        self._network.handle(work.Dispatch, dispatching.handle)
-        self._network.handle(work.Recover, recovering.handle)
+        self._network.handle(work.Dispatch, dispatch_handler.handle)
+        self._network.handle(work.Recover, recover_handler.handle)
         self._network.handle(work.LoadQuery, self._report_loads)
-        self._network.handle(handover.KeeperHandover, taking.handle)
+        self._network.handle(handover.KeeperHandover, handover_receiver.handle)
         self._network.handle(feeds.FeedOpen, feeding.handle)
         self._network.handle(feeds.FeedLeft, orphans.release)
 
-    def _make_handing(
-        self, upstreams: upstream_sets.KeptUpstreams
-    ) -> handing_parts.Handing:
-        return handing_parts.Handing(
+    def _make_handover_sender(
+        self, upstreams: upstreams_module.KeptUpstreams
+    ) -> handover_sender_module.HandoverSender:
+        return handover_sender_module.HandoverSender(
             self._view,
             self._roles,
             upstreams,
             self._executed,
-            self._inheritance,
+            self._former_keepers,
             self._network,
         )
 
     async def _report_loads(
-        self, caller: networks.Caller, query: work.LoadQuery
+        self, caller: network_module.Caller, query: work.LoadQuery
     ) -> work.LoadReport:
-        return work.LoadReport(tuple(self.loads()))
+        return work.LoadReport(tuple(self.list_loads()))
 
-    async def _sweep(self, upstreams: upstream_sets.KeptUpstreams) -> None:
+    async def _sweep(self, upstreams: upstreams_module.KeptUpstreams) -> None:
         """Does what only time brings about."""
-        forget_at = trio.current_time()
+        next_expiry_at = trio.current_time()
         while True:
-            await trio.sleep(_TIDY_INTERVAL_S)
-            upstreams.tidy()
-            if trio.current_time() >= forget_at:
-                self._executed.forget_all_expired()
-                self._inheritance.forget_old()
-                forget_at = trio.current_time() + _FORGET_INTERVAL_S
+            await trio.sleep(_SWEEP_INTERVAL_S)
+            upstreams.run_periodic_tasks()
+            if trio.current_time() >= next_expiry_at:
+                self._executed.remove_all_expired()
+                self._former_keepers.remove_expired()
+                next_expiry_at = trio.current_time() + _EXPIRY_INTERVAL_S
 
 
 async def _follow_changes(
     changed: changes.ChangeSignal,
     version: int,
-    upstreams: upstream_sets.KeptUpstreams,
-    handing: handing_parts.Handing,
+    upstreams: upstreams_module.KeptUpstreams,
+    handover_sender: handover_sender_module.HandoverSender,
     nursery: trio.Nursery,
 ) -> None:
     while True:
         version = await changed.wait_beyond(version)
         upstreams.refresh()
-        handing.follow_moved(nursery)
-        await trio.sleep(_BURST_S)
+        handover_sender.start_reports(nursery)
+        await trio.sleep(_REFRESH_INTERVAL_S)
 
 
-def _name_fully(
+def _qualify_upstream(
     key: ids.UpstreamId, load: work.UpstreamLoad
 ) -> work.UpstreamLoad:
     return msgspec.structs.replace(load, upstream=key)
--- a/persimmonhinge/upstreams/recovering.py
+++ b/persimmonhinge/upstreams/recover_handler.py
@@ -3,55 +3,56 @@
 from __future__ import annotations
 
 from persimmonhinge import ids
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.peers import network as networks
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.peers import network
 from persimmonhinge.peers.messages import work
-from persimmonhinge.upstreams import executed as executed_tables
-from persimmonhinge.upstreams import inheritance as inheritances
+from persimmonhinge.upstreams import executed_table
+from persimmonhinge.upstreams import former_keepers as former_keepers_module
 
 _Outcome = work.Outcome
-_GIVEN_UP = work.Dispatched(
+_UNKNOWN_FORMER_INCARNATION = work.Dispatched(
     _Outcome.UNKNOWN, reason="keeper was given up before it ran"
 )
 
 
-class Recovering:
+class RecoverHandler:
     """Decides about each `Recover`."""
 
     def __init__(
         self,
-        view: views.View,
-        executed: executed_tables.ExecutedTable,
-        inheritance: inheritances.Inheritance,
-        counts: host_counts.Counts,
+        view: view_module.View,
+        executed: executed_table.ExecutedTable,
+        former_keepers: former_keepers_module.FormerKeepers,
+        counts: counts_module.Counts,
     ) -> None:
         self._view = view
         self._executed = executed
-        self._inheritance = inheritance
+        self._former_keepers = former_keepers
         self._counts = counts
 
     async def handle(
-        self, caller: networks.Caller, question: work.Recover
+        self, caller: network.Caller, query: work.Recover
     ) -> work.Dispatched:
         """Returns the kept answer, waits for a running one, or fences."""
-        if not self._answers_for(question.keeper):
+        if not self._can_answer_for(query.keeper):
             return work.Dispatched(
                 _Outcome.NOT_KEEPER, reason="is another incarnation"
             )
-        outcome = await self._recover(question)
-        if outcome.outcome is _Outcome.NOT_RUN and self._inheritance.is_own(
-            question.keeper
+        outcome = await self._find_outcome(query)
+        if (
+            outcome.outcome is _Outcome.NOT_RUN
+            and self._former_keepers.is_own_incarnation(query.keeper)
         ):
-            outcome = _GIVEN_UP
+            outcome = _UNKNOWN_FORMER_INCARNATION
         self._counts.add(
             "keeper_recovered_total", outcome=outcome.outcome.value
         )
         return outcome
 
-    async def _recover(self, question: work.Recover) -> work.Dispatched:
+    async def _find_outcome(self, query: work.Recover) -> work.Dispatched:
         while True:
-            found = self._executed.recover(question)
+            found = self._executed.recover_request(query)
             if isinstance(found, work.Dispatched):
                 return found
             if found.job is None:
@@ -63,7 +64,7 @@
             # It was refused after all. Ask again, so that it is fenced
             # before it is declared not run.
 
-    def _answers_for(self, keeper: ids.HostRef) -> bool:
+    def _can_answer_for(self, keeper: ids.HostRef) -> bool:
         if keeper in (ids.HostRef(0), self._view.self_member.ref):
             return True
-        return self._inheritance.has(keeper)
+        return self._former_keepers.can_answer_for(keeper)
--- a/persimmonhinge/upstreams/roles.py
+++ b/persimmonhinge/upstreams/roles.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from persimmonhinge import ids
-from persimmonhinge.contracts import store as stores
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.upstreams import target as targets
+from persimmonhinge.contracts import store
+from persimmonhinge.membership import member
+from persimmonhinge.membership import placement as placement_module
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.upstreams import target as target_module
 
 
 class Roles:
@@ -19,16 +19,16 @@
 
     def __init__(
         self,
-        view: views.View,
-        placement: placements.Placement,
-        contracts: stores.ContractStore,
+        view: view_module.View,
+        placement: placement_module.Placement,
+        contracts: store.ContractStore,
     ) -> None:
         self._view = view
         self._placement = placement
         self._contracts = contracts
-        self._version = -1
+        self._view_version = -1
         self._keepers: dict[
-            tuple[ids.UpstreamId, str], members.Member | None
+            tuple[ids.UpstreamId, str], member.Member | None
         ] = {}
 
     def find_target(
@@ -36,7 +36,7 @@
         service: ids.ServiceName,
         revision: ids.Revision,
         upstream: ids.UpstreamId,
-    ) -> targets.Target | None:
+    ) -> target_module.Target | None:
         """Returns an upstream that a home has routed to.
 
         Guards against a packet for one service that reaches another: hosts
@@ -56,19 +56,21 @@
             return None
         if not self._contracts.may_give_work(service, found.address):
             return None
-        return targets.Target(entry, found)
+        return target_module.Target(entry, found)
 
-    def find_keeper(self, target: targets.Target) -> members.Member | None:
+    def find_keeper(self, target: target_module.Target) -> member.Member | None:
         """Returns the host that keeps an upstream."""
-        if self._version != self._view.changed.version:
-            self._version = self._view.changed.version
+        if self._view_version != self._view.changed.version:
+            self._view_version = self._view.changed.version
             self._keepers.clear()
-        place = (target.key, target.upstream.domain)
-        if place not in self._keepers:
-            self._keepers[place] = self._placement.find_keeper(*place)
-        return self._keepers[place]
+        placement_key = (target.key, target.upstream.domain)
+        if placement_key not in self._keepers:
+            self._keepers[placement_key] = self._placement.find_keeper(
+                *placement_key
+            )
+        return self._keepers[placement_key]
 
-    def keeps(self, target: targets.Target) -> bool:
+    def is_kept_here(self, target: target_module.Target) -> bool:
         """Tells whether this host keeps an upstream."""
         if target.upstream.domain != self._view.self_member.domain:
             # Spares the hash of all hosts of ten other domains out of eleven.
@@ -76,7 +78,9 @@
         keeper = self.find_keeper(target)
         return keeper is not None and keeper.host == self._view.me
 
-    def find_named(self, key: ids.UpstreamId) -> targets.Target | None:
+    def find_target_by_key(
+        self, key: ids.UpstreamId
+    ) -> target_module.Target | None:
         """Returns an upstream by its name across services."""
         service, _, upstream = key.partition("/")
         revision = ids.Revision(0)
@@ -84,10 +88,10 @@
             ids.ServiceName(service), revision, ids.UpstreamId(upstream)
         )
 
-    def list_targets(self) -> list[targets.Target]:
+    def list_targets(self) -> list[target_module.Target]:
         """Returns all upstreams of all contracts."""
         return [
-            targets.Target(entry, upstream)
+            target_module.Target(entry, upstream)
             for entry in self._contracts.entries()
             for upstream in entry.contract.upstreams
         ]
--- a/persimmonhinge/upstreams/target.py
+++ b/persimmonhinge/upstreams/target.py
@@ -5,8 +5,8 @@
 import dataclasses
 
 from persimmonhinge import ids
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.contracts import store as stores
+from persimmonhinge.contracts import contract
+from persimmonhinge.contracts import store
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -18,8 +18,8 @@
         upstream: The upstream.
     """
 
-    entry: stores.ContractEntry
-    upstream: contracts.Upstream
+    entry: store.ContractEntry
+    upstream: contract.Upstream
 
     @property
     def service(self) -> ids.ServiceName:
@@ -32,14 +32,14 @@
         return make_key(self.service, ids.UpstreamId(self.upstream.id))
 
     @property
-    def limits(self) -> contracts.Limits:
+    def limits(self) -> contract.Limits:
         """Limits of the service."""
         return self.entry.contract.limits
 
     @property
     def is_draining(self) -> bool:
         """True if the contract wants no new work there."""
-        return self.upstream.state is contracts.UpstreamState.DRAINING
+        return self.upstream.state is contract.UpstreamState.DRAINING
 
 
 def make_key(
--- a/persimmonhinge/upstreams/upstreams.py
+++ b/persimmonhinge/upstreams/upstreams.py
@@ -5,19 +5,19 @@
 import logging
 
 from persimmonhinge import ids
-from persimmonhinge.contracts import contract as contracts
+from persimmonhinge.contracts import contract
 from persimmonhinge.peers.messages import feeds
 from persimmonhinge.peers.messages import work
-from persimmonhinge.upstreams import context as contexts
-from persimmonhinge.upstreams import kept as kept_parts
-from persimmonhinge.upstreams import newcomers
-from persimmonhinge.upstreams import roles as role_parts
-from persimmonhinge.upstreams import slow_start as slow_starts
-from persimmonhinge.upstreams import target as targets
+from persimmonhinge.upstreams import added_upstreams
+from persimmonhinge.upstreams import context as context_module
+from persimmonhinge.upstreams import kept as kept_module
+from persimmonhinge.upstreams import roles as roles_module
+from persimmonhinge.upstreams import slow_start as slow_start_module
+from persimmonhinge.upstreams import target as target_module
 
 logger = logging.getLogger(__name__)
 
-_Place = tuple[ids.UpstreamId, contracts.Address]
+_UpstreamKey = tuple[ids.UpstreamId, contract.Address]
 
 
 class KeptUpstreams:
@@ -28,46 +28,50 @@
     """
 
     def __init__(
-        self, context: contexts.KeeperContext, roles: role_parts.Roles
+        self, context: context_module.KeeperContext, roles: roles_module.Roles
     ) -> None:
         self._context = context
         self._roles = roles
-        self._kept: dict[_Place, kept_parts.KeptUpstream] = {}
-        self._newcomers = newcomers.Newcomers(context.contracts)
-
-    def get(self, target: targets.Target) -> kept_parts.KeptUpstream:
+        self._kept: dict[_UpstreamKey, kept_module.KeptUpstream] = {}
+        self._added_upstreams = added_upstreams.AddedUpstreams(
+            context.contracts
+        )
+
+    def get_or_create(
+        self, target: target_module.Target
+    ) -> kept_module.KeptUpstream:
         """Returns an upstream that this host keeps, new if need be."""
-        place = (target.key, target.upstream.address)
-        kept = self._kept.get(place)
+        place_key = (target.key, target.upstream.address)
+        kept = self._kept.get(place_key)
         if kept is None:
-            begun_at = self._newcomers.find_beginning(
+            begun_at = self._added_upstreams.find_added_at(
                 target.service, target.upstream
             )
-            slow_start = slow_starts.SlowStart(begun_at)
-            kept = kept_parts.KeptUpstream(self._context, target, slow_start)
-            self._kept[place] = kept
+            slow_start = slow_start_module.SlowStart(begun_at)
+            kept = kept_module.KeptUpstream(self._context, target, slow_start)
+            self._kept[place_key] = kept
         elif kept.target != target:
             kept.update(target)
         return kept
 
-    def list_kept(self) -> list[kept_parts.KeptUpstream]:
+    def list_kept(self) -> list[kept_module.KeptUpstream]:
         """Returns those of which this host is the keeper now."""
         return [k for k in self._kept.values() if self._is_kept(k)]
 
-    def list_all(self) -> list[kept_parts.KeptUpstream]:
+    def list_all(self) -> list[kept_module.KeptUpstream]:
         """Returns all, those it kept until lately included."""
         return list(self._kept.values())
 
     def refresh(self) -> None:
         """Takes in a change of the view or of a contract."""
-        self._newcomers.refresh()
+        self._added_upstreams.refresh()
         for target in self._roles.list_targets():
-            if self._roles.keeps(target):
-                self.get(target)
+            if self._roles.is_kept_here(target):
+                self.get_or_create(target)
         for kept in self.list_all():
-            self._check_role(kept)
+            self._release_if_moved(kept)
 
-    def tidy(self) -> None:
+    def run_periodic_tasks(self) -> None:
         """Does what only time brings about."""
         for kept in self.list_all():
             kept.slots.fill()
@@ -77,13 +81,13 @@
                 place = (kept.target.key, kept.target.upstream.address)
                 del self._kept[place]
 
-    def _is_kept(self, kept: kept_parts.KeptUpstream) -> bool:
-        current = self._find_current(kept)
-        return current is not None and self._roles.keeps(current)
+    def _is_kept(self, kept: kept_module.KeptUpstream) -> bool:
+        current = self._find_current_target(kept)
+        return current is not None and self._roles.is_kept_here(current)
 
-    def _find_current(
-        self, kept: kept_parts.KeptUpstream
-    ) -> targets.Target | None:
+    def _find_current_target(
+        self, kept: kept_module.KeptUpstream
+    ) -> target_module.Target | None:
         upstream = kept.target.upstream
         entry = self._context.contracts.get(kept.target.service)
         if entry is None:
@@ -91,20 +95,22 @@
         found = entry.contract.get_upstream(ids.UpstreamId(upstream.id))
         if found is None or found.address != upstream.address:
             return None
-        return targets.Target(entry, found)
+        return target_module.Target(entry, found)
 
-    def _check_role(self, kept: kept_parts.KeptUpstream) -> None:
-        current = self._find_current(kept)
+    def _release_if_moved(self, kept: kept_module.KeptUpstream) -> None:
+        current = self._find_current_target(kept)
         if current is None:
             kept.slots.refuse_all(work.Dispatched(work.Outcome.STALE))
             kept.move_feeds(feeds.FeedEndCause.DRAINING)
-        elif not self._roles.keeps(current):
+        elif not self._roles.is_kept_here(current):
             keeper = self._roles.find_keeper(current)
-            kept.slots.refuse_all(refuse_role(keeper.host if keeper else None))
+            kept.slots.refuse_all(
+                make_not_keeper_outcome(keeper.host if keeper else None)
+            )
             kept.move_feeds(feeds.FeedEndCause.MOVED)
 
 
-def refuse_role(keeper: ids.HostId | None) -> work.Dispatched:
+def make_not_keeper_outcome(keeper: ids.HostId | None) -> work.Dispatched:
     """Returns the answer of a host that does not keep the upstream."""
     return work.Dispatched(
         work.Outcome.NOT_KEEPER,
--- a/persimmonhinge/upstreams/uptimes.py
+++ b/persimmonhinge/upstreams/uptimes.py
@@ -9,13 +9,13 @@
 
 # Longest life of a ticket that the settings allow: a home that has minted a
 # ticket has been up at least for its expiry less this.
-MOST_TICKET_LIFE_MS = 3_600_000
+MAX_TICKET_LIFETIME_MS = 3_600_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Sample:
     uptime_ms: int
-    noted_at: float
+    received_at: float
 
 
 class Uptimes:
@@ -31,23 +31,23 @@
         self._clock = clock
         self._samples: dict[ids.HostRef, _Sample] = {}
 
-    def note(self, home: ids.HostRef, uptime_ms: int) -> None:
+    def record_uptime(self, home: ids.HostRef, uptime_ms: int) -> None:
         """Takes in an uptime that a home told, milliseconds."""
-        if uptime_ms > self.read(home):
+        if uptime_ms > self.get_lower_bound_ms(home):
             self._samples[home] = _Sample(uptime_ms, self._clock())
 
-    def note_ticket(self, home: ids.HostRef, expiry_ms: int) -> None:
+    def record_ticket_expiry(self, home: ids.HostRef, expiry_ms: int) -> None:
         """Takes in that a home has minted a ticket with an expiry."""
-        self.note(home, expiry_ms - MOST_TICKET_LIFE_MS)
+        self.record_uptime(home, expiry_ms - MAX_TICKET_LIFETIME_MS)
 
-    def read(self, home: ids.HostRef) -> int:
+    def get_lower_bound_ms(self, home: ids.HostRef) -> int:
         """Returns the bound of a home, milliseconds; -1 if there is none."""
         sample = self._samples.get(home)
         if sample is None:
             return -1
-        elapsed_ms = (self._clock() - sample.noted_at) * 1000
+        elapsed_ms = (self._clock() - sample.received_at) * 1000
         return sample.uptime_ms + int(elapsed_ms)
 
-    def read_all(self) -> dict[ids.HostRef, int]:
+    def get_all_lower_bounds_ms(self) -> dict[ids.HostRef, int]:
         """Returns the bounds of all homes, milliseconds."""
-        return {home: self.read(home) for home in self._samples}
+        return {home: self.get_lower_bound_ms(home) for home in self._samples}
--- a/tests/test_flows/rescue_host.py
+++ b/tests/test_flows/rescue_host.py
@@ -60,7 +60,7 @@
             self.counts,
             world.random,
         )
-        self.keepers = keepers.Keepers(
+        self.keepers = keepers.Keeper(
             settings,
             self.view,
             placement,
@@ -113,7 +113,7 @@
         present = dataclasses.replace(
             former, incarnation=ids.Incarnation(former.incarnation + 1)
         )
-        self.keepers.note_incarnation(former, present)
+        self.keepers.record_incarnation(former, present)
         self.view.put(present)
         return present
 
--- a/tests/test_flows/rescue_world.py
+++ b/tests/test_flows/rescue_world.py
@@ -177,7 +177,7 @@
 
     def keeps_feed(self, name: str) -> bool:
         """Tells whether a host is keeper of a feed."""
-        return any(load.feeds for load in self.hosts[name].keepers.loads())
+        return any(load.feeds for load in self.hosts[name].keepers.list_loads())
 
     def count_feeds(self) -> int:
         """Returns the feeds that live hosts are home of."""
--- a/tests/test_flows/test_flows_feeds_rescue.py
+++ b/tests/test_flows/test_flows_feeds_rescue.py
@@ -264,7 +264,7 @@
         world.lose_host(home)
         await _go_on(world)
         world.check_whole()
-        assert not world.hosts["k1"].keepers.loads()
+        assert not world.hosts["k1"].keepers.list_loads()
 
 
 @trios.clock_test
--- a/tests/test_upstreams/fake_network.py
+++ b/tests/test_upstreams/fake_network.py
@@ -14,22 +14,22 @@
 from persimmonhinge.peers.messages import base
 
 
-class _ToKeeper:
+class _MessagesToKeeper:
     """Where the home's messages go in."""
 
     def __init__(self, channel: trio.MemorySendChannel[base.Message]) -> None:
-        self.look: Callable[[], None] = lambda: None
+        self.on_message: Callable[[], None] = lambda: None
         self._channel = channel
 
     async def send(self, message: base.Message) -> None:
         """Gives the keeper a message."""
         await self._channel.send(message)
-        self.look()
+        self.on_message()
 
     def close(self) -> None:
         """Ends the call."""
         self._channel.close()
-        self.look()
+        self.on_message()
 
 
 class FakeCaller:
@@ -38,22 +38,22 @@
     def __init__(self, host: ids.HostId) -> None:
         self.host = host
         self.closed = trio.Event()
-        self.lost = False
+        self.link_lost = False
         self.to_home, self.from_keeper = trio.open_memory_channel[base.Message](
             100
         )
         to_keeper, self._from_home = trio.open_memory_channel[base.Message](100)
-        self.to_keeper = _ToKeeper(to_keeper)
+        self.to_keeper = _MessagesToKeeper(to_keeper)
 
     @property
     def closed_by_caller(self) -> bool:
         """True unless the link was lost."""
-        return self.closed.is_set() and not self.lost
+        return self.closed.is_set() and not self.link_lost
 
     async def push(self, message: base.Message) -> None:
         """Gives a message to the home."""
         if self.closed.is_set():
-            raise _make_lost()
+            raise _make_link_lost_error()
         await self.to_home.send(message)
 
     async def wait_closed(self) -> None:
@@ -65,7 +65,7 @@
         try:
             return await self._from_home.receive()
         except trio.EndOfChannel:
-            raise _make_lost() from None
+            raise _make_link_lost_error() from None
 
     def take(self) -> base.Message | None:
         """Returns a message of the home that waits."""
@@ -74,15 +74,15 @@
         except trio.WouldBlock:
             return None
         except trio.EndOfChannel:
-            raise _make_lost() from None
+            raise _make_link_lost_error() from None
 
     def watch(self, look: Callable[[], None]) -> None:
         """Has a function called at each message and at the end."""
-        self.to_keeper.look = look
+        self.to_keeper.on_message = look
 
-    def close(self, *, lost: bool = False) -> None:
+    def close(self, *, link_lost: bool = False) -> None:
         """Closes the call from the home's side."""
-        self.lost = lost
+        self.link_lost = link_lost
         self.closed.set()
         self.to_keeper.close()
 
@@ -105,7 +105,7 @@
         """Sets a handler."""
         self._handlers[message_type] = handler
 
-    async def ask(
+    async def call_keeper(
         self, message: base.Message, home: str = "home"
     ) -> base.Message:
         """Calls the keeper as a home does, without a limit of time."""
@@ -129,7 +129,7 @@
             try:
                 yield caller
             finally:
-                caller.close(lost=caller.lost)
+                caller.close(link_lost=caller.link_lost)
 
     async def call(
         self, host: ids.HostId, message: base.Message, timeout_s: float
@@ -154,5 +154,5 @@
         raise NotImplementedError
 
 
-def _make_lost() -> errors.PeerLinkLostError:
+def _make_link_lost_error() -> errors.PeerLinkLostError:
     return errors.PeerLinkLostError("closed", step="receive", peer="home")
--- a/tests/test_upstreams/scene.py
+++ b/tests/test_upstreams/scene.py
@@ -15,35 +15,35 @@
 
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
-from persimmonhinge.coap import transmission as transmissions
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.contracts import store as stores
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.coap import transmission
+from persimmonhinge.contracts import contract as contract_module
+from persimmonhinge.contracts import store as store_module
+from persimmonhinge.membership import member
+from persimmonhinge.membership import placement
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
 from persimmonhinge.peers.messages import control
 from persimmonhinge.peers.messages import feeds
 from persimmonhinge.peers.messages import work
-from persimmonhinge.settings import entry as settings_entry
-from persimmonhinge.upstreams import job as jobs
-from persimmonhinge.upstreams import keeper as keepers
+from persimmonhinge.settings import entry
+from persimmonhinge.upstreams import job
+from persimmonhinge.upstreams import keeper as keeper_module
 from tests.standins import upstream
 from tests.standins import upstream_settings
 from tests.test_upstreams import fake_network
 
 SERVICE = ids.ServiceName("floor-trading")
 HOME = ids.HostRef(77)
-FAST = transmissions.Transmission(ack_timeout_s=0.2)
+FAST_TIMERS = transmission.Transmission(ack_timeout_s=0.2)
 
 
 def make_member(
     host: str,
     domain: str = "east",
-    state: members.MemberState = members.MemberState.ALIVE,
-) -> members.Member:
+    state: member.MemberState = member.MemberState.ALIVE,
+) -> member.Member:
     """Returns a member, a live one unless told otherwise."""
-    return members.Member(
+    return member.Member(
         ids.HostId(host),
         ids.DomainId(domain),
         "127.0.0.1",
@@ -56,7 +56,7 @@
 
 def make_contract(
     ports: dict[str, int], service: str = SERVICE, **changes: Any
-) -> contracts.Contract:
+) -> contract_module.Contract:
     """Returns a contract over upstreams at ports of this machine."""
     limits = changes.pop("limits", {})
     upstream_changes = changes.pop("upstream", {})
@@ -93,12 +93,15 @@
         "limits": {"upstream_timeout_s": 2.0, **limits},
         **changes,
     }
-    return contracts.Contract.model_validate(document)
+    return contract_module.Contract.model_validate(document)
 
 
 def make_job(
-    contract: contracts.Contract, name: str, number: int, deadline_s: float
-) -> jobs.Job:
+    contract: contract_module.Contract,
+    name: str,
+    number: int,
+    deadline_s: float,
+) -> job.Job:
     """Returns a job of a class of calls.
 
     Args:
@@ -109,7 +112,7 @@
     """
     call_class = contract.get_class(ids.CallClassName(name))
     assert call_class is not None
-    return jobs.Job(
+    return job.Job(
         make_dispatch(number=number),
         codec.Message(),
         call_class,
@@ -119,7 +122,7 @@
 
 
 def make_record(
-    contract: contracts.Contract, revision: int
+    contract: contract_module.Contract, revision: int
 ) -> control.ContractRecord:
     """Returns a contract as hosts pass it on."""
     return control.ContractRecord(
@@ -147,7 +150,7 @@
     key = f"key-{number}"
     uptime_ms = 1_000 + int(trio.current_time() * 1_000)
     body = json.dumps({"key": key}).encode()
-    members_ = {
+    fields = {
         "service": SERVICE,
         "revision": ids.Revision(1),
         "upstream": ids.UpstreamId(upstream_id),
@@ -163,12 +166,12 @@
         "ticket_expiry_ms": uptime_ms + 120_000,
         **changes,
     }
-    return work.Dispatch(**members_)
+    return work.Dispatch(**fields)
 
 
 def make_recover(dispatch: work.Dispatch, **changes: Any) -> work.Recover:
     """Returns the question what became of a dispatch."""
-    members_ = {
+    fields = {
         "service": dispatch.service,
         "ticket": dispatch.ticket,
         "token": dispatch.token,
@@ -177,12 +180,12 @@
         "ticket_expiry_ms": dispatch.ticket_expiry_ms,
         **changes,
     }
-    return work.Recover(**members_)
+    return work.Recover(**fields)
 
 
 def make_feed_open(upstream_id: str = "u1", **changes: Any) -> feeds.FeedOpen:
     """Returns a feed as a home opens it."""
-    members_ = {
+    fields = {
         "service": SERVICE,
         "revision": ids.Revision(1),
         "upstream": ids.UpstreamId(upstream_id),
@@ -193,23 +196,23 @@
         "last_sequence": 40,
         **changes,
     }
-    return feeds.FeedOpen(**members_)
+    return feeds.FeedOpen(**fields)
 
 
 @dataclasses.dataclass
 class Scene:
     """A keeper that runs, and what it is made of."""
 
-    view: views.View
-    store: stores.ContractStore
+    view: view_module.View
+    store: store_module.ContractStore
     network: fake_network.FakeNetwork
-    counts: host_counts.Counts
-    keepers: keepers.Keepers
+    counts: counts_module.Counts
+    keeper: keeper_module.Keeper
     nursery: trio.Nursery
 
-    async def ask(self, message: Any, home: str = "home") -> Any:
+    async def call_keeper(self, message: Any, home: str = "home") -> Any:
         """Calls the keeper as a home does."""
-        return await self.network.ask(message, home)
+        return await self.network.call_keeper(message, home)
 
 
 @contextlib.asynccontextmanager
@@ -217,23 +220,23 @@
     host: str = "east-1", **options: Any
 ) -> AsyncIterator[Scene]:
     """Runs a keeper on a host of domain `east`."""
-    view = views.View(make_member(host))
-    store = stores.ContractStore(trio.current_time)
+    view = view_module.View(make_member(host))
+    store = store_module.ContractStore(trio.current_time)
     network = fake_network.FakeNetwork(ids.HostId(host))
-    counts = host_counts.Counts()
-    options.setdefault("timers", FAST)
+    counts = counts_module.Counts()
+    options.setdefault("timers", FAST_TIMERS)
     async with trio.open_nursery() as nursery:
-        part = keepers.Keepers(
+        keeper_part = keeper_module.Keeper(
             _make_settings(),
             view,
-            placements.Placement(view),
+            placement.Placement(view),
             store,
             network,
             counts,
             **options,
         )
-        await nursery.start(part.run)
-        yield Scene(view, store, network, counts, part, nursery)
+        await nursery.start(keeper_part.run)
+        yield Scene(view, store, network, counts, keeper_part, nursery)
         nursery.cancel_scope.cancel()
 
 
@@ -251,7 +254,7 @@
         return [line for line in found if line["kind"] == kind]
 
 
-async def tell_standin(
+async def send_to_standin(
     port: int, path: str, document: Any = None
 ) -> dict[str, Any]:
     """Sends a test's request to a stand-in and returns its JSON answer."""
@@ -296,8 +299,8 @@
             nursery.cancel_scope.cancel()
 
 
-def _make_settings() -> settings_entry.EntrySettings:
-    return settings_entry.EntrySettings.model_validate(
+def _make_settings() -> entry.EntrySettings:
+    return entry.EntrySettings.model_validate(
         {
             "host": "east-1",
             "domain": "east",
--- a/tests/test_upstreams/test_upstreams_executed.py
+++ b/tests/test_upstreams/test_upstreams_executed.py
@@ -9,18 +9,18 @@
 
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import contract as contracts
+from persimmonhinge.contracts import contract
 from persimmonhinge.peers.messages import work
-from persimmonhinge.upstreams import executed
-from persimmonhinge.upstreams import executed_entry as entries
-from persimmonhinge.upstreams import job as jobs
+from persimmonhinge.upstreams import executed_entry
+from persimmonhinge.upstreams import executed_table
+from persimmonhinge.upstreams import job as job_module
 from persimmonhinge.upstreams import uptimes
 
 Outcome = work.Outcome
 _HOME = ids.HostRef(7)
 _TICKET_LIFE_MS = 8_000
-_CLASS = contracts.CallClass(
-    name="reservations", method=contracts.Method.POST, path="/*"
+_CLASS = contract.CallClass(
+    name="reservations", method=contract.Method.POST, path="/*"
 )
 
 
@@ -68,9 +68,9 @@
     )
 
 
-def make_job(dispatch: work.Dispatch) -> jobs.Job:
+def make_job(dispatch: work.Dispatch) -> job_module.Job:
     """Returns a job of a dispatch."""
-    return jobs.Job(dispatch, codec.Message(), _CLASS, 0.0, 0)
+    return job_module.Job(dispatch, codec.Message(), _CLASS, 0.0, 0)
 
 
 @dataclasses.dataclass
@@ -81,13 +81,15 @@
     broke. The home's clock and the keeper's start at different times.
     """
 
-    table: executed.ExecutedTable
+    table: executed_table.ExecutedTable
     clock: Clock
     uptime_offset_ms: int
     sent: list[work.Dispatch] = dataclasses.field(default_factory=list)
-    running: dict[bytes, jobs.Job] = dataclasses.field(default_factory=dict)
+    running: dict[bytes, job_module.Job] = dataclasses.field(
+        default_factory=dict
+    )
     runs: dict[bytes, int] = dataclasses.field(default_factory=dict)
-    final_not_run: set[bytes] = dataclasses.field(default_factory=set)
+    declared_not_run: set[bytes] = dataclasses.field(default_factory=set)
 
     @property
     def uptime_ms(self) -> int:
@@ -98,25 +100,25 @@
         """The home sends a dispatch; it may be read at any later time."""
         expiry_ms = self.uptime_offset_ms + _TICKET_LIFE_MS
         if self.uptime_ms < expiry_ms and bytes([number]) not in self.running:
-            if bytes([number]) in self.final_not_run:
+            if bytes([number]) in self.declared_not_run:
                 return
             self.sent.append(make_dispatch(number, self.uptime_ms, expiry_ms))
 
-    def read(self, place: int, *, admits: bool) -> None:
+    def read_dispatch(self, index: int, *, has_slot: bool) -> None:
         """The keeper reads a dispatch that was sent, perhaps once more."""
         if not self.sent:
             return
-        dispatch = self.sent[place % len(self.sent)]
-        verdict = self.table.check(dispatch)
+        dispatch = self.sent[index % len(self.sent)]
+        verdict = self.table.check_dispatch(dispatch)
         if verdict is None:
             job = make_job(dispatch)
-            self.table.begin(dispatch, job)
-            if admits:
+            self.table.start_request(dispatch, job)
+            if has_slot:
                 self._run(dispatch, job)
                 return
             verdict = work.Dispatched(Outcome.NOT_RUN)
             job.finish(verdict)
-        self._take_verdict(dispatch, verdict)
+        self._check_verdict(dispatch, verdict)
 
     def finish(self, number: int, outcome: work.Outcome) -> None:
         """The upstream answers, or gives no sign."""
@@ -128,27 +130,27 @@
         """Another host asks what became of a request."""
         expiry_ms = self.uptime_offset_ms + _TICKET_LIFE_MS
         dispatch = make_dispatch(number, 0, expiry_ms)
-        found = self.table.recover(make_recover(dispatch))
-        if isinstance(found, entries.ExecutedEntry):
+        found = self.table.recover_request(make_recover(dispatch))
+        if isinstance(found, executed_entry.ExecutedEntry):
             assert self.runs.get(dispatch.digest, 0) == 1
             return
         if found.outcome is Outcome.NOT_RUN:
             assert dispatch.digest not in self.runs
-            self.final_not_run.add(dispatch.digest)
+            self.declared_not_run.add(dispatch.digest)
 
-    def _run(self, dispatch: work.Dispatch, job: jobs.Job) -> None:
+    def _run(self, dispatch: work.Dispatch, job: job_module.Job) -> None:
         digest = dispatch.digest
-        assert digest not in self.final_not_run, "ran after it was fenced"
+        assert digest not in self.declared_not_run, "ran after it was fenced"
         self.runs[digest] = self.runs.get(digest, 0) + 1
         assert self.runs[digest] == 1, "ran twice"
         self.running[digest] = job
 
-    def _take_verdict(
+    def _check_verdict(
         self,
         dispatch: work.Dispatch,
-        verdict: entries.ExecutedEntry | work.Dispatched,
+        verdict: executed_entry.ExecutedEntry | work.Dispatched,
     ) -> None:
-        if isinstance(verdict, entries.ExecutedEntry):
+        if isinstance(verdict, executed_entry.ExecutedEntry):
             assert self.runs.get(dispatch.digest, 0) == 1
             return
         if verdict.outcome is not Outcome.NOT_RUN:
@@ -158,13 +160,13 @@
         if same[-1] is dispatch:
             # The home waits for its newest dispatch and now tells the
             # caller that the request did not run.
-            self.final_not_run.add(dispatch.digest)
+            self.declared_not_run.add(dispatch.digest)
 
 
-def make_model(uptime_offset_ms: int, most_entries: int) -> Model:
+def make_model(uptime_offset_ms: int, max_entries: int) -> Model:
     """Returns a model with an empty table."""
     clock = Clock()
-    table = executed.ExecutedTable(uptimes.Uptimes(clock), most_entries)
+    table = executed_table.ExecutedTable(uptimes.Uptimes(clock), max_entries)
     return Model(table, clock, uptime_offset_ms)
 
 
@@ -185,14 +187,14 @@
 )
 
 
-def take_step(model: Model, name: str, value: int) -> None:
+def apply_step(model: Model, name: str, value: int) -> None:
     """Does one step of a history."""
     if name == "send":
         model.send(value)
     elif name == "run":
-        model.read(value, admits=True)
+        model.read_dispatch(value, has_slot=True)
     elif name == "refuse":
-        model.read(value, admits=False)
+        model.read_dispatch(value, has_slot=False)
     elif name == "answer":
         model.finish(value, Outcome.ANSWERED)
     elif name == "lose":
@@ -201,27 +203,27 @@
         model.recover(value)
     else:
         model.clock.now_s += value / 2
-        model.table.forget_all_expired()
+        model.table.remove_all_expired()
 
 
 @hypothesis.settings(max_examples=1000)
 @hypothesis.given(
     steps=_STEPS,
     uptime_offset_ms=strategies.integers(0, 10_000_000),
-    most_entries=strategies.integers(1, 4),
+    max_entries=strategies.integers(1, 4),
 )
 def test_executed_no_history_runs_a_request_twice(
-    steps: list[tuple[str, int]], uptime_offset_ms: int, most_entries: int
+    steps: list[tuple[str, int]], uptime_offset_ms: int, max_entries: int
 ) -> None:
     """A buyer is billed twice, or told "not run" about a lot that is his.
 
     Dispatches are read late, in any order and more than once, answers get
     lost, other hosts ask, tickets expire, and the table is full.
     """
-    model = make_model(uptime_offset_ms, most_entries)
+    model = make_model(uptime_offset_ms, max_entries)
     for name, value in steps:
-        take_step(model, name, value)
-        assert len(model.table) <= most_entries
+        apply_step(model, name, value)
+        assert len(model.table) <= max_entries
 
 
 @hypothesis.given(
@@ -236,23 +238,27 @@
     former = -1
     for delay_ms in delays_ms:
         true_ms = start_ms + int(clock.now_s * 1000)
-        bounds.note(_HOME, true_ms - delay_ms)
+        bounds.record_uptime(_HOME, true_ms - delay_ms)
         clock.now_s += 0.7
-        bound_ms = bounds.read(_HOME)
+        bound_ms = bounds.get_lower_bound_ms(_HOME)
         assert former <= bound_ms <= start_ms + clock.now_s * 1000
         former = bound_ms
 
 
 def test_executed_full_table_takes_nothing_and_forgets_nothing() -> None:
-    model = make_model(0, most_entries=2)
+    model = make_model(0, max_entries=2)
     for number in range(3):
         model.send(number)
-        model.read(number, admits=True)
+        model.read_dispatch(number, has_slot=True)
     assert set(model.runs) == {b"\x00", b"\x01"}
     model.finish(0, Outcome.ANSWERED)
-    found = model.table.recover(make_recover(make_dispatch(0, 0, 8_000)))
-    assert isinstance(found, entries.ExecutedEntry)
-    refused = model.table.recover(make_recover(make_dispatch(3, 0, 8_000)))
+    found = model.table.recover_request(
+        make_recover(make_dispatch(0, 0, 8_000))
+    )
+    assert isinstance(found, executed_entry.ExecutedEntry)
+    refused = model.table.recover_request(
+        make_recover(make_dispatch(3, 0, 8_000))
+    )
     assert isinstance(refused, work.Dispatched)
     assert refused.outcome is Outcome.UNKNOWN
 
@@ -263,13 +269,13 @@
     The row of its first run has been forgotten by then, so an empty place
     in the table does not say that it may run.
     """
-    model = make_model(0, most_entries=2)
+    model = make_model(0, max_entries=2)
     model.send(0)
-    model.read(0, admits=True)
+    model.read_dispatch(0, has_slot=True)
     model.finish(0, Outcome.ANSWERED)
     model.clock.now_s = 7.9
     model.send(0)
     model.clock.now_s = 8.1
-    verdict = model.table.check(model.sent[1])
+    verdict = model.table.check_dispatch(model.sent[1])
     assert isinstance(verdict, work.Dispatched)
     assert verdict.outcome is Outcome.UNKNOWN
--- a/tests/test_upstreams/test_upstreams_feeds.py
+++ b/tests/test_upstreams/test_upstreams_feeds.py
@@ -121,7 +121,7 @@
             assert len(board.replies(aiocoap.ACK)) == 1
         await trio.sleep(1)
         assert not board.registrations
-        assert here.keepers.loads()[0].feeds == 0
+        assert here.keeper.list_loads()[0].feeds == 0
 
 
 @trios.clock_test
@@ -209,7 +209,7 @@
         async with here.network.open_call(opened, "west-1") as caller:
             first = await caller.from_keeper.receive()
             assert isinstance(first, feeds.FeedEvent)
-            caller.lost = True
+            caller.link_lost = True
         await trio.sleep(1)
         board.publish(b"one")
         board.publish(b"two")
@@ -237,7 +237,7 @@
             await receive_state(caller)
             await caller.to_keeper.send(feeds.FeedAck(50, (b"digest",)))
             await trio.sleep(0.1)
-            caller.lost = True
+            caller.link_lost = True
         await trio.sleep(1)
         assert not here.network.sent
         home = here.view.get(scene.make_member("west-1").host)
@@ -260,7 +260,7 @@
     async with open_board() as (here, _):
         async with here.network.open_call(opened, "west-1") as caller:
             await receive_state(caller)
-            caller.lost = True
+            caller.link_lost = True
         await trio.sleep(1)
         draining = scene.make_contract(
             {"u1": 9}, upstream={"state": "draining"}
@@ -280,7 +280,7 @@
             await receive_state(caller)
             board.silent = set(board.registrations)
             assert (await receive_end(caller)).cause is _Cause.SILENT
-            caller.lost = True
+            caller.link_lost = True
         await trio.sleep(1)
         async with here.network.open_call(opened, "west-1") as again:
             await receive_state(again)
@@ -321,7 +321,7 @@
             assert (await receive_end(caller)).cause is _Cause.LOST
             await trio.sleep(0.1)
         await trio.sleep(1)
-        assert here.keepers.loads()[0].feeds == 0
+        assert here.keeper.list_loads()[0].feeds == 0
 
 
 @trios.clock_test
@@ -381,6 +381,6 @@
             board.state = b"of the new process"
             board.answer = refuse_posts
             began_at = trio.current_time()
-            await here.ask(scene.make_dispatch())
+            await here.call_keeper(scene.make_dispatch())
             assert await receive_state(caller) == board.state
             assert trio.current_time() - began_at < 1
--- a/tests/test_upstreams/test_upstreams_free_slot.py
+++ b/tests/test_upstreams/test_upstreams_free_slot.py
@@ -28,16 +28,20 @@
         async with trio.open_nursery() as nursery:
             for number in range(_RUNS):
                 dispatch = scene.make_dispatch(number=number)
-                nursery.start_soon(here.ask, dispatch)
+                nursery.start_soon(here.call_keeper, dispatch)
             while not _is_full(here):
                 await trio.sleep(0.001)
             first = scene.make_dispatch(number=9, waits=False)
-            answer = await here.ask(first)
+            answer = await here.call_keeper(first)
             assert answer.outcome is work.Outcome.BUSY
             assert answer.load.busy == _RUNS
-        copy = await here.ask(msgspec.structs.replace(first, waits=True))
+        copy = await here.call_keeper(
+            msgspec.structs.replace(first, waits=True)
+        )
         assert copy.outcome is work.Outcome.NOT_RUN
-        again = await here.ask(scene.make_dispatch(number=9, waits=False))
+        again = await here.call_keeper(
+            scene.make_dispatch(number=9, waits=False)
+        )
         assert again.outcome is work.Outcome.ANSWERED
         runs = [line["key"] for line in standin.read_log()]
     assert runs.count("key-9") == 1
@@ -45,4 +49,4 @@
 
 
 def _is_full(here: scene.Scene) -> bool:
-    return any(load.busy == _RUNS for load in here.keepers.loads())
+    return any(load.busy == _RUNS for load in here.keeper.list_loads())
--- a/tests/test_upstreams/test_upstreams_keeper.py
+++ b/tests/test_upstreams/test_upstreams_keeper.py
@@ -21,7 +21,7 @@
     async with scene.open_standin() as standin, scene.open_scene() as here:
         contract = scene.make_contract({"u1": standin.port})
         here.store.offer(scene.make_record(contract, 1))
-        result = await here.ask(scene.make_dispatch())
+        result = await here.call_keeper(scene.make_dispatch())
         assert result.outcome is Outcome.ANSWERED, result
         answer = codec.decode(result.answer, limit=codec.MAX_WHOLE_OCTETS)
         assert json.loads(answer.payload)["key"] == "key-1"
@@ -29,7 +29,7 @@
         assert result.load.upstream == "u1"
         [run] = standin.read_log()
         assert run["uri_host"] == scene.SERVICE
-        report = await here.ask(work.LoadQuery())
+        report = await here.call_keeper(work.LoadQuery())
         assert [load.upstream for load in report.loads] == ["floor-trading/u1"]
 
 
@@ -46,7 +46,7 @@
         here.store.offer(scene.make_record(contract, 1))
 
         async def ask() -> None:
-            results.append(await here.ask(scene.make_dispatch()))
+            results.append(await here.call_keeper(scene.make_dispatch()))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
@@ -66,7 +66,7 @@
             request=scene.make_request("/manifests", b"x" * 10_000),
             idempotent=True,
         )
-        result = await here.ask(upload)
+        result = await here.call_keeper(upload)
         answer = codec.decode(result.answer, limit=codec.MAX_WHOLE_OCTETS)
         assert json.loads(answer.payload)["octets"] == 10_000
         download = scene.make_dispatch(
@@ -74,7 +74,7 @@
             request=scene.make_request("/large/5000", code=aiocoap.GET),
             idempotent=True,
         )
-        result = await here.ask(download)
+        result = await here.call_keeper(download)
         answer = codec.decode(result.answer, limit=codec.MAX_WHOLE_OCTETS)
         assert len(answer.payload) == 5_000
         assert answer.opt.block2 is None
@@ -86,12 +86,12 @@
         contract = scene.make_contract({"u1": 9})
         here.store.offer(scene.make_record(contract, 3))
         newer = scene.make_dispatch(revision=ids.Revision(4))
-        assert (await here.ask(newer)).outcome is Outcome.STALE
+        assert (await here.call_keeper(newer)).outcome is Outcome.STALE
         other = scene.make_dispatch("u2")
-        assert (await here.ask(other)).outcome is Outcome.STALE
+        assert (await here.call_keeper(other)).outcome is Outcome.STALE
         for number in range(2, 40):
             here.view.put(scene.make_member(f"east-{number}"))
-        result = await here.ask(scene.make_dispatch())
+        result = await here.call_keeper(scene.make_dispatch())
         assert result.outcome is Outcome.NOT_KEEPER
         assert result.keeper.startswith("east-")
 
@@ -116,7 +116,7 @@
                 with trio.fail_after(5):
                     while not standin.read_log():
                         await trio.sleep(0.01)
-                assert here.keepers.loads()[0].busy == 1
+                assert here.keeper.list_loads()[0].busy == 1
             with trio.fail_after(5):
-                while here.keepers.loads()[0].busy:
+                while here.keeper.list_loads()[0].busy:
                     await trio.sleep(0.01)
--- a/tests/test_upstreams/test_upstreams_message_layer.py
+++ b/tests/test_upstreams/test_upstreams_message_layer.py
@@ -133,7 +133,7 @@
         )
         here.store.offer(scene.make_record(contract, 1))
         dispatch = scene.make_dispatch(deadline_ms=30_000)
-        result = await here.ask(dispatch)
+        result = await here.call_keeper(dispatch)
         assert upstream.runs <= 1
         if result.outcome is work.Outcome.ANSWERED:
             assert upstream.runs == 1
@@ -178,7 +178,7 @@
             dispatch = scene.make_dispatch(
                 request=request, idempotent=True, call_class=reads
             )
-            result = await here.ask(dispatch)
+            result = await here.call_keeper(dispatch)
         opened = scene.make_feed_open()
         async with here.network.open_call(opened) as caller:
             with trio.fail_after(60):
--- a/tests/test_upstreams/test_upstreams_outcomes.py
+++ b/tests/test_upstreams/test_upstreams_outcomes.py
@@ -69,7 +69,7 @@
 async def test_refusal_of_the_only_transmission_means_not_run() -> None:
     for act in (reset, refuse):
         async with open_upstream(on_transmission(1, act)) as (here, _):
-            result = await here.ask(scene.make_dispatch())
+            result = await here.call_keeper(scene.make_dispatch())
             assert result.outcome is Outcome.NOT_RUN, act
 
 
@@ -82,9 +82,9 @@
     """
     for act in (reset, refuse):
         async with open_upstream(on_transmission(2, act)) as (here, _):
-            result = await here.ask(scene.make_dispatch())
+            result = await here.call_keeper(scene.make_dispatch())
             assert result.outcome is Outcome.UNKNOWN, act
-            again = await here.ask(scene.make_dispatch())
+            again = await here.call_keeper(scene.make_dispatch())
             assert again.outcome is Outcome.UNKNOWN, act
 
 
@@ -93,17 +93,17 @@
     async with open_upstream(fake_upstream.swallow) as (here, upstream):
         began_at = trio.current_time()
         dispatch = scene.make_dispatch(deadline_ms=60_000)
-        result = await here.ask(dispatch)
+        result = await here.call_keeper(dispatch)
         assert result.outcome is Outcome.UNKNOWN
         assert round(trio.current_time() - began_at, 3) == 10
-        assert here.keepers.loads()[0].busy == 0
+        assert here.keeper.list_loads()[0].busy == 0
         assert len({m.mid for m in upstream.received}) == 1
         assert len(upstream.received) > 1
-        [trust] = [load.trust for load in here.keepers.loads()]
+        [trust] = [load.trust for load in here.keeper.list_loads()]
         assert trust < 0.6
         # Nothing came back, so new work gets a socket of its own.
         upstream.answer = fake_upstream.reply
-        result = await here.ask(scene.make_dispatch(number=2))
+        result = await here.call_keeper(scene.make_dispatch(number=2))
         assert result.outcome is Outcome.ANSWERED
         assert len(upstream.sockets) == 2
 
@@ -111,7 +111,7 @@
 @trios.clock_test
 async def test_shed_request_did_not_run_and_says_when_to_return() -> None:
     async with open_upstream(shed) as (here, _):
-        result = await here.ask(scene.make_dispatch())
+        result = await here.call_keeper(scene.make_dispatch())
         assert result.outcome is Outcome.NOT_RUN
         assert result.retry_after_s == 7
         assert result.load is not None
@@ -133,16 +133,16 @@
 
     async with open_upstream(answer) as (here, upstream):
         dispatch = scene.make_dispatch(deadline_ms=1_000)
-        result = await here.ask(dispatch)
+        result = await here.call_keeper(dispatch)
         assert result.outcome is Outcome.UNKNOWN
-        assert here.keepers.loads()[0].busy == 1
+        assert here.keeper.list_loads()[0].busy == 1
         socket, request = waiting[0]
         fake_upstream.send_separate(socket, request, b"late")
         fake_upstream.send_separate(socket, request, b"late")
         await trio.sleep(0.01)
-        assert here.keepers.loads()[0].busy == 0
+        assert here.keeper.list_loads()[0].busy == 0
         assert len(upstream.replies(aiocoap.ACK)) == 2
-        recovered = await here.ask(scene.make_recover(dispatch))
+        recovered = await here.call_keeper(scene.make_recover(dispatch))
         assert recovered.outcome is Outcome.ANSWERED
         assert codec.decode(recovered.answer).payload == b"late"
 
@@ -160,7 +160,7 @@
         fake_upstream.send_separate(socket, m, b"own")
 
     async with open_upstream(answer) as (here, _):
-        result = await here.ask(scene.make_dispatch())
+        result = await here.call_keeper(scene.make_dispatch())
         assert codec.decode(result.answer).payload == b"own"
 
 
@@ -169,17 +169,17 @@
     async with open_upstream(fake_upstream.swallow) as (here, upstream):
         for number in (1, 2):
             here.nursery.start_soon(
-                here.ask, scene.make_dispatch(number=number)
+                here.call_keeper, scene.make_dispatch(number=number)
             )
         await trio.sleep(0.1)
         third = scene.make_dispatch(number=3)
         async with here.network.open_call(third) as caller:
             await trio.sleep(0.1)
-            assert here.keepers.loads()[0].queued == 1
-            caller.lost = True
-        assert here.keepers.loads()[0].queued == 0
+            assert here.keeper.list_loads()[0].queued == 1
+            caller.link_lost = True
+        assert here.keeper.list_loads()[0].queued == 0
         assert len({m.token for m in upstream.received}) == 2
-        result = await here.ask(scene.make_recover(third))
+        result = await here.call_keeper(scene.make_recover(third))
         assert result.outcome is Outcome.NOT_RUN
 
 
@@ -207,13 +207,13 @@
                 work.CancelDispatch(read.ticket, read.token, read.digest)
             )
             await trio.sleep(0.1)
-            assert here.keepers.loads()[0].busy == 1
+            assert here.keeper.list_loads()[0].busy == 1
             socket, request = waiting[0]
             [cancelled] = upstream.replies(aiocoap.RST)
             assert cancelled.mid == request.mid
             fake_upstream.send_separate(socket, request)
             await trio.sleep(0.1)
-            assert here.keepers.loads()[0].busy == 0
+            assert here.keeper.list_loads()[0].busy == 0
             assert len(upstream.replies(aiocoap.RST)) == 2
 
 
@@ -246,7 +246,7 @@
         async with trio.open_nursery() as nursery:
             for number in range(12):
                 dispatch = scene.make_dispatch(number=number)
-                nursery.start_soon(here.ask, dispatch)
+                nursery.start_soon(here.call_keeper, dispatch)
         assert (most, done) == (2, 12)
 
 
@@ -279,7 +279,7 @@
             call_class=ids.CallClassName("reads"),
             idempotent=True,
         )
-        result = await here.ask(read)
+        result = await here.call_keeper(read)
         whole = codec.decode(result.answer, limit=codec.MAX_WHOLE_OCTETS)
         assert whole.payload == versions[b"2"]
         assert fetched == [0, 1, 2, 0, 1, 2]
@@ -296,11 +296,11 @@
     async with open_upstream(answer) as (here, upstream):
         request = scene.make_request("/lots/berries", b"x" * 5000)
         dispatch = scene.make_dispatch(request=request)
-        result = await here.ask(dispatch)
+        result = await here.call_keeper(dispatch)
         assert result.outcome is Outcome.NOT_RUN
         await trio.sleep(20)
         assert max(m.opt.block1.block_number for m in upstream.received) == 1
-        recovered = await here.ask(scene.make_recover(dispatch))
+        recovered = await here.call_keeper(scene.make_recover(dispatch))
         assert recovered.outcome is Outcome.NOT_RUN
 
 
@@ -312,14 +312,14 @@
     could take it for one of its own.
     """
     async with open_upstream(fake_upstream.swallow) as (here, upstream):
-        here.nursery.start_soon(here.ask, scene.make_dispatch())
+        here.nursery.start_soon(here.call_keeper, scene.make_dispatch())
         await trio.sleep(0.1)
         other = scene.make_contract({"v1": 9}, service="grower-intake")
         here.store.offer(scene.make_record(other, 2))
         sent = len(upstream.received)
         await trio.sleep(20)
         assert len(upstream.received) == sent
-        result = await here.ask(scene.make_dispatch(number=2))
+        result = await here.call_keeper(scene.make_dispatch(number=2))
         assert result.outcome is Outcome.STALE
 
 
@@ -331,9 +331,9 @@
         )
 
     async with open_upstream(drain) as (here, upstream):
-        await here.ask(scene.make_dispatch())
+        await here.call_keeper(scene.make_dispatch())
         await trio.sleep(20)
-        result = await here.ask(scene.make_dispatch(number=2))
+        result = await here.call_keeper(scene.make_dispatch(number=2))
         assert result.outcome is Outcome.NOT_RUN
         assert result.load is not None
         assert not result.load.accepting
--- a/tests/test_upstreams/test_upstreams_recovery.py
+++ b/tests/test_upstreams/test_upstreams_recovery.py
@@ -10,7 +10,7 @@
 
 from persimmonhinge import errors
 from persimmonhinge import ids
-from persimmonhinge.membership import member as members
+from persimmonhinge.membership import member
 from persimmonhinge.peers.messages import base
 from persimmonhinge.peers.messages import handover
 from persimmonhinge.peers.messages import work
@@ -28,7 +28,7 @@
     fake_upstream.send_empty(socket, aiocoap.ACK, request.mid)
 
 
-def make_scene_contract(here: scene.Scene) -> None:
+def offer_contract(here: scene.Scene) -> None:
     """Gives a keeper its contract."""
     here.store.offer(
         scene.make_record(
@@ -42,12 +42,12 @@
 async def test_recovery_returns_the_kept_answer() -> None:
     upstream = fake_upstream.FakeUpstream()
     async with scene.open_scene(open_socket=upstream.open) as here:
-        make_scene_contract(here)
+        offer_contract(here)
         dispatch = scene.make_dispatch()
-        ran = await here.ask(dispatch)
+        ran = await here.call_keeper(dispatch)
         for digest in (dispatch.digest, b""):
             question = scene.make_recover(dispatch, digest=digest)
-            found = await here.ask(question)
+            found = await here.call_keeper(question)
             assert (found.outcome, found.answer) == (ran.outcome, ran.answer)
 
 
@@ -55,15 +55,15 @@
 async def test_recovery_waits_for_what_still_runs() -> None:
     upstream = fake_upstream.FakeUpstream(acknowledge)
     async with scene.open_scene(open_socket=upstream.open) as here:
-        make_scene_contract(here)
+        offer_contract(here)
         dispatch = scene.make_dispatch()
         async with here.network.open_call(dispatch) as caller:
             await trio.sleep(0.1)
-            caller.lost = True
+            caller.link_lost = True
         found: list[work.Dispatched] = []
 
         async def recover() -> None:
-            found.append(await here.ask(scene.make_recover(dispatch)))
+            found.append(await here.call_keeper(scene.make_recover(dispatch)))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(recover)
@@ -83,17 +83,17 @@
     for digest in (None, b""):
         upstream = fake_upstream.FakeUpstream()
         async with scene.open_scene(open_socket=upstream.open) as here:
-            make_scene_contract(here)
+            offer_contract(here)
             dispatch = scene.make_dispatch()
             question = scene.make_recover(dispatch)
             if digest is not None:
                 question = scene.make_recover(dispatch, digest=digest)
-            assert (await here.ask(question)).outcome is Outcome.NOT_RUN
+            assert (await here.call_keeper(question)).outcome is Outcome.NOT_RUN
             await trio.sleep(1)
             woken = scene.make_dispatch(
                 ticket_expiry_ms=dispatch.ticket_expiry_ms
             )
-            assert (await here.ask(woken)).outcome is Outcome.NOT_RUN
+            assert (await here.call_keeper(woken)).outcome is Outcome.NOT_RUN
             assert not upstream.received
 
 
@@ -105,13 +105,13 @@
     """
     upstream = fake_upstream.FakeUpstream()
     async with scene.open_scene(open_socket=upstream.open) as here:
-        make_scene_contract(here)
+        offer_contract(here)
         dispatch = scene.make_dispatch()
-        await here.ask(dispatch)
+        await here.call_keeper(dispatch)
         await trio.sleep(125)
-        found = await here.ask(scene.make_recover(dispatch))
+        found = await here.call_keeper(scene.make_recover(dispatch))
         assert found.outcome is Outcome.UNKNOWN
-        again = await here.ask(dispatch)
+        again = await here.call_keeper(dispatch)
         assert again.outcome is Outcome.UNKNOWN
         assert len(upstream.requests()) == 1
 
@@ -134,22 +134,22 @@
         await trio.sleep(0.1)
         for number in (1, 2):
             here.nursery.start_soon(
-                here.ask, scene.make_dispatch(number=number)
+                here.call_keeper, scene.make_dispatch(number=number)
             )
         await trio.sleep(0.1)
         second = scene.make_dispatch(number=9)
-        assert (await here.ask(second)).outcome is Outcome.NOT_RUN
+        assert (await here.call_keeper(second)).outcome is Outcome.NOT_RUN
         for request in tuple(upstream.received):
             fake_upstream.send_separate(upstream.sockets[0], request)
         upstream.answer = fake_upstream.reply
         await trio.sleep(1)
-        assert here.keepers.loads()[0].busy == 0
-        assert (await here.ask(late)).outcome is Outcome.NOT_RUN
+        assert here.keeper.list_loads()[0].busy == 0
+        assert (await here.call_keeper(late)).outcome is Outcome.NOT_RUN
         await trio.sleep(5)
-        assert (await here.ask(late)).outcome is Outcome.NOT_RUN
+        assert (await here.call_keeper(late)).outcome is Outcome.NOT_RUN
         assert len(upstream.requests()) == 2
         retry = scene.make_dispatch(number=9)
-        assert (await here.ask(retry)).outcome is Outcome.ANSWERED
+        assert (await here.call_keeper(retry)).outcome is Outcome.ANSWERED
 
 
 @trios.clock_test
@@ -163,10 +163,10 @@
         question = scene.make_recover(
             scene.make_dispatch(), keeper=ids.HostRef(5)
         )
-        assert (await here.ask(question)).outcome is Outcome.NOT_KEEPER
+        assert (await here.call_keeper(question)).outcome is Outcome.NOT_KEEPER
         me = here.view.self_member.ref
         own = scene.make_recover(scene.make_dispatch(), keeper=me)
-        assert (await here.ask(own)).outcome is Outcome.NOT_RUN
+        assert (await here.call_keeper(own)).outcome is Outcome.NOT_RUN
 
 
 @trios.clock_test
@@ -180,17 +180,17 @@
     parts: list[handover.KeeperHandover] = []
     dispatch = scene.make_dispatch()
     async with scene.open_scene(open_socket=upstream.open) as leaver:
-        make_scene_contract(leaver)
-        ran = await leaver.ask(dispatch)
+        offer_contract(leaver)
+        ran = await leaver.call_keeper(dispatch)
         former = leaver.view.self_member.ref
         leaver.view.put(scene.make_member("east-2"))
         leaver.view.put(
-            scene.make_member("east-1", state=members.MemberState.LEAVING)
+            scene.make_member("east-1", state=member.MemberState.LEAVING)
         )
         leaver.network.replies[handover.KeeperHandover] = (
             handover.HandoverTaken()
         )
-        await leaver.keepers.leave()
+        await leaver.keeper.leave()
         for host, part in leaver.network.sent:
             assert host == "east-2"
             assert isinstance(part, handover.KeeperHandover)
@@ -198,16 +198,16 @@
     question = scene.make_recover(dispatch, keeper=former)
     async with scene.open_scene("east-2") as successor:
         assert [part.final for part in parts] == [False, True]
-        await successor.ask(parts[0])
-        before = await successor.ask(question)
+        await successor.call_keeper(parts[0])
+        before = await successor.call_keeper(question)
         assert before.outcome is Outcome.NOT_KEEPER
-        await successor.ask(parts[1])
-        found = await successor.ask(question)
+        await successor.call_keeper(parts[1])
+        found = await successor.call_keeper(question)
         assert (found.outcome, found.answer) == (ran.outcome, ran.answer)
         other = scene.make_recover(
             dispatch, keeper=former, digest=b"other request"
         )
-        assert (await successor.ask(other)).outcome is Outcome.NOT_RUN
+        assert (await successor.call_keeper(other)).outcome is Outcome.NOT_RUN
 
 
 @trios.clock_test
@@ -216,18 +216,18 @@
 ):
     """A buyer hears "not run" of a lot after "unknown", as its keeper wakes."""
     async with scene.open_scene() as here:
-        make_scene_contract(here)
+        offer_contract(here)
         former = here.view.self_member
         present = dataclasses.replace(
             former, incarnation=ids.Incarnation(former.incarnation + 1)
         )
         here.view.put(present)
-        here.keepers.note_incarnation(former, present)
+        here.keeper.record_incarnation(former, present)
         dispatch = scene.make_dispatch()
         question = scene.make_recover(dispatch, keeper=former.ref)
-        assert (await here.ask(question)).outcome is Outcome.UNKNOWN
+        assert (await here.call_keeper(question)).outcome is Outcome.UNKNOWN
         # It is fenced all the same.
-        assert (await here.ask(dispatch)).outcome is Outcome.NOT_RUN
+        assert (await here.call_keeper(dispatch)).outcome is Outcome.NOT_RUN
 
 
 def _break_link_for(seconds: float) -> Callable[[base.Message], base.Message]:
@@ -242,13 +242,15 @@
     return reply
 
 
-async def _leave(leaver: scene.Scene, successor: members.Member) -> list[bool]:
+async def _leave_with_successor(
+    leaver: scene.Scene, successor: member.Member
+) -> list[bool]:
     """Has a keeper leave; returns which parts its successor got."""
     leaver.view.put(successor)
     leaver.view.put(
-        scene.make_member("east-1", state=members.MemberState.LEAVING)
+        scene.make_member("east-1", state=member.MemberState.LEAVING)
     )
-    await leaver.keepers.leave()
+    await leaver.keeper.leave()
     parts = [part for _, part in leaver.network.sent]
     return [
         part.final
@@ -262,11 +264,11 @@
     """A buyer hears "unknown" of a lot after a planned change of hosts."""
     upstream = fake_upstream.FakeUpstream()
     async with scene.open_scene(open_socket=upstream.open) as leaver:
-        make_scene_contract(leaver)
-        await leaver.ask(scene.make_dispatch())
+        offer_contract(leaver)
+        await leaver.call_keeper(scene.make_dispatch())
         replies = leaver.network.replies
         replies[handover.KeeperHandover] = _break_link_for(1.0)
-        parts = await _leave(leaver, scene.make_member("east-2"))
+        parts = await _leave_with_successor(leaver, scene.make_member("east-2"))
     assert parts[-1]
 
 
@@ -275,17 +277,17 @@
     """A planned stop waits for a host that is gone."""
     upstream = fake_upstream.FakeUpstream()
     async with scene.open_scene(open_socket=upstream.open) as leaver:
-        make_scene_contract(leaver)
-        await leaver.ask(scene.make_dispatch())
-        leaver.nursery.start_soon(_bury_after, leaver, 0.5)
+        offer_contract(leaver)
+        await leaver.call_keeper(scene.make_dispatch())
+        leaver.nursery.start_soon(_mark_dead_after, leaver, 0.5)
         began = trio.current_time()
-        await _leave(leaver, scene.make_member("east-2"))
+        await _leave_with_successor(leaver, scene.make_member("east-2"))
         assert trio.current_time() - began < 1
 
 
-async def _bury_after(leaver: scene.Scene, seconds: float) -> None:
+async def _mark_dead_after(leaver: scene.Scene, seconds: float) -> None:
     await trio.sleep(seconds)
-    leaver.view.put(scene.make_member("east-2", state=members.MemberState.DEAD))
+    leaver.view.put(scene.make_member("east-2", state=member.MemberState.DEAD))
 
 
 @trios.clock_test
@@ -296,7 +298,7 @@
     """
     upstream = fake_upstream.FakeUpstream()
     async with scene.open_scene(open_socket=upstream.open) as here:
-        make_scene_contract(here)
+        offer_contract(here)
         key = ids.UpstreamId("floor-trading/u1")
 
         def make_part(busy: int) -> handover.KeeperHandover:
@@ -304,11 +306,11 @@
                 ids.HostRef(5), (key,), (), (busy,), False
             )
 
-        await here.ask(make_part(2))
-        here.nursery.start_soon(here.ask, scene.make_dispatch())
+        await here.call_keeper(make_part(2))
+        here.nursery.start_soon(here.call_keeper, scene.make_dispatch())
         await trio.sleep(1)
         assert not upstream.received
-        await here.ask(make_part(1))
+        await here.call_keeper(make_part(1))
         await trio.sleep(0.1)
         assert len(upstream.requests()) == 1
 
@@ -317,21 +319,21 @@
 async def test_leaving_keeper_waits_for_what_runs() -> None:
     upstream = fake_upstream.FakeUpstream(acknowledge)
     async with scene.open_scene(open_socket=upstream.open) as here:
-        make_scene_contract(here)
+        offer_contract(here)
         results: list[work.Dispatched] = []
 
         async def ask() -> None:
-            results.append(await here.ask(scene.make_dispatch()))
+            results.append(await here.call_keeper(scene.make_dispatch()))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
             await trio.sleep(0.1)
             here.view.put(
-                scene.make_member("east-1", state=members.MemberState.LEAVING)
+                scene.make_member("east-1", state=member.MemberState.LEAVING)
             )
-            nursery.start_soon(here.keepers.leave)
+            nursery.start_soon(here.keeper.leave)
             await trio.sleep(2)
-            late = await here.ask(scene.make_dispatch(number=2))
+            late = await here.call_keeper(scene.make_dispatch(number=2))
             assert late.outcome is Outcome.NOT_KEEPER
             fake_upstream.send_separate(
                 upstream.sockets[0], upstream.received[0]
@@ -344,15 +346,15 @@
     """A buyer hears "unknown" of a lot because its keeper was paused."""
     upstream = fake_upstream.FakeUpstream()
     async with scene.open_scene(open_socket=upstream.open) as here:
-        make_scene_contract(here)
+        offer_contract(here)
         dispatch = scene.make_dispatch()
-        ran = await here.ask(dispatch)
+        ran = await here.call_keeper(dispatch)
         former = here.view.self_member
         present = dataclasses.replace(
             former, incarnation=ids.Incarnation(former.incarnation + 1)
         )
         here.view.put(present)
-        here.keepers.note_incarnation(former, present)
+        here.keeper.record_incarnation(former, present)
         question = scene.make_recover(dispatch, keeper=former.ref)
-        found = await here.ask(question)
+        found = await here.call_keeper(question)
         assert (found.outcome, found.answer) == (ran.outcome, ran.answer)
--- a/tests/test_upstreams/test_upstreams_slots.py
+++ b/tests/test_upstreams/test_upstreams_slots.py
@@ -82,7 +82,7 @@
         ports["u2"] = 10
         here.store.offer(scene.make_record(scene.make_contract(ports), 2))
         await trio.sleep(1)
-        loads = {load.upstream: load.slots for load in here.keepers.loads()}
+        loads = {load.upstream: load.slots for load in here.keeper.list_loads()}
         assert loads == {"floor-trading/u1": 2, "floor-trading/u2": 1}
 
 
