--- a/persimmonhinge/upstreams/__init__.py
+++ b/persimmonhinge/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""The keeper of an upstream: slots, queue and feeds."""
+"""The keeper: sends requests and opens feeds to the upstreams of a host."""
--- a/persimmonhinge/upstreams/dispatch_handler.py
+++ b/persimmonhinge/upstreams/dispatch_handler.py
@@ -1,4 +1,4 @@
-"""Serves the requests that homes hand to this keeper."""
+"""Handles the requests that homes dispatch to this keeper."""
 
 from __future__ import annotations
 
@@ -20,14 +20,15 @@
 from persimmonhinge.upstreams import target as target_module
 from persimmonhinge.upstreams import upstreams as upstreams_module
 
-# An upstream that keeps the deadline answers just when it passes.
+# Extra time to wait after the deadline: an upstream that uses its whole
+# deadline answers at the very moment when it passes.
 _ANSWER_GRACE_S = 0.05
 
 _Outcome = work.Outcome
 
 
 class DispatchHandler:
-    """Decides about each `Dispatch` and waits for its outcome."""
+    """Starts, joins or refuses each `Dispatch` and returns its outcome."""
 
     def __init__(
         self,
@@ -45,7 +46,7 @@
     async def handle(
         self, caller: network.Caller, dispatch: work.Dispatch
     ) -> work.Dispatched:
-        """Runs a request, joins the running one, or refuses it."""
+        """Runs a request, waits for a running copy of it, or refuses it."""
         outcome = await self._process_dispatch(caller, dispatch)
         self._counts.add(
             "keeper_dispatched_total", outcome=outcome.outcome.value
@@ -55,8 +56,9 @@
     async def _process_dispatch(
         self, caller: network.Caller, dispatch: work.Dispatch
     ) -> work.Dispatched:
-        # No checkpoint from here to the submission of the job, so that two
-        # copies of a request can't both pass the check.
+        # There must be no checkpoint between this check and the submission
+        # of the job. Otherwise two copies of a request could both pass the
+        # check.
         if not dispatch.idempotent:
             existing = self._check_duplicate(dispatch)
             if isinstance(existing, work.Dispatched):
@@ -68,7 +70,8 @@
         )
         if target is None:
             return work.Dispatched(
-                _Outcome.STALE, reason="contracts differ between hosts"
+                _Outcome.STALE,
+                reason="contract revisions of home and keeper differ",
             )
         if not self._roles.is_kept_here(target):
             keeper = self._roles.find_keeper(target)
@@ -89,7 +92,9 @@
         self, dispatch: work.Dispatch
     ) -> job_module.Job | work.Dispatched | None:
         if not dispatch.ticket or not dispatch.digest:
-            return _make_not_run("work that runs once needs a ticket")
+            return _make_not_run(
+                "non-idempotent request has no ticket or digest"
+            )
         existing = self._executed.check_dispatch(dispatch)
         if existing is None or isinstance(existing, work.Dispatched):
             return existing
@@ -102,7 +107,8 @@
         call_class = target.entry.contract.get_class(dispatch.call_class)
         if call_class is None:
             return work.Dispatched(
-                _Outcome.STALE, reason="call class is not in the contract"
+                _Outcome.STALE,
+                reason="call class is missing in the keeper's contract",
             )
         try:
             request = requests.read_request(dispatch.request, target.service)
@@ -119,7 +125,11 @@
     async def _await_outcome(
         self, caller: network.Caller, job: job_module.Job
     ) -> work.Dispatched:
-        """Returns the outcome of a job, unless the home goes away first."""
+        """Returns the outcome of a job.
+
+        Stops waiting when the deadline passes, the home cancels the request
+        or its link is lost, and then cancels the job if that is safe.
+        """
         job.waiter_count += 1
         try:
             if job.state is not job_module.JobState.DONE:
@@ -142,22 +152,23 @@
             await job.wait()
 
     def _abandon_job(self, job: job_module.Job) -> work.Dispatched:
-        """Drops a job that nobody waits for any more.
+        """Cancels a job if no call waits for it any more.
 
-        Work that runs at most once is left alone while it runs: its answer
-        is kept for a home that asks again.
+        A non-idempotent request that already runs is not cancelled: its
+        answer is stored for a home that sends the request again.
         """
         if job.waiter_count == 0 and self._cancel_job(job):
             return job.outcome
         return work.Dispatched(
-            _Outcome.UNKNOWN, reason="still running at the deadline"
+            _Outcome.UNKNOWN,
+            reason="request may still run at the upstream",
         )
 
     def _cancel_job(self, job: job_module.Job) -> bool:
-        """Cancels a job as far as that is safe.
+        """Cancels a job, unless it is non-idempotent and may already run.
 
         Returns:
-            True if it is done now: it did not run and will not.
+            True if the request did not run and will not run.
         """
         if job.withdraw is not None and job.withdraw():
             return True
@@ -168,14 +179,14 @@
             return False
         transfer.abandon()
         if not transfer.may_run:
-            job.finish(_make_not_run("upload was cut off"))
+            job.finish(_make_not_run("upload to the upstream was cancelled"))
         return not transfer.may_run
 
 
 def _cancel_if_caller_gone(
     caller: network.Caller, scope: trio.CancelScope
 ) -> None:
-    """Cancels a scope if the home has cancelled or its link is lost."""
+    """Cancels a scope if the home cancelled its call or its link is lost."""
     try:
         while (message := caller.take()) is not None:
             if isinstance(message, work.CancelDispatch):
--- a/persimmonhinge/upstreams/keeper.py
+++ b/persimmonhinge/upstreams/keeper.py
@@ -1,4 +1,4 @@
-"""The keeper of upstreams: all of its parts, and the messages they serve."""
+"""Assembles a host's keeper and registers its message handlers."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
 
 logger = logging.getLogger(__name__)
 
-# Views and contracts change in bursts; one look at all upstreams serves
-# the whole burst.
+# Minimum time between two refreshes of all upstreams. Views and contracts
+# change in bursts, and one refresh covers a whole burst.
 _REFRESH_INTERVAL_S = 0.05
 _EXPIRY_INTERVAL_S = 1.0
 _SWEEP_INTERVAL_S = 0.05
@@ -63,17 +63,17 @@
         open_socket: arrival.SocketOpener | None = None,
         timers: transmission.Transmission | None = None,
     ) -> None:
-        """Makes the keeper of a host.
+        """Initializes the keeper of a host.
 
         Args:
             settings: Settings of the host.
-            view: Its view of the members.
-            placement: Where roles are placed.
-            contracts: The contracts that it knows.
-            network: Calls to other hosts.
-            counts: Its counters.
-            open_socket: Opens a socket towards an upstream; UDP if None.
-            timers: Timers of retransmission; those of RFC 7252 if None.
+            view: The host's view of the members.
+            placement: Assigns the role of keeper to hosts.
+            contracts: Contracts that the host has received.
+            network: Carries calls from and to other hosts.
+            counts: Metrics of the host.
+            open_socket: Opens a socket to an upstream; a UDP socket if None.
+            timers: Retransmission timers; those of RFC 7252 if None.
         """
         self._view = view
         self._placement = placement
@@ -102,7 +102,7 @@
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serves homes until it is cancelled."""
+        """Serves requests of homes and other hosts until it is cancelled."""
         async with trio.open_nursery() as nursery:
             context = self._make_context(nursery)
             upstreams = upstreams_module.KeptUpstreams(context, self._roles)
@@ -111,8 +111,9 @@
             self._handover_sender = handover_sender
             self._register(context, upstreams)
             for changed in (self._view.changed, self._contracts.changed):
-                # Read before the first look, or a change that comes before
-                # the task runs would be missed.
+                # The version is read before the first refresh. Otherwise a
+                # change between that refresh and the start of the task would
+                # be missed.
                 version = changed.version
                 nursery.start_soon(
                     _follow_changes,
@@ -129,25 +130,31 @@
     def record_incarnation(
         self, former: member.Member, present: member.Member
     ) -> None:
-        """Takes in that this host has become a new incarnation.
+        """Records that this host has changed to a new incarnation.
 
-        It is the same process with the same table, so it goes on to answer
-        for requests that ran through the former one.
+        The process and its table of executed requests are still the same,
+        so the host continues to answer recovery queries for the former
+        incarnation.
         """
-        logger.info("Answers for its former incarnation %08x.", former.ref)
+        logger.info(
+            "Answering recovery queries for former incarnation %08x of this "
+            "host.",
+            former.ref,
+        )
         self._former_keepers.add_own_incarnation(former.ref)
 
     async def leave(self) -> None:
-        """Hands over what this host keeps and waits for what runs.
+        """Hands over this host's table and waits for running requests.
 
-        To be called once this host's own view says that it leaves, so that
-        nothing new begins. It takes as long as what runs takes.
+        Must be called after this host's own view shows it as leaving, so
+        that no new request starts. Returns only after all running requests
+        have finished.
         """
         if self._handover_sender is not None:
             await self._handover_sender.hand_over()
 
     def list_loads(self) -> list[work.UpstreamLoad]:
-        """Returns the state of all upstreams kept, as `service/upstream`."""
+        """Returns the load of each kept upstream, by `service/upstream`."""
         if self._upstreams is None:
             return []
         return [
@@ -221,7 +228,7 @@
         return work.LoadReport(tuple(self.list_loads()))
 
     async def _sweep(self, upstreams: upstreams_module.KeptUpstreams) -> None:
-        """Does what only time brings about."""
+        """Periodically fills slots and removes idle and expired entries."""
         next_expiry_at = trio.current_time()
         while True:
             await trio.sleep(_SWEEP_INTERVAL_S)
--- a/persimmonhinge/upstreams/upstreams.py
+++ b/persimmonhinge/upstreams/upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams that this host keeps."""
+"""The upstreams of which this host is, or recently was, the keeper."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class KeptUpstreams:
-    """Holds the upstreams that this host keeps, or kept until lately.
+    """Holds the upstreams of which this host is or recently was the keeper.
 
-    An upstream whose address changes is another one: work at the former
-    address goes on to its end there.
+    An upstream whose address changes is treated as a new upstream. Requests
+    that run at the old address finish there.
     """
 
     def __init__(
@@ -40,30 +40,30 @@
     def get_or_create(
         self, target: target_module.Target
     ) -> kept_module.KeptUpstream:
-        """Returns an upstream that this host keeps, new if need be."""
-        place_key = (target.key, target.upstream.address)
-        kept = self._kept.get(place_key)
+        """Returns the entry of a kept upstream, and creates it if missing."""
+        key = (target.key, target.upstream.address)
+        kept = self._kept.get(key)
         if kept is None:
-            begun_at = self._added_upstreams.find_added_at(
+            added_at = self._added_upstreams.find_added_at(
                 target.service, target.upstream
             )
-            slow_start = slow_start_module.SlowStart(begun_at)
+            slow_start = slow_start_module.SlowStart(added_at)
             kept = kept_module.KeptUpstream(self._context, target, slow_start)
-            self._kept[place_key] = kept
+            self._kept[key] = kept
         elif kept.target != target:
             kept.update(target)
         return kept
 
     def list_kept(self) -> list[kept_module.KeptUpstream]:
-        """Returns those of which this host is the keeper now."""
+        """Returns the upstreams of which this host is currently the keeper."""
         return [k for k in self._kept.values() if self._is_kept(k)]
 
     def list_all(self) -> list[kept_module.KeptUpstream]:
-        """Returns all, those it kept until lately included."""
+        """Returns all upstreams, including those that moved recently."""
         return list(self._kept.values())
 
     def refresh(self) -> None:
-        """Takes in a change of the view or of a contract."""
+        """Applies changes of the view and of the contracts."""
         self._added_upstreams.refresh()
         for target in self._roles.list_targets():
             if self._roles.is_kept_here(target):
@@ -72,14 +72,14 @@
             self._release_if_moved(kept)
 
     def run_periodic_tasks(self) -> None:
-        """Does what only time brings about."""
+        """Fills free slots, closes idle sockets and removes idle upstreams."""
         for kept in self.list_all():
             kept.slots.fill()
             kept.endpoints.close_idle()
             if kept.is_idle and not self._is_kept(kept):
                 kept.endpoints.close()
-                place = (kept.target.key, kept.target.upstream.address)
-                del self._kept[place]
+                key = (kept.target.key, kept.target.upstream.address)
+                del self._kept[key]
 
     def _is_kept(self, kept: kept_module.KeptUpstream) -> bool:
         current = self._find_current_target(kept)
@@ -111,9 +111,9 @@
 
 
 def make_not_keeper_outcome(keeper: ids.HostId | None) -> work.Dispatched:
-    """Returns the answer of a host that does not keep the upstream."""
+    """Returns the outcome sent by a host that is not the upstream's keeper."""
     return work.Dispatched(
         work.Outcome.NOT_KEEPER,
-        reason="another host keeps the upstream",
+        reason="another host is the keeper of the upstream",
         keeper=keeper or ids.HostId(""),
     )
