--- a/persimmonhinge/upstreams/added_upstreams.py
+++ b/persimmonhinge/upstreams/added_upstreams.py
@@ -1,4 +1,4 @@
-"""Which upstreams are cold because their contract names them newly."""
+"""Records when upstreams were added to their contracts."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 
 
 class AddedUpstreams:
-    """Remembers when each upstream came into its contract.
+    """Records when each upstream was added to its contract.
 
-    Every host watches all contracts, so a host that takes the role of
-    keeper over knows whether the upstream is cold or has long been warm.
-    What stands in the first revision that a host sees is taken for warm: a
-    host that starts must not withhold slots that others gave before.
+    Every host watches all contracts. A host that takes over the role of
+    keeper can therefore tell whether an upstream is still warming up.
+    Upstreams in the first revision that a host receives count as already
+    warm: a host that starts must not withhold slots that previous keepers
+    already used.
     """
 
     def __init__(self, store: store_module.ContractStore) -> None:
@@ -28,7 +29,7 @@
         ] = {}
 
     def refresh(self) -> None:
-        """Takes in changes of contracts."""
+        """Applies changes of the contracts."""
         if self._store_version == self._store.changed.version:
             return
         self._store_version = self._store.changed.version
@@ -42,7 +43,12 @@
     def find_added_at(
         self, service: ids.ServiceName, upstream: contract_module.Upstream
     ) -> float | None:
-        """Returns when an upstream was new, None if it is warm."""
+        """Returns when an upstream was added to its contract.
+
+        Returns:
+            The time on this host's clock; None if the upstream counts as
+            already warm.
+        """
         self.refresh()
         key = (upstream.id, upstream.address)
         return self._added_at.get(service, {}).get(key)
@@ -55,7 +61,9 @@
         added_at: dict[_UpstreamKey, float | None] = {}
         for upstream in contract.upstreams:
             if upstream.state is contract_module.UpstreamState.DRAINING:
-                # One that is taken back has most likely been restarted.
+                # Draining upstreams are left out, so that one whose draining
+                # is revoked counts as newly added: it has most likely been
+                # restarted in the meantime.
                 continue
             key = (upstream.id, upstream.address)
             default = None if previous is None else trio.current_time()
--- a/persimmonhinge/upstreams/context.py
+++ b/persimmonhinge/upstreams/context.py
@@ -1,4 +1,4 @@
-"""What all parts of a keeper share."""
+"""Objects that all components of a keeper share."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeeperContext:
-    """What all parts of a keeper share.
+    """Objects that all components of a keeper share.
 
     Attributes:
         contracts: The contracts of this host.
-        counts: Its counters.
-        randomness: Draws waits and spreads returns.
-        open_socket: Opens a socket towards an upstream.
-        timers: Timers of retransmission.
-        nursery: Runs what outlives a call.
-        event_budget: Bounds the events that feeds hold.
+        counts: The metrics of this host.
+        randomness: Source of random delays and of jitter in retry times.
+        open_socket: Opens a socket to an upstream.
+        timers: Retransmission timers.
+        nursery: Runs tasks that outlive the call that started them.
+        event_budget: Limits the memory of the events that feeds buffer.
     """
 
     contracts: store.ContractStore
@@ -44,12 +44,13 @@
     def start_soon(
         self, function: Callable[..., Awaitable[object]], *args: object
     ) -> None:
-        """Starts a task that outlives the call which starts it.
+        """Starts a task that outlives the call that starts it.
 
         When the host stops, the keeper's nursery may close before the last
-        calls have ended. What they would still start is of no use then.
+        calls have returned. Tasks that these calls would start are no
+        longer needed and are not started.
         """
         try:
             self.nursery.start_soon(function, *args)
         except RuntimeError:
-            logger.debug("Task was not started: the keeper has stopped.")
+            logger.debug("Keeper has stopped; its new task was not started.")
--- a/persimmonhinge/upstreams/job.py
+++ b/persimmonhinge/upstreams/job.py
@@ -1,4 +1,4 @@
-"""One request at the keeper, from its arrival to its outcome."""
+"""A request at the keeper, from its arrival to its outcome."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class JobState(enum.Enum):
-    """Where a job stands.
+    """Progress of a job.
 
-    WAITING: In the queue; it has not left for the upstream.
-    RUNNING: At the upstream, and counted against its slots.
-    DONE: It has its outcome.
+    WAITING: Queued; nothing of it has been sent to the upstream.
+    RUNNING: Sent to the upstream; occupies one of its slots.
+    DONE: The outcome is set.
     """
 
     WAITING = "waiting"
@@ -28,24 +28,24 @@
 
 
 class Job:
-    """A request and what became of it.
+    """A request at the keeper and its outcome.
 
-    Several calls may wait for one job: a home that lost its link asks for
-    the same request again.
+    Several calls may wait for one job: a home that lost its link sends the
+    same request again.
 
     Attributes:
-        dispatch: What the home sent.
-        request: The request in it, read.
-        call_class: Its call class in the newest contract.
-        deadline: Time of the caller's deadline.
-        sequence: Number of its arrival.
-        cost_s: How long it will hold a slot, as far as is known, seconds.
-        state: Where it stands.
-        listeners: Calls that wait for its outcome.
-        withdraw: Takes it out of the queue and finishes it as not run;
-            returns False if it does not wait any more.
-        transfer: Its run at the upstream; set while it runs.
-        on_finish: Is told the outcome before all that wait.
+        dispatch: The message by which the home sent the request.
+        request: The decoded request of the dispatch.
+        call_class: Name of its call class in the newest contract.
+        deadline: Time of the caller's deadline, on this host's clock.
+        sequence: Number of the job in the order of arrival.
+        cost_s: Estimated time that it will occupy a slot, seconds.
+        state: Progress of the job.
+        waiter_count: Number of calls that wait for the outcome.
+        withdraw: Removes the job from the queue and finishes it as not run;
+            returns False if the job is not queued any more.
+        transfer: The exchange with the upstream; None until the job runs.
+        on_finish: Called with the outcome, before waiting calls resume.
     """
 
     def __init__(
@@ -72,27 +72,30 @@
 
     @property
     def call_class(self) -> ids.CallClassName:
-        """Name of its call class."""
+        """Name of the call class."""
         return ids.CallClassName(self._call_class.name)
 
     @property
     def priority(self) -> int:
-        """Priority of its call class."""
+        """Priority of the call class."""
         return self._call_class.priority
 
     @property
     def share(self) -> float:
-        """Part of the slots that is kept for its call class."""
+        """Fraction of the slots that is reserved for the call class."""
         return self._call_class.share
 
     @property
     def outcome(self) -> work.Dispatched:
-        """The outcome; only once the state is DONE."""
+        """The outcome; available only in the state DONE."""
         assert self._outcome is not None
         return self._outcome
 
     def finish(self, outcome: work.Dispatched) -> None:
-        """Sets the outcome and wakes all that wait; the first one counts."""
+        """Sets the outcome and resumes all waiting calls.
+
+        Only the first outcome is stored; later calls have no effect.
+        """
         if self.state is JobState.DONE:
             return
         self.state = JobState.DONE
@@ -102,6 +105,6 @@
         self._finished.set()
 
     async def wait(self) -> work.Dispatched:
-        """Returns the outcome once it is there."""
+        """Waits until the job is done and returns its outcome."""
         await self._finished.wait()
         return self.outcome
--- a/persimmonhinge/upstreams/roles.py
+++ b/persimmonhinge/upstreams/roles.py
@@ -1,4 +1,4 @@
-"""Which upstreams this host keeps, and what their contracts say."""
+"""Looks up the keepers of upstreams and their current contracts."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Roles:
-    """Answers from this host's own view and its newest contracts.
+    """Looks up upstreams and keepers in this host's view and contracts.
 
-    The keeper of each upstream is worked out once for each change of the
-    view, not for each request.
+    Only the newest revision of each contract is used. The keeper of an
+    upstream is computed once per change of the view, not per request.
     """
 
     def __init__(
@@ -37,16 +37,24 @@
         revision: ids.Revision,
         upstream: ids.UpstreamId,
     ) -> target_module.Target | None:
-        """Returns an upstream that a home has routed to.
+        """Returns an upstream that a home has selected for a request.
 
-        Guards against a packet for one service that reaches another: hosts
-        may hold different revisions, and an address may have moved between
-        services. Only the newest contract of this host says where an
-        upstream is, and its address must belong to just this service.
+        Guards against sending a packet of one service to an upstream of
+        another: hosts may hold different contract revisions, and an address
+        may have moved between services. The address is therefore taken only
+        from this host's newest contract, and it must belong to this service
+        alone.
+
+        Args:
+            service: The service of the request.
+            revision: Contract revision by which the home selected the
+                upstream.
+            upstream: Name of the upstream within the service.
 
         Returns:
-            None if the home's contract is newer, or the upstream is not one
-            of the service.
+            The upstream; None if the home's contract is newer, this host's
+            contract does not contain the upstream, or this host may not
+            currently send requests of the service to its address.
         """
         entry = self._contracts.get(service)
         if entry is None or entry.revision < revision:
@@ -59,7 +67,7 @@
         return target_module.Target(entry, found)
 
     def find_keeper(self, target: target_module.Target) -> member.Member | None:
-        """Returns the host that keeps an upstream."""
+        """Returns the keeper of an upstream, None if there is none."""
         if self._view_version != self._view.changed.version:
             self._view_version = self._view.changed.version
             self._keepers.clear()
@@ -71,9 +79,11 @@
         return self._keepers[placement_key]
 
     def is_kept_here(self, target: target_module.Target) -> bool:
-        """Tells whether this host keeps an upstream."""
+        """Returns whether this host is the keeper of an upstream."""
         if target.upstream.domain != self._view.self_member.domain:
-            # Spares the hash of all hosts of ten other domains out of eleven.
+            # Only hosts in the upstream's domain can be its keeper. With
+            # eleven domains, this check avoids hashing all hosts for the
+            # upstreams of the other ten.
             return False
         keeper = self.find_keeper(target)
         return keeper is not None and keeper.host == self._view.me
@@ -81,7 +91,7 @@
     def find_target_by_key(
         self, key: ids.UpstreamId
     ) -> target_module.Target | None:
-        """Returns an upstream by its name across services."""
+        """Returns an upstream by its `service/upstream` key."""
         service, _, upstream = key.partition("/")
         revision = ids.Revision(0)
         return self.find_target(
@@ -89,7 +99,7 @@
         )
 
     def list_targets(self) -> list[target_module.Target]:
-        """Returns all upstreams of all contracts."""
+        """Returns the upstreams of all contracts."""
         return [
             target_module.Target(entry, upstream)
             for entry in self._contracts.entries()
--- a/persimmonhinge/upstreams/target.py
+++ b/persimmonhinge/upstreams/target.py
@@ -1,4 +1,4 @@
-"""An upstream as the newest contract of its service describes it."""
+"""An upstream together with the contract entry that defines it."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """An upstream within its contract.
+    """An upstream and the contract entry that defines it.
 
     Attributes:
         entry: The contract and its revision.
-        upstream: The upstream.
+        upstream: The upstream's section of the contract.
     """
 
     entry: store.ContractEntry
@@ -28,22 +28,22 @@
 
     @property
     def key(self) -> ids.UpstreamId:
-        """The upstream's name, unique across services."""
+        """Key of the upstream, `service/upstream`, unique across services."""
         return make_key(self.service, ids.UpstreamId(self.upstream.id))
 
     @property
     def limits(self) -> contract.Limits:
-        """Limits of the service."""
+        """Limits of the service, from its contract."""
         return self.entry.contract.limits
 
     @property
     def is_draining(self) -> bool:
-        """True if the contract wants no new work there."""
+        """True if the contract allows no new requests at this upstream."""
         return self.upstream.state is contract.UpstreamState.DRAINING
 
 
 def make_key(
     service: ids.ServiceName, upstream: ids.UpstreamId
 ) -> ids.UpstreamId:
-    """Returns the name by which upstreams are placed on hosts."""
+    """Returns the key by which an upstream is assigned to its keeper."""
     return ids.UpstreamId(f"{service}/{upstream}")
--- a/persimmonhinge/upstreams/uptimes.py
+++ b/persimmonhinge/upstreams/uptimes.py
@@ -1,4 +1,4 @@
-"""How long each home has been up at least, without comparing clocks."""
+"""Lower bounds of the uptimes of homes, without comparing host clocks."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from persimmonhinge import ids
 
-# Longest life of a ticket that the settings allow: a home that has minted a
-# ticket has been up at least for its expiry less this.
+# Maximum ticket lifetime that the settings allow. The uptime of a home that
+# minted a ticket is at least the ticket's expiry minus this lifetime.
 MAX_TICKET_LIFETIME_MS = 3_600_000
 
 
@@ -21,10 +21,11 @@
 class Uptimes:
     """Lower bounds of the uptimes of homes.
 
-    Each message of a home tells its uptime when it was sent. That and the
-    time since it came is a bound from below, however long it travelled, and
-    the highest of all bounds counts. So a bound never falls, and a ticket
-    is taken for expired here only once it has expired at its home.
+    Each message of a home contains the home's uptime when it was sent. This
+    uptime plus the time since the message was received is a lower bound,
+    however long the message was in transit. The highest of these bounds is
+    used. A bound therefore never decreases, and a ticket counts as expired
+    here only after it has expired at its home.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -32,16 +33,26 @@
         self._samples: dict[ids.HostRef, _Sample] = {}
 
     def record_uptime(self, home: ids.HostRef, uptime_ms: int) -> None:
-        """Takes in an uptime that a home told, milliseconds."""
+        """Records an uptime that a home reported, in milliseconds."""
         if uptime_ms > self.get_lower_bound_ms(home):
             self._samples[home] = _Sample(uptime_ms, self._clock())
 
     def record_ticket_expiry(self, home: ids.HostRef, expiry_ms: int) -> None:
-        """Takes in that a home has minted a ticket with an expiry."""
+        """Derives a lower bound from the expiry of a ticket.
+
+        Args:
+            home: The home that minted the ticket.
+            expiry_ms: Uptime of the home at which the ticket expires,
+                milliseconds.
+        """
         self.record_uptime(home, expiry_ms - MAX_TICKET_LIFETIME_MS)
 
     def get_lower_bound_ms(self, home: ids.HostRef) -> int:
-        """Returns the bound of a home, milliseconds; -1 if there is none."""
+        """Returns the lower bound of a home's uptime in milliseconds.
+
+        Returns:
+            The lower bound; -1 if the home has reported no uptime.
+        """
         sample = self._samples.get(home)
         if sample is None:
             return -1
@@ -49,5 +60,5 @@
         return sample.uptime_ms + int(elapsed_ms)
 
     def get_all_lower_bounds_ms(self) -> dict[ids.HostRef, int]:
-        """Returns the bounds of all homes, milliseconds."""
+        """Returns the lower bounds of all homes, in milliseconds."""
         return {home: self.get_lower_bound_ms(home) for home in self._samples}
