--- a/persimmonhinge/upstreams/executed_entry.py
+++ b/persimmonhinge/upstreams/executed_entry.py
@@ -1,4 +1,4 @@
-"""What a keeper remembers of one non-idempotent request."""
+"""Entries of the table of executed requests."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ExecutedKey:
-    """Names a request of a caller.
+    """Identifies a non-idempotent request of a caller.
 
     Attributes:
         ticket: Id of the caller's ticket.
         token: The caller's token.
-        digest: Hash of the request; empty in a fence for all digests.
+        digest: Hash of the request; empty in a fence that covers all
+            requests with this ticket and token.
     """
 
     ticket: ids.TicketId
@@ -26,12 +27,13 @@
 
 
 class EntryState(enum.Enum):
-    """What is known of a request.
+    """State of a request.
 
-    PENDING: It waits or runs.
-    ENDED: It has run, or may have; the outcome is kept.
-    REFUSED: It was refused as not run; the home may try again later.
-    FENCED: It was declared not run for good.
+    PENDING: The request is queued or running.
+    ENDED: The request has run, or may have run; its outcome is stored.
+    REFUSED: The request was refused and did not run; the home may dispatch
+        it again later.
+    FENCED: The request was reported as not run and must never run.
     """
 
     PENDING = "pending"
@@ -41,18 +43,20 @@
 
 
 class ExecutedEntry:
-    """One row of the table.
+    """One row of the table of executed requests.
 
     Attributes:
-        key: The request.
-        home: Incarnation that minted the ticket.
-        expiry_ms: Uptime of the home at which the row may be forgotten.
-        state: What is known.
-        job: The job; None if the row came from a former keeper or is a
-            fence.
-        outcome: The outcome, once there is one.
-        upstream: Where it was refused, for REFUSED.
-        refused_at_ms: Uptime of the home that the refused dispatch told.
+        key: Key of the request.
+        home: Home incarnation that minted the ticket.
+        expiry_ms: Uptime of the home at which the row may be removed,
+            milliseconds.
+        state: State of the request.
+        job: The job of a PENDING request; None in any other state.
+        outcome: Outcome of an ENDED request, or of a row received from a
+            former keeper; None otherwise.
+        upstream: Upstream of the refused dispatch; set only for REFUSED.
+        refused_home_uptime_ms: Uptime of the home in the refused dispatch,
+            milliseconds; set only for REFUSED.
     """
 
     __slots__ = (
@@ -84,5 +88,5 @@
 
     @property
     def answer_octets(self) -> int:
-        """Size of the kept answer."""
+        """Size of the stored answer, octets."""
         return len(self.outcome.answer) if self.outcome else 0
--- a/persimmonhinge/upstreams/executed_rows.py
+++ b/persimmonhinge/upstreams/executed_rows.py
@@ -1,4 +1,4 @@
-"""The rows of the table of executed requests, and when they are due."""
+"""Storage of the rows in the table of executed requests."""
 
 from __future__ import annotations
 
@@ -13,10 +13,12 @@
 
 
 class ExecutedRows:
-    """Finds rows by request, and by the uptime at which they are due.
+    """Stores rows by request, and by the time of their next expiry check.
+
+    The time of a check is an uptime of the row's home.
 
     Attributes:
-        answer_octets: Size of all kept answers.
+        answer_octets: Total size of the stored answers, octets.
     """
 
     def __init__(self) -> None:
@@ -39,21 +41,22 @@
     def get(
         self, key: executed_entry.ExecutedKey
     ) -> executed_entry.ExecutedEntry | None:
-        """Returns a row, None if there is none."""
+        """Returns the row of a request, None if there is none."""
         return self.get_by_token(key.ticket, key.token).get(key.digest)
 
     def get_by_token(
         self, ticket: ids.TicketId, token: bytes
     ) -> dict[bytes, executed_entry.ExecutedEntry]:
-        """Returns the rows of a token by digest."""
+        """Returns the rows with a ticket and token, by digest."""
         return self._rows.get((ticket, token), {})
 
     def put(self, entry: executed_entry.ExecutedEntry, due_ms: int) -> None:
-        """Adds a row, or replaces that of the same request.
+        """Adds a row, replacing any row of the same request.
 
         Args:
             entry: The row.
-            due_ms: Uptime of its home at which it is due.
+            due_ms: Uptime of the row's home at which the row is to be checked
+                for expiry, milliseconds.
         """
         existing = self.get(entry.key)
         if existing is not None:
@@ -67,7 +70,13 @@
     def schedule_check(
         self, entry: executed_entry.ExecutedEntry, due_ms: int
     ) -> None:
-        """Sets when a row is due."""
+        """Schedules an expiry check of a row.
+
+        Args:
+            entry: The row.
+            due_ms: Uptime of the row's home at which the row is to be
+                checked, milliseconds.
+        """
         due = self._due_heaps.setdefault(entry.home, [])
         heapq.heappush(due, (due_ms, next(self._tie_breakers), entry))
 
@@ -84,9 +93,10 @@
     def pop_due(
         self, home: ids.HostRef, uptime_ms: int
     ) -> Iterator[executed_entry.ExecutedEntry]:
-        """Returns the rows of a home that are due; they are planned no more.
+        """Yields the rows of a home whose expiry check is due.
 
-        Each is still there: it is to be dropped or planned anew.
+        The rows stay in the table and have no further check scheduled. The
+        caller must remove each row or schedule its next check.
         """
         due = self._due_heaps.get(home)
         while due and due[0][0] <= uptime_ms:
@@ -97,5 +107,5 @@
             self._due_heaps.pop(home, None)
 
     def list_homes(self) -> list[ids.HostRef]:
-        """Returns all homes that have rows."""
+        """Returns all homes with scheduled expiry checks."""
         return list(self._due_heaps)
--- a/persimmonhinge/upstreams/executed_table.py
+++ b/persimmonhinge/upstreams/executed_table.py
@@ -1,4 +1,4 @@
-"""The table that keeps a non-idempotent request from running twice."""
+"""The table that prevents a non-idempotent request from running twice."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 from persimmonhinge.upstreams import job as job_module
 from persimmonhinge.upstreams import uptimes as uptimes_module
 
-# How far a dispatch may lag behind the home's newest one. A refused
-# dispatch needs to be remembered only for so long.
+# Maximum difference between the home's uptime and the uptime in a dispatch.
+# Older dispatches are refused, so a row of a refused dispatch needs to be
+# stored only for this long.
 MAX_DISPATCH_AGE_MS = 5_000
 MAX_ENTRIES = 100_000
 MAX_ANSWER_OCTETS = 64 * 1024 * 1024
@@ -22,13 +23,13 @@
 
 
 class ExecutedTable:
-    """Remembers each non-idempotent request until its ticket has expired.
+    """Stores each non-idempotent request until its ticket has expired.
 
-    A row is written before the request leaves for the upstream. It is
-    forgotten only once the home's uptime is surely above the expiry of the
-    ticket; from then on no question about the ticket is answered with "not
-    run", because the row may have been there. Rows are never evicted: a
-    full table takes no new work.
+    A row is written before the request is sent to the upstream. It is
+    removed only when the home's uptime has certainly passed the expiry of
+    the ticket. After that, no query about the ticket is answered with "not
+    run", because the removed row may have belonged to it. Rows are never
+    evicted: a full table accepts no new requests.
     """
 
     def __init__(
@@ -47,7 +48,7 @@
 
     @property
     def is_full(self) -> bool:
-        """True if it takes no new row."""
+        """True if the table accepts no new rows."""
         if len(self._rows) >= self._max_entries:
             return True
         return self._rows.answer_octets >= self._max_answer_octets
@@ -55,11 +56,12 @@
     def check_dispatch(
         self, dispatch: work.Dispatch
     ) -> executed_entry.ExecutedEntry | work.Dispatched | None:
-        """Tells what is to be done with a dispatch.
+        """Decides whether a dispatched request may run.
 
         Returns:
-            The row to wait for or to answer from; the final outcome if it
-            must not run; None if it may run, once `begin` was called.
+            The row of an earlier copy, to wait for or to answer from; the
+            final outcome if the request must not run; None if it may run
+            after a call of `start_request`.
         """
         self.uptimes.record_uptime(dispatch.home, dispatch.home_uptime_ms)
         self.remove_expired(dispatch.home)
@@ -71,7 +73,7 @@
     def start_request(
         self, dispatch: work.Dispatch, job: job_module.Job
     ) -> None:
-        """Writes the row of a job that is about to wait or to run."""
+        """Adds the row of a job before the job is queued or started."""
         entry = executed_entry.ExecutedEntry(
             _make_key(dispatch),
             dispatch.home,
@@ -85,7 +87,7 @@
     def finish_request(
         self, dispatch: work.Dispatch, outcome: work.Dispatched
     ) -> None:
-        """Keeps the outcome of a job, or that it was refused."""
+        """Stores the outcome of a job, or the fact that it was refused."""
         entry = self._rows.get(_make_key(dispatch))
         if entry is None or entry.state is not _State.PENDING:
             return
@@ -106,7 +108,7 @@
     def recover_request(
         self, query: work.Recover
     ) -> executed_entry.ExecutedEntry | work.Dispatched:
-        """Tells what became of a request, and fences it if it did not run.
+        """Looks up the outcome of a request and fences it if it did not run.
 
         Returns:
             The row to wait for or to answer from, or the final outcome.
@@ -116,9 +118,9 @@
         existing = self._find_rows(query)
         started = [entry for entry in existing if _may_have_run(entry)]
         if len(started) > 1:
-            # The caller used its token for several requests and did not
-            # show again which one it means.
-            return _make_unknown("several requests have this token")
+            # The caller used its token for several requests, and the query
+            # has no digest that would identify one of them.
+            return _make_unknown("several requests used this token")
         if started:
             return started[0]
         if self._is_expired(query.home, query.ticket_expiry_ms):
@@ -130,12 +132,15 @@
             _State.FENCED,
         )
         if self.is_full and self._rows.get(fence.key) is None:
-            return _make_unknown("table is full")
+            return _make_unknown("keeper's table of requests is full")
         self._rows.put(fence, fence.expiry_ms)
-        return _make_not_run("did not run here and will not")
+        return _make_not_run("request did not run at this keeper")
 
     def remove_expired(self, home: ids.HostRef) -> None:
-        """Forgets the rows of a home that may be forgotten."""
+        """Removes the rows of a home that are no longer needed.
+
+        Pending rows stay and are checked again later.
+        """
         uptime_ms = self.uptimes.get_lower_bound_ms(home)
         for entry in self._rows.pop_due(home, uptime_ms):
             if entry.state is _State.PENDING:
@@ -146,12 +151,12 @@
                 self._rows.remove(entry)
 
     def remove_all_expired(self) -> None:
-        """Forgets all rows that may be forgotten."""
+        """Removes the rows of all homes that are no longer needed."""
         for home in self._rows.list_homes():
             self.remove_expired(home)
 
     def list_final_rows(self) -> list[executed_entry.ExecutedEntry]:
-        """Returns the rows that a successor needs, pending ones not."""
+        """Returns the rows to hand over: those ENDED or FENCED."""
         return [
             entry
             for entry in self._rows
@@ -159,10 +164,10 @@
         ]
 
     def add_handed_over_row(self, entry: executed_entry.ExecutedEntry) -> bool:
-        """Takes in a row of a former keeper.
+        """Adds a row that a former keeper handed over.
 
         Returns:
-            False if the table is full.
+            False if the row was not stored because the table is full.
         """
         existing = self._rows.get(entry.key)
         if existing is not None and _may_have_run(existing):
@@ -176,14 +181,14 @@
         self, existing: executed_entry.ExecutedEntry, dispatch: work.Dispatch
     ) -> executed_entry.ExecutedEntry | work.Dispatched | None:
         if existing.state is _State.FENCED:
-            return _make_not_run("was declared not run")
+            return _make_not_run("request was already reported as not run")
         if existing.state is not _State.REFUSED:
             return existing
-        # Guards against a request that runs after its caller was told that
-        # it did not: a copy of the refused dispatch may still come out of a
-        # link that was lost. Such a copy left the home no later than the
-        # one that was refused, so only a dispatch sent later may run. One
-        # for another upstream in the same millisecond is a new attempt.
+        # Guards against a request that runs after its caller has received
+        # "not run": a copy of the refused dispatch may still arrive from a
+        # link that was lost. The home sent such a copy no later than the
+        # refused dispatch, so only a dispatch sent later may run. A dispatch
+        # to another upstream in the same millisecond is a new attempt.
         sent_later = dispatch.home_uptime_ms > existing.refused_home_uptime_ms
         sent_at_same_time = (
             dispatch.home_uptime_ms == existing.refused_home_uptime_ms
@@ -192,22 +197,25 @@
             sent_at_same_time and dispatch.upstream != existing.upstream
         ):
             return self._refuse_unsafe(dispatch)
-        return _make_not_run("an earlier attempt was refused")
+        return _make_not_run("an earlier copy of the dispatch was refused")
 
     def _refuse_unsafe(self, dispatch: work.Dispatch) -> work.Dispatched | None:
         if self._is_expired(dispatch.home, dispatch.ticket_expiry_ms):
-            # It may have run and been forgotten.
+            # The request may have run, and its row may have been removed.
             return _make_unknown("ticket has expired")
         age_ms = (
             self.uptimes.get_lower_bound_ms(dispatch.home)
             - dispatch.home_uptime_ms
         )
         if age_ms > MAX_DISPATCH_AGE_MS:
-            # It comes out of a link that stood still. An attempt that was
-            # refused in between may have been forgotten by now.
+            # The dispatch was delayed on a stalled link. An attempt that was
+            # refused in the meantime may already have been removed from the
+            # table.
             return _make_not_run("dispatch is too old")
         if self.is_full:
-            return _make_not_run("table of requests is full", retry_after_s=1)
+            return _make_not_run(
+                "keeper's table of requests is full", retry_after_s=1
+            )
         return None
 
     def _is_expired(self, home: ids.HostRef, expiry_ms: int) -> bool:
