--- a/persimmonhinge/upstreams/former_keepers.py
+++ b/persimmonhinge/upstreams/former_keepers.py
@@ -1,4 +1,4 @@
-"""The former keepers whose tables this host has taken over."""
+"""The former keepers for which this host can answer recovery queries."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 from persimmonhinge import ids
 from persimmonhinge.upstreams import uptimes
 
-# By then all tickets that name a former keeper have expired.
+# All tickets that name a former keeper expire within this time.
 _RETENTION_S = uptimes.MAX_TICKET_LIFETIME_MS / 1000
 
 
 class FormerKeepers:
-    """Remembers for which former keepers this host can answer.
+    """Records for which former keepers this host can answer.
 
-    A keeper counts only once its whole table is here. Until then an empty
-    place in the table says nothing.
+    This host can answer for another host only after it has received that
+    host's complete table. Until then, a missing row does not mean that a
+    request did not run.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -25,37 +26,41 @@
         self._own_replaced_at: dict[ids.HostRef, float] = {}
 
     def mark_complete(self, former: ids.HostRef) -> None:
-        """Takes in that the whole table of a former keeper is here."""
+        """Records that a former keeper's table is complete.
+
+        Has no effect if a row of the table could not be stored.
+        """
         if former not in self._incomplete_at:
             self._completed_at[former] = self._clock()
 
     def mark_incomplete(self, former: ids.HostRef) -> None:
-        """Takes in that a part of a table could not be kept."""
+        """Records that a row of a former keeper could not be stored."""
         self._incomplete_at[former] = self._clock()
         self._completed_at.pop(former, None)
 
     def add_own_incarnation(self, former: ids.HostRef) -> None:
-        """Takes in that this host itself was an incarnation that was given up.
+        """Records a former incarnation of this host.
 
-        Callers may have heard "unknown" of its requests, so it tells what ran
-        and never that something did not.
+        Callers may already have received "unknown" for requests of that
+        incarnation. This host therefore reports its stored outcomes, but
+        never that one of its requests did not run.
         """
         self._own_replaced_at[former] = self._clock()
 
     def is_own_incarnation(self, former: ids.HostRef) -> bool:
-        """Tells whether a former keeper was this host itself."""
+        """Returns whether a former keeper is an incarnation of this host."""
         return former in self._own_replaced_at
 
     def can_answer_for(self, former: ids.HostRef) -> bool:
-        """Tells whether this host can answer for a former keeper."""
+        """Returns whether this host can answer for a former keeper."""
         return former in self._completed_at or former in self._own_replaced_at
 
     def list_complete(self) -> list[ids.HostRef]:
-        """Returns all former keepers for which this host can answer."""
+        """Returns the former keepers whose complete tables are stored here."""
         return list(self._completed_at)
 
     def remove_expired(self) -> None:
-        """Forgets keepers that no valid ticket names any more."""
+        """Removes former keepers that no valid ticket can name any more."""
         min_recorded_at = self._clock() - _RETENTION_S
         for table in (
             self._completed_at,
--- a/persimmonhinge/upstreams/handover_receiver.py
+++ b/persimmonhinge/upstreams/handover_receiver.py
@@ -1,4 +1,4 @@
-"""Takes over what a former keeper hands on."""
+"""Applies what former keepers hand over to this host."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class HandoverReceiver:
-    """Serves each `KeeperHandover`."""
+    """Applies each `KeeperHandover`."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
     async def handle(
         self, caller: network.Caller, part: handover.KeeperHandover
     ) -> handover.HandoverTaken:
-        """Takes one part in."""
+        """Applies one part of a handover."""
         for home in part.homes:
             self._executed.uptimes.record_uptime(home.home, home.uptime_ms)
         for row in part.executed:
@@ -51,7 +51,7 @@
             self._apply_busy_count(part.former, key, count)
         if part.final:
             self._former_keepers.mark_complete(part.former)
-            logger.info("Took over from %s.", caller.host)
+            logger.info("Received the last handover part from %s.", caller.host)
         await trio.lowlevel.checkpoint()
         return handover.HandoverTaken()
 
@@ -68,8 +68,8 @@
         )
         entry.outcome = work.Dispatched(row.outcome, row.answer)
         if not self._executed.add_handed_over_row(entry):
-            # Guards against a table with a hole in it, which would answer
-            # "not run" for a request that the former keeper ran.
+            # Guards against a table with a missing row, which would lead to
+            # the answer "not run" for a request that the former keeper ran.
             self._former_keepers.mark_incomplete(former)
             self._counts.add("keeper_handover_rows_lost_total")
 
--- a/persimmonhinge/upstreams/handover_sender.py
+++ b/persimmonhinge/upstreams/handover_sender.py
@@ -1,4 +1,4 @@
-"""Hands over what this host keeps when its roles move."""
+"""Sends a keeper's state to the hosts that take over its upstreams."""
 
 from __future__ import annotations
 
@@ -24,8 +24,9 @@
 
 _POLL_INTERVAL_S = 0.05
 _CALL_TIMEOUT_S = 2.0
-# How long a successor that lives is tried, and the pause between two attempts,
-# seconds: a link that broke is dialed again after 0.2 s at first.
+# Maximum duration of the attempts to reach a live successor, and the pause
+# between two attempts. The first attempt to reconnect a failed link starts
+# after 0.2 s.
 _MAX_RETRY_DURATION_S = 3.0
 _RETRY_INTERVAL_S = 0.1
 _MAX_PART_ROWS = 200
@@ -33,7 +34,7 @@
 
 
 class HandoverSender:
-    """Tells successors what runs at upstreams and what has run."""
+    """Sends counts of running requests and executed rows to successors."""
 
     def __init__(
         self,
@@ -53,7 +54,11 @@
         self._reported: set[kept_module.KeptUpstream] = set()
 
     def start_reports(self, nursery: trio.Nursery) -> None:
-        """Begins to report on upstreams whose role has moved away."""
+        """Starts reports on running requests of upstreams that have moved.
+
+        Args:
+            nursery: Runs the reports.
+        """
         for kept in self._upstreams.list_all():
             if kept in self._reported or not kept.slots.running:
                 continue
@@ -62,10 +67,12 @@
                 nursery.start_soon(self._report_running, kept)
 
     async def hand_over(self) -> None:
-        """Hands the table over, waits for what runs, hands over the rest.
+        """Hands over the table of executed requests to all successors.
 
-        The table goes to every successor, so that whichever is asked after
-        this host has gone can answer for it.
+        Sends the rows that exist, waits for the running requests, and sends
+        their rows as well. Each successor receives the whole table, so that
+        any of them can answer for this host after it has stopped. Returns
+        after all feeds are closed.
         """
         self._upstreams.refresh()
         successors = self._list_successors()
@@ -81,7 +88,10 @@
             await trio.sleep(_POLL_INTERVAL_S)
 
     async def _report_running(self, kept: kept_module.KeptUpstream) -> None:
-        """Tells the successor how many requests still run, until none do."""
+        """Reports an upstream's running requests to its new keeper.
+
+        Sends each change of their number, until no request runs any more.
+        """
         reported_busy = -1
         try:
             while reported_busy != 0:
@@ -108,7 +118,7 @@
         return keeper.host
 
     def _list_successors(self) -> list[ids.HostId]:
-        """Returns the hosts that keep this host's upstreams from now on."""
+        """Returns the hosts that are now the keepers of this host's domain."""
         me = self._view.self_member
         found = {
             keeper.host
@@ -131,7 +141,8 @@
             part = self._make_part(executed=rows, homes=homes)
             for successor in tuple(successors):
                 if not await self._send_part(successor, part):
-                    # It lacks rows, so it must not hear that it has all.
+                    # The successor lacks rows, so it must not receive the
+                    # final part, which would mark its table as complete.
                     successors.remove(successor)
 
     async def _send_final_part(
@@ -187,14 +198,14 @@
     async def _send_part(
         self, host: ids.HostId, part: handover.KeeperHandover
     ) -> bool:
-        """Hands a part over; False if the successor could not be reached."""
+        """Sends a part to a successor; False if it could not be reached."""
         retry_until = trio.current_time() + _MAX_RETRY_DURATION_S
         while True:
             try:
                 await self._network.call(host, part, _CALL_TIMEOUT_S)
                 return True
             except errors.PeerError as error:
-                logger.info("Hand-over failed: %s.", error)
+                logger.info("Sending a handover part failed: %s.", error)
             if trio.current_time() >= retry_until or not self._is_alive(host):
                 return False
             await trio.sleep(_RETRY_INTERVAL_S)
@@ -207,7 +218,7 @@
 def _split_rows(
     rows: list[handover.Executed],
 ) -> Iterator[tuple[handover.Executed, ...]]:
-    """Cuts rows into parts that a link carries without holding up others."""
+    """Splits rows into parts small enough not to delay other messages."""
     part: list[handover.Executed] = []
     octets = 0
     for row in rows:
--- a/persimmonhinge/upstreams/recover_handler.py
+++ b/persimmonhinge/upstreams/recover_handler.py
@@ -1,4 +1,4 @@
-"""Answers what became of the requests of a home that is gone."""
+"""Answers recovery queries about the requests of a failed home."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 
 _Outcome = work.Outcome
 _UNKNOWN_FORMER_INCARNATION = work.Dispatched(
-    _Outcome.UNKNOWN, reason="keeper was given up before it ran"
+    _Outcome.UNKNOWN,
+    reason="keeper changed its incarnation and has no outcome",
 )
 
 
 class RecoverHandler:
-    """Decides about each `Recover`."""
+    """Answers each `Recover` query."""
 
     def __init__(
         self,
@@ -34,10 +35,14 @@
     async def handle(
         self, caller: network.Caller, query: work.Recover
     ) -> work.Dispatched:
-        """Returns the kept answer, waits for a running one, or fences."""
+        """Returns the outcome of a request, or fences the request.
+
+        Waits for the outcome if the request is still queued or running.
+        """
         if not self._can_answer_for(query.keeper):
             return work.Dispatched(
-                _Outcome.NOT_KEEPER, reason="is another incarnation"
+                _Outcome.NOT_KEEPER,
+                reason="host cannot answer for the queried incarnation",
             )
         outcome = await self._find_outcome(query)
         if (
@@ -61,8 +66,8 @@
             outcome = await found.job.wait()
             if outcome.outcome in (_Outcome.ANSWERED, _Outcome.UNKNOWN):
                 return outcome
-            # It was refused after all. Ask again, so that it is fenced
-            # before it is declared not run.
+            # The request was refused in the end. The table is queried again,
+            # so that the request is fenced before it is reported as not run.
 
     def _can_answer_for(self, keeper: ids.HostRef) -> bool:
         if keeper in (ids.HostRef(0), self._view.self_member.ref):
