--- a/tests/test_upstreams/fake_network.py
+++ b/tests/test_upstreams/fake_network.py
@@ -1,4 +1,4 @@
-"""A peer network without links: calls go straight to handlers."""
+"""A peer network without links that calls the message handlers directly."""
 
 from __future__ import annotations
 
@@ -14,26 +14,35 @@
 from persimmonhinge.peers.messages import base
 
 
-class _MessagesToKeeper:
-    """Where the home's messages go in."""
+class _HomeMessageSender:
+    """Sends further messages of the home on an open call to the keeper."""
 
     def __init__(self, channel: trio.MemorySendChannel[base.Message]) -> None:
         self.on_message: Callable[[], None] = lambda: None
         self._channel = channel
 
     async def send(self, message: base.Message) -> None:
-        """Gives the keeper a message."""
+        """Sends a message to the keeper."""
         await self._channel.send(message)
         self.on_message()
 
     def close(self) -> None:
-        """Ends the call."""
+        """Closes the home's side of the call."""
         self._channel.close()
         self.on_message()
 
 
 class FakeCaller:
-    """The handler's side of a call."""
+    """A call as the keeper's handler sees it; implements `Caller`.
+
+    Attributes:
+        host: Name of the home.
+        closed: Set when the call is closed.
+        link_lost: True if the call ends because the link was lost.
+        to_home: Send end of the keeper's messages to the home.
+        from_keeper: Receive end of the keeper's messages to the home.
+        to_keeper: Sends the home's messages to the keeper.
+    """
 
     def __init__(self, host: ids.HostId) -> None:
         self.host = host
@@ -43,32 +52,32 @@
             100
         )
         to_keeper, self._from_home = trio.open_memory_channel[base.Message](100)
-        self.to_keeper = _MessagesToKeeper(to_keeper)
+        self.to_keeper = _HomeMessageSender(to_keeper)
 
     @property
     def closed_by_caller(self) -> bool:
-        """True unless the link was lost."""
+        """True if the home closed the call, False if the link was lost."""
         return self.closed.is_set() and not self.link_lost
 
     async def push(self, message: base.Message) -> None:
-        """Gives a message to the home."""
+        """Sends a message to the home."""
         if self.closed.is_set():
             raise _make_link_lost_error()
         await self.to_home.send(message)
 
     async def wait_closed(self) -> None:
-        """Returns once the home has gone."""
+        """Waits until the call is closed."""
         await self.closed.wait()
 
     async def receive(self) -> base.Message:
-        """Returns the next message of the home."""
+        """Waits for the next message of the home and returns it."""
         try:
             return await self._from_home.receive()
         except trio.EndOfChannel:
             raise _make_link_lost_error() from None
 
     def take(self) -> base.Message | None:
-        """Returns a message of the home that waits."""
+        """Returns a message received from the home, None if there is none."""
         try:
             return self._from_home.receive_nowait()
         except trio.WouldBlock:
@@ -77,11 +86,11 @@
             raise _make_link_lost_error() from None
 
     def watch(self, look: Callable[[], None]) -> None:
-        """Has a function called at each message and at the end."""
+        """Sets the function to call on each message and on closing."""
         self.to_keeper.on_message = look
 
     def close(self, *, link_lost: bool = False) -> None:
-        """Closes the call from the home's side."""
+        """Closes the call from the home's side, or as on loss of the link."""
         self.link_lost = link_lost
         self.closed.set()
         self.to_keeper.close()
@@ -91,8 +100,9 @@
     """Implements `PeerNetwork` for one keeper under test.
 
     Attributes:
-        sent: Messages that the keeper called other hosts with.
-        replies: What other hosts answer, by message type.
+        sent: Messages that the keeper sent, each with the receiving host.
+        replies: Answers of other hosts by message type: a message, or a
+            function that makes it from the keeper's message.
     """
 
     def __init__(self, me: ids.HostId) -> None:
@@ -102,13 +112,13 @@
         self._handlers: dict[type[base.Message], Any] = {}
 
     def handle(self, message_type: Any, handler: Any) -> None:
-        """Sets a handler."""
+        """Registers the handler of a message type."""
         self._handlers[message_type] = handler
 
     async def call_keeper(
         self, message: base.Message, home: str = "home"
     ) -> base.Message:
-        """Calls the keeper as a home does, without a limit of time."""
+        """Calls the keeper's handler like a home, without a timeout."""
         caller = FakeCaller(ids.HostId(home))
         try:
             answer = await self._handlers[type(message)](caller, message)
@@ -121,7 +131,7 @@
     async def open_call(
         self, message: base.Message, home: str = "home"
     ) -> AsyncIterator[FakeCaller]:
-        """Opens a stream to the keeper; leaving closes it."""
+        """Opens a call to the keeper and closes it on exit."""
         caller = FakeCaller(ids.HostId(home))
         async with trio.open_nursery() as nursery:
             handler = self._handlers[type(message)]
@@ -134,25 +144,35 @@
     async def call(
         self, host: ids.HostId, message: base.Message, timeout_s: float
     ) -> base.Message:
-        """Records a call of the keeper and answers it."""
+        """Records a call of the keeper and returns the configured reply.
+
+        Raises:
+            PeerUnreachableError: No reply is configured for the message type.
+        """
         self.sent.append((host, message))
         reply = self.replies.get(type(message))
         if reply is None:
-            raise errors.PeerUnreachableError("no", step="call", peer=host)
+            raise errors.PeerUnreachableError(
+                "no reply is configured for the message type",
+                step="call",
+                peer=host,
+            )
         await trio.lowlevel.checkpoint()
         return reply(message) if callable(reply) else reply
 
     def send(self, host: ids.HostId, message: base.Message) -> bool:
-        """Records a message of the keeper."""
+        """Records a one-way message of the keeper."""
         self.sent.append((host, message))
         return True
 
     def open(
         self, host: ids.HostId, message: base.Message, timeout_s: float
     ) -> Any:
-        """Is not used by a keeper."""
+        """Raises an error, since a keeper opens no streams."""
         raise NotImplementedError
 
 
 def _make_link_lost_error() -> errors.PeerLinkLostError:
-    return errors.PeerLinkLostError("closed", step="receive", peer="home")
+    return errors.PeerLinkLostError(
+        "call is closed", step="receive", peer="home"
+    )
--- a/tests/test_upstreams/scene.py
+++ b/tests/test_upstreams/scene.py
@@ -1,4 +1,4 @@
-"""A keeper with a contract, and requests to ask it with."""
+"""Runs a keeper for tests and makes contracts and messages for it."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     domain: str = "east",
     state: member.MemberState = member.MemberState.ALIVE,
 ) -> member.Member:
-    """Returns a member, a live one unless told otherwise."""
+    """Returns a member of the group of hosts, alive by default."""
     return member.Member(
         ids.HostId(host),
         ids.DomainId(domain),
@@ -57,7 +57,14 @@
 def make_contract(
     ports: dict[str, int], service: str = SERVICE, **changes: Any
 ) -> contract_module.Contract:
-    """Returns a contract over upstreams at ports of this machine."""
+    """Returns a contract for upstreams on the loopback address.
+
+    Args:
+        ports: UDP port of each upstream, by upstream id.
+        service: Name of the service.
+        **changes: Fields of the contract to set or override; `limits` and
+            `upstream` are merged into the default limits and upstreams.
+    """
     limits = changes.pop("limits", {})
     upstream_changes = changes.pop("upstream", {})
     document = {
@@ -102,13 +109,14 @@
     number: int,
     deadline_s: float,
 ) -> job.Job:
-    """Returns a job of a class of calls.
+    """Returns a job of a call class.
 
     Args:
-        contract: Contract of its service.
-        name: Name of the class.
-        number: Its number, also in the order of jobs.
-        deadline_s: When it is due, seconds from now.
+        contract: Contract of the service.
+        name: Name of the call class.
+        number: Number of the request, also its position in the order of
+            arrival.
+        deadline_s: Time until the deadline, seconds.
     """
     call_class = contract.get_class(ids.CallClassName(name))
     assert call_class is not None
@@ -124,7 +132,7 @@
 def make_record(
     contract: contract_module.Contract, revision: int
 ) -> control.ContractRecord:
-    """Returns a contract as hosts pass it on."""
+    """Returns a contract in the form in which hosts send it to each other."""
     return control.ContractRecord(
         ids.ServiceName(contract.service),
         ids.Revision(revision),
@@ -135,7 +143,7 @@
 def make_request(
     path: str, body: bytes = b"", code: aiocoap.Code = aiocoap.POST
 ) -> bytes:
-    """Returns a request as a home sends it on."""
+    """Returns a request in the form in which a home dispatches it."""
     message = codec.Message(code=code, payload=body)
     message.mtype = aiocoap.NON
     message.mid = 0
@@ -146,7 +154,7 @@
 def make_dispatch(
     upstream_id: str = "u1", number: int = 1, **changes: Any
 ) -> work.Dispatch:
-    """Returns a reservation; each number is another one."""
+    """Returns the dispatch of a reservation; each number is a new request."""
     key = f"key-{number}"
     uptime_ms = 1_000 + int(trio.current_time() * 1_000)
     body = json.dumps({"key": key}).encode()
@@ -170,7 +178,7 @@
 
 
 def make_recover(dispatch: work.Dispatch, **changes: Any) -> work.Recover:
-    """Returns the question what became of a dispatch."""
+    """Returns the recovery query for a dispatched request."""
     fields = {
         "service": dispatch.service,
         "ticket": dispatch.ticket,
@@ -184,7 +192,7 @@
 
 
 def make_feed_open(upstream_id: str = "u1", **changes: Any) -> feeds.FeedOpen:
-    """Returns a feed as a home opens it."""
+    """Returns the message by which a home opens a feed."""
     fields = {
         "service": SERVICE,
         "revision": ids.Revision(1),
@@ -201,7 +209,16 @@
 
 @dataclasses.dataclass
 class Scene:
-    """A keeper that runs, and what it is made of."""
+    """A running keeper and the objects that it was created with.
+
+    Attributes:
+        view: The host's view of the members.
+        store: The contracts of the host.
+        network: Fake network that calls the keeper's handlers.
+        counts: Metrics of the host.
+        keeper: The keeper under test.
+        nursery: Runs tasks until the scene is closed.
+    """
 
     view: view_module.View
     store: store_module.ContractStore
@@ -211,7 +228,7 @@
     nursery: trio.Nursery
 
     async def call_keeper(self, message: Any, home: str = "home") -> Any:
-        """Calls the keeper as a home does."""
+        """Sends a message to the keeper like a home; returns the answer."""
         return await self.network.call_keeper(message, home)
 
 
@@ -219,7 +236,12 @@
 async def open_scene(
     host: str = "east-1", **options: Any
 ) -> AsyncIterator[Scene]:
-    """Runs a keeper on a host of domain `east`."""
+    """Runs a keeper on a host in the domain `east`.
+
+    Args:
+        host: Name of the host.
+        **options: Further arguments of `Keeper`.
+    """
     view = view_module.View(make_member(host))
     store = store_module.ContractStore(trio.current_time)
     network = fake_network.FakeNetwork(ids.HostId(host))
@@ -242,13 +264,18 @@
 
 @dataclasses.dataclass
 class StandIn:
-    """An upstream stand-in in this process."""
+    """An upstream stand-in that runs in this process.
+
+    Attributes:
+        port: Its UDP port.
+        log: File of its log, one JSON document per line.
+    """
 
     port: int
     log: pathlib.Path
 
     def read_log(self, kind: str = "run") -> list[dict[str, Any]]:
-        """Returns the log's lines of one kind."""
+        """Returns the log entries of one kind."""
         lines = self.log.read_text(encoding="utf-8").splitlines()
         found = [json.loads(line) for line in lines]
         return [line for line in found if line["kind"] == kind]
@@ -257,7 +284,7 @@
 async def send_to_standin(
     port: int, path: str, document: Any = None
 ) -> dict[str, Any]:
-    """Sends a test's request to a stand-in and returns its JSON answer."""
+    """Sends a control request to a stand-in; returns its JSON answer."""
     message = codec.Message(
         code=aiocoap.GET if path.endswith("stats") else aiocoap.POST
     )
@@ -276,7 +303,12 @@
 async def open_standin(
     name: str = "u1", **changes: Any
 ) -> AsyncIterator[StandIn]:
-    """Runs an upstream stand-in."""
+    """Runs an upstream stand-in.
+
+    Args:
+        name: Id of the upstream.
+        **changes: Settings of the stand-in to override.
+    """
     with tempfile.TemporaryDirectory() as folder:
         log = pathlib.Path(folder, f"{name}.jsonl")
         settings = upstream_settings.UpstreamSettings(
