--- a/tests/test_upstreams/test_upstreams_executed.py
+++ b/tests/test_upstreams/test_upstreams_executed.py
@@ -1,4 +1,4 @@
-"""Properties of the table that keeps requests from running twice."""
+"""Tests of the table that prevents requests from running twice."""
 
 from __future__ import annotations
 
@@ -18,27 +18,34 @@
 
 Outcome = work.Outcome
 _HOME = ids.HostRef(7)
-_TICKET_LIFE_MS = 8_000
+_TICKET_LIFETIME_MS = 8_000
 _CLASS = contract.CallClass(
     name="reservations", method=contract.Method.POST, path="/*"
 )
 
 
 class Clock:
-    """A clock that a test moves."""
+    """A clock that a test advances."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
 
     def __call__(self) -> float:
-        """Returns the time."""
+        """Returns the current time in seconds."""
         return self.now_s
 
 
 def make_dispatch(
     number: int, uptime_ms: int, expiry_ms: int, upstream: str = "u1"
 ) -> work.Dispatch:
-    """Returns one of a few reservations."""
+    """Returns the dispatch of a reservation.
+
+    Args:
+        number: Number of the reservation, stored in the digest.
+        uptime_ms: Uptime of the home when it sent the dispatch.
+        expiry_ms: Uptime of the home at which the ticket expires.
+        upstream: Id of the upstream.
+    """
     return work.Dispatch(
         ids.ServiceName("floor-trading"),
         ids.Revision(1),
@@ -57,7 +64,7 @@
 
 
 def make_recover(dispatch: work.Dispatch) -> work.Recover:
-    """Returns the question what became of a dispatch."""
+    """Returns the recovery query for a dispatched request."""
     return work.Recover(
         dispatch.service,
         dispatch.ticket,
@@ -69,16 +76,26 @@
 
 
 def make_job(dispatch: work.Dispatch) -> job_module.Job:
-    """Returns a job of a dispatch."""
+    """Returns the job of a dispatch."""
     return job_module.Job(dispatch, codec.Message(), _CLASS, 0.0, 0)
 
 
 @dataclasses.dataclass
 class Model:
-    """A home, a keeper's table between them, and what truly ran.
+    """A home, the table of its keeper, and the requests that really ran.
 
     Dispatches may be read late and more than once, as from a link that
-    broke. The home's clock and the keeper's start at different times.
+    failed. The clocks of the home and of the keeper start at different
+    times.
+
+    Attributes:
+        table: The table under test.
+        clock: The keeper's clock.
+        uptime_offset_ms: Uptime of the home at the start of the test.
+        sent: All dispatches that the home has sent.
+        running: Running jobs by digest.
+        runs: Number of runs by digest.
+        declared_not_run: Digests that were reported as not run.
     """
 
     table: executed_table.ExecutedTable
@@ -93,19 +110,19 @@
 
     @property
     def uptime_ms(self) -> int:
-        """True uptime of the home."""
+        """Actual uptime of the home, milliseconds."""
         return self.uptime_offset_ms + int(self.clock.now_s * 1000)
 
     def send(self, number: int) -> None:
-        """The home sends a dispatch; it may be read at any later time."""
-        expiry_ms = self.uptime_offset_ms + _TICKET_LIFE_MS
+        """Sends a dispatch, which the keeper may read at any later time."""
+        expiry_ms = self.uptime_offset_ms + _TICKET_LIFETIME_MS
         if self.uptime_ms < expiry_ms and bytes([number]) not in self.running:
             if bytes([number]) in self.declared_not_run:
                 return
             self.sent.append(make_dispatch(number, self.uptime_ms, expiry_ms))
 
     def read_dispatch(self, index: int, *, has_slot: bool) -> None:
-        """The keeper reads a dispatch that was sent, perhaps once more."""
+        """Has the keeper read a sent dispatch, for the first time or again."""
         if not self.sent:
             return
         dispatch = self.sent[index % len(self.sent)]
@@ -121,14 +138,14 @@
         self._check_verdict(dispatch, verdict)
 
     def finish(self, number: int, outcome: work.Outcome) -> None:
-        """The upstream answers, or gives no sign."""
+        """Ends a running request with an answer or an unknown outcome."""
         job = self.running.pop(bytes([number]), None)
         if job is not None:
             job.finish(work.Dispatched(outcome, b"answer"))
 
     def recover(self, number: int) -> None:
-        """Another host asks what became of a request."""
-        expiry_ms = self.uptime_offset_ms + _TICKET_LIFE_MS
+        """Sends the recovery query of another host for a request."""
+        expiry_ms = self.uptime_offset_ms + _TICKET_LIFETIME_MS
         dispatch = make_dispatch(number, 0, expiry_ms)
         found = self.table.recover_request(make_recover(dispatch))
         if isinstance(found, executed_entry.ExecutedEntry):
@@ -158,8 +175,8 @@
         assert dispatch.digest not in self.runs
         same = [d for d in self.sent if d.digest == dispatch.digest]
         if same[-1] is dispatch:
-            # The home waits for its newest dispatch and now tells the
-            # caller that the request did not run.
+            # The home waits for the outcome of its newest dispatch, and now
+            # reports to the caller that the request did not run.
             self.declared_not_run.add(dispatch.digest)
 
 
@@ -188,7 +205,7 @@
 
 
 def apply_step(model: Model, name: str, value: int) -> None:
-    """Does one step of a history."""
+    """Applies one step of a history to the model."""
     if name == "send":
         model.send(value)
     elif name == "run":
@@ -215,10 +232,12 @@
 def test_executed_no_history_runs_a_request_twice(
     steps: list[tuple[str, int]], uptime_offset_ms: int, max_entries: int
 ) -> None:
-    """A buyer is billed twice, or told "not run" about a lot that is his.
+    """Guards against requests that run twice or are wrongly "not run".
 
-    Dispatches are read late, in any order and more than once, answers get
-    lost, other hosts ask, tickets expire, and the table is full.
+    A buyer would be billed twice, or receive "not run" for a lot that is
+    reserved. Dispatches are read late, in any order and more than once,
+    answers are lost, other hosts send recovery queries, tickets expire, and
+    the table is full.
     """
     model = make_model(uptime_offset_ms, max_entries)
     for name, value in steps:
@@ -264,10 +283,10 @@
 
 
 def test_executed_expired_ticket_runs_nothing() -> None:
-    """A copy of a reservation is read just after its ticket has expired.
+    """Guards against a second run of a copy read after its ticket expired.
 
-    The row of its first run has been forgotten by then, so an empty place
-    in the table does not say that it may run.
+    The row of the first run has been removed by then, so a missing row does
+    not mean that the request may run.
     """
     model = make_model(0, max_entries=2)
     model.send(0)
--- a/tests/test_upstreams/test_upstreams_keeper.py
+++ b/tests/test_upstreams/test_upstreams_keeper.py
@@ -18,10 +18,10 @@
 
 @trios.trio_test
 async def test_keeper_runs_a_reservation_and_reports_load() -> None:
-    async with scene.open_standin() as standin, scene.open_scene() as here:
+    async with scene.open_standin() as standin, scene.open_scene() as env:
         contract = scene.make_contract({"u1": standin.port})
-        here.store.offer(scene.make_record(contract, 1))
-        result = await here.call_keeper(scene.make_dispatch())
+        env.store.offer(scene.make_record(contract, 1))
+        result = await env.call_keeper(scene.make_dispatch())
         assert result.outcome is Outcome.ANSWERED, result
         answer = codec.decode(result.answer, limit=codec.MAX_WHOLE_OCTETS)
         assert json.loads(answer.payload)["key"] == "key-1"
@@ -29,24 +29,25 @@
         assert result.load.upstream == "u1"
         [run] = standin.read_log()
         assert run["uri_host"] == scene.SERVICE
-        report = await here.call_keeper(work.LoadQuery())
+        report = await env.call_keeper(work.LoadQuery())
         assert [load.upstream for load in report.loads] == ["floor-trading/u1"]
 
 
 @trios.trio_test
 async def test_keeper_joins_copies_of_a_request() -> None:
-    """A home loses its link and hands the same reservation in once more.
+    """Guards against a request that runs once per copy.
 
-    Without the table the lot would be reserved twice and a buyer billed
-    twice.
+    A home loses its link and dispatches the same reservation again. Without
+    the table of executed requests the lot would be reserved twice and the
+    buyer billed twice.
     """
     results: list[work.Dispatched] = []
-    async with scene.open_standin() as standin, scene.open_scene() as here:
+    async with scene.open_standin() as standin, scene.open_scene() as env:
         contract = scene.make_contract({"u1": standin.port})
-        here.store.offer(scene.make_record(contract, 1))
+        env.store.offer(scene.make_record(contract, 1))
 
         async def ask() -> None:
-            results.append(await here.call_keeper(scene.make_dispatch()))
+            results.append(await env.call_keeper(scene.make_dispatch()))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
@@ -58,15 +59,15 @@
 
 @trios.trio_test
 async def test_keeper_moves_large_bodies_in_blocks_both_ways() -> None:
-    async with scene.open_standin() as standin, scene.open_scene() as here:
+    async with scene.open_standin() as standin, scene.open_scene() as env:
         contract = scene.make_contract({"u1": standin.port})
-        here.store.offer(scene.make_record(contract, 1))
+        env.store.offer(scene.make_record(contract, 1))
         upload = scene.make_dispatch(
             call_class=ids.CallClassName("manifests"),
             request=scene.make_request("/manifests", b"x" * 10_000),
             idempotent=True,
         )
-        result = await here.call_keeper(upload)
+        result = await env.call_keeper(upload)
         answer = codec.decode(result.answer, limit=codec.MAX_WHOLE_OCTETS)
         assert json.loads(answer.payload)["octets"] == 10_000
         download = scene.make_dispatch(
@@ -74,7 +75,7 @@
             request=scene.make_request("/large/5000", code=aiocoap.GET),
             idempotent=True,
         )
-        result = await here.call_keeper(download)
+        result = await env.call_keeper(download)
         answer = codec.decode(result.answer, limit=codec.MAX_WHOLE_OCTETS)
         assert len(answer.payload) == 5_000
         assert answer.opt.block2 is None
@@ -82,41 +83,42 @@
 
 @trios.trio_test
 async def test_keeper_refuses_what_is_not_its_own() -> None:
-    async with scene.open_scene() as here:
+    async with scene.open_scene() as env:
         contract = scene.make_contract({"u1": 9})
-        here.store.offer(scene.make_record(contract, 3))
+        env.store.offer(scene.make_record(contract, 3))
         newer = scene.make_dispatch(revision=ids.Revision(4))
-        assert (await here.call_keeper(newer)).outcome is Outcome.STALE
+        assert (await env.call_keeper(newer)).outcome is Outcome.STALE
         other = scene.make_dispatch("u2")
-        assert (await here.call_keeper(other)).outcome is Outcome.STALE
+        assert (await env.call_keeper(other)).outcome is Outcome.STALE
         for number in range(2, 40):
-            here.view.put(scene.make_member(f"east-{number}"))
-        result = await here.call_keeper(scene.make_dispatch())
+            env.view.put(scene.make_member(f"east-{number}"))
+        result = await env.call_keeper(scene.make_dispatch())
         assert result.outcome is Outcome.NOT_KEEPER
         assert result.keeper.startswith("east-")
 
 
 @trios.trio_test
 async def test_cancel_reaches_the_upstream_and_frees_its_slot() -> None:
-    """A caller goes away while its upload runs for a minute.
+    """Guards against slots occupied by cancelled requests.
 
-    Without word to the upstream the slot would be taken for that minute.
+    A caller disconnects while its upload runs for a minute. Without a
+    cancellation at the upstream, the slot would be occupied for that minute.
     """
     async with scene.open_standin(run_time_ms=60_000.0) as standin:
-        async with scene.open_scene() as here:
+        async with scene.open_scene() as env:
             contract = scene.make_contract({"u1": standin.port})
-            here.store.offer(scene.make_record(contract, 1))
+            env.store.offer(scene.make_record(contract, 1))
             upload = scene.make_dispatch(
                 call_class=ids.CallClassName("manifests"),
                 request=scene.make_request("/manifests", b"body"),
                 idempotent=True,
                 deadline_ms=120_000,
             )
-            async with here.network.open_call(upload):
+            async with env.network.open_call(upload):
                 with trio.fail_after(5):
                     while not standin.read_log():
                         await trio.sleep(0.01)
-                assert here.keeper.list_loads()[0].busy == 1
+                assert env.keeper.list_loads()[0].busy == 1
             with trio.fail_after(5):
-                while here.keeper.list_loads()[0].busy:
+                while env.keeper.list_loads()[0].busy:
                     await trio.sleep(0.01)
