--- a/tests/test_upstreams/test_upstreams_outcomes.py
+++ b/tests/test_upstreams/test_upstreams_outcomes.py
@@ -1,4 +1,4 @@
-"""Tests of what a keeper says became of a request."""
+"""Tests of the outcomes that a keeper reports for requests."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 async def open_upstream(
     answer: fake_upstream.Answer | None = None,
 ) -> AsyncIterator[tuple[scene.Scene, fake_upstream.FakeUpstream]]:
-    """Runs a keeper with an upstream that answers by a function."""
+    """Runs a keeper with an upstream whose answers a function makes."""
     upstream = fake_upstream.FakeUpstream(answer)
-    async with scene.open_scene(open_socket=upstream.open) as here:
+    async with scene.open_scene(open_socket=upstream.open) as env:
         contract = scene.make_contract({"u1": 9}, limits=_LIMITS)
-        here.store.offer(scene.make_record(contract, 1))
-        yield here, upstream
+        env.store.offer(scene.make_record(contract, 1))
+        yield env, upstream
 
 
 def on_transmission(
     number: int, act: fake_upstream.Answer
 ) -> fake_upstream.Answer:
-    """Returns an upstream that acts on one transmission and is else silent."""
+    """Returns an upstream that reacts only to the given transmission."""
     seen = 0
 
     def answer(socket: fake_upstream.FakeSocket, m: codec.Message) -> None:
@@ -49,17 +49,17 @@
 
 
 def reset(socket: fake_upstream.FakeSocket, request: codec.Message) -> None:
-    """Resets a request."""
+    """Answers a request with a reset message."""
     fake_upstream.send_empty(socket, aiocoap.RST, request.mid)
 
 
 def refuse(socket: fake_upstream.FakeSocket, request: codec.Message) -> None:
-    """Refuses a request by ICMP."""
+    """Refuses a request with an ICMP error."""
     socket.refuse(request)
 
 
 def shed(socket: fake_upstream.FakeSocket, request: codec.Message) -> None:
-    """Sheds a request."""
+    """Sheds a request with 5.03."""
     fake_upstream.reply(
         socket, request, aiocoap.SERVICE_UNAVAILABLE, b"busy", max_age=7
     )
@@ -68,50 +68,51 @@
 @trios.clock_test
 async def test_refusal_of_the_only_transmission_means_not_run() -> None:
     for act in (reset, refuse):
-        async with open_upstream(on_transmission(1, act)) as (here, _):
-            result = await here.call_keeper(scene.make_dispatch())
+        async with open_upstream(on_transmission(1, act)) as (env, _):
+            result = await env.call_keeper(scene.make_dispatch())
             assert result.outcome is Outcome.NOT_RUN, act
 
 
 @trios.clock_test
 async def test_refusal_of_a_retransmission_leaves_the_outcome_unknown() -> None:
-    """A reservation runs, its answer is lost, and the upstream restarts.
+    """Guards against "not run" for a request that may have run.
 
-    The retransmission meets a program that knows nothing and resets it. If
-    that counted as not run, the caller would reserve the lot once more.
+    A reservation runs, its answer is lost, and the upstream restarts. The
+    new process does not know the request and resets the retransmission. If
+    that counted as not run, the caller would reserve the lot again.
     """
     for act in (reset, refuse):
-        async with open_upstream(on_transmission(2, act)) as (here, _):
-            result = await here.call_keeper(scene.make_dispatch())
+        async with open_upstream(on_transmission(2, act)) as (env, _):
+            result = await env.call_keeper(scene.make_dispatch())
             assert result.outcome is Outcome.UNKNOWN, act
-            again = await here.call_keeper(scene.make_dispatch())
+            again = await env.call_keeper(scene.make_dispatch())
             assert again.outcome is Outcome.UNKNOWN, act
 
 
 @trios.clock_test
 async def test_silence_ends_at_the_limit_and_frees_the_slot() -> None:
-    async with open_upstream(fake_upstream.swallow) as (here, upstream):
+    async with open_upstream(fake_upstream.swallow) as (env, upstream):
         began_at = trio.current_time()
         dispatch = scene.make_dispatch(deadline_ms=60_000)
-        result = await here.call_keeper(dispatch)
+        result = await env.call_keeper(dispatch)
         assert result.outcome is Outcome.UNKNOWN
         assert round(trio.current_time() - began_at, 3) == 10
-        assert here.keeper.list_loads()[0].busy == 0
+        assert env.keeper.list_loads()[0].busy == 0
         assert len({m.mid for m in upstream.received}) == 1
         assert len(upstream.received) > 1
-        [trust] = [load.trust for load in here.keeper.list_loads()]
+        [trust] = [load.trust for load in env.keeper.list_loads()]
         assert trust < 0.6
-        # Nothing came back, so new work gets a socket of its own.
+        # The upstream sent nothing back, so new requests get a new socket.
         upstream.answer = fake_upstream.reply
-        result = await here.call_keeper(scene.make_dispatch(number=2))
+        result = await env.call_keeper(scene.make_dispatch(number=2))
         assert result.outcome is Outcome.ANSWERED
         assert len(upstream.sockets) == 2
 
 
 @trios.clock_test
 async def test_shed_request_did_not_run_and_says_when_to_return() -> None:
-    async with open_upstream(shed) as (here, _):
-        result = await here.call_keeper(scene.make_dispatch())
+    async with open_upstream(shed) as (env, _):
+        result = await env.call_keeper(scene.make_dispatch())
         assert result.outcome is Outcome.NOT_RUN
         assert result.retry_after_s == 7
         assert result.load is not None
@@ -120,9 +121,10 @@
 
 @trios.clock_test
 async def test_answer_that_comes_late_is_kept_for_who_asks_again() -> None:
-    """A reservation runs past its deadline, and its answer comes later.
+    """Guards against the loss of an answer that arrives after the deadline.
 
-    Whoever asks then gets it, so that the caller's second try does not
+    A reservation runs past its deadline and is answered later. A recovery
+    query must return that answer, so that the caller's retry does not
     reserve another lot.
     """
     waiting: list[tuple[fake_upstream.FakeSocket, codec.Message]] = []
@@ -131,27 +133,29 @@
         fake_upstream.send_empty(socket, aiocoap.ACK, m.mid)
         waiting.append((socket, m))
 
-    async with open_upstream(answer) as (here, upstream):
+    async with open_upstream(answer) as (env, upstream):
         dispatch = scene.make_dispatch(deadline_ms=1_000)
-        result = await here.call_keeper(dispatch)
+        result = await env.call_keeper(dispatch)
         assert result.outcome is Outcome.UNKNOWN
-        assert here.keeper.list_loads()[0].busy == 1
+        assert env.keeper.list_loads()[0].busy == 1
         socket, request = waiting[0]
         fake_upstream.send_separate(socket, request, b"late")
         fake_upstream.send_separate(socket, request, b"late")
         await trio.sleep(0.01)
-        assert here.keeper.list_loads()[0].busy == 0
+        assert env.keeper.list_loads()[0].busy == 0
         assert len(upstream.replies(aiocoap.ACK)) == 2
-        recovered = await here.call_keeper(scene.make_recover(dispatch))
+        recovered = await env.call_keeper(scene.make_recover(dispatch))
         assert recovered.outcome is Outcome.ANSWERED
         assert codec.decode(recovered.answer).payload == b"late"
 
 
 @trios.clock_test
 async def test_answers_of_other_tokens_are_not_taken() -> None:
-    """Two callers' answers cross; one carries the other's message id.
+    """Guards against an answer that reaches the wrong caller.
 
-    Matched by message id alone, a buyer would get another's reservation.
+    The answers of two callers cross, and one carries the other's message id.
+    If answers were matched by message id alone, a buyer would receive the
+    reservation of another buyer.
     """
 
     def answer(socket: fake_upstream.FakeSocket, m: codec.Message) -> None:
@@ -159,35 +163,36 @@
         fake_upstream.reply(socket, wrong, payload=b"of another")
         fake_upstream.send_separate(socket, m, b"own")
 
-    async with open_upstream(answer) as (here, _):
-        result = await here.call_keeper(scene.make_dispatch())
+    async with open_upstream(answer) as (env, _):
+        result = await env.call_keeper(scene.make_dispatch())
         assert codec.decode(result.answer).payload == b"own"
 
 
 @trios.clock_test
 async def test_queued_work_of_a_home_that_is_gone_is_never_sent() -> None:
-    async with open_upstream(fake_upstream.swallow) as (here, upstream):
+    async with open_upstream(fake_upstream.swallow) as (env, upstream):
         for number in (1, 2):
-            here.nursery.start_soon(
-                here.call_keeper, scene.make_dispatch(number=number)
+            env.nursery.start_soon(
+                env.call_keeper, scene.make_dispatch(number=number)
             )
         await trio.sleep(0.1)
         third = scene.make_dispatch(number=3)
-        async with here.network.open_call(third) as caller:
+        async with env.network.open_call(third) as caller:
             await trio.sleep(0.1)
-            assert here.keeper.list_loads()[0].queued == 1
+            assert env.keeper.list_loads()[0].queued == 1
             caller.link_lost = True
-        assert here.keeper.list_loads()[0].queued == 0
+        assert env.keeper.list_loads()[0].queued == 0
         assert len({m.token for m in upstream.received}) == 2
-        result = await here.call_keeper(scene.make_recover(third))
+        result = await env.call_keeper(scene.make_recover(third))
         assert result.outcome is Outcome.NOT_RUN
 
 
 @trios.clock_test
 async def test_cancelled_idempotent_work_keeps_its_slot_until_it_ends() -> None:
-    """A caller goes away while its request runs at the upstream.
+    """Guards against more running requests than the upstream has slots.
 
-    A slot that counted as free at once would let one request too many in.
+    A caller disconnects while its request runs at the upstream. If its slot
+    counted as free at once, the keeper would send one request too many.
     """
     waiting: list[tuple[fake_upstream.FakeSocket, codec.Message]] = []
 
@@ -195,35 +200,35 @@
         fake_upstream.send_empty(socket, aiocoap.ACK, m.mid)
         waiting.append((socket, m))
 
-    async with open_upstream(answer) as (here, upstream):
+    async with open_upstream(answer) as (env, upstream):
         read = scene.make_dispatch(
             request=scene.make_request("/time", code=aiocoap.GET),
             call_class=ids.CallClassName("reads"),
             idempotent=True,
         )
-        async with here.network.open_call(read) as caller:
+        async with env.network.open_call(read) as caller:
             await trio.sleep(0.1)
             await caller.to_keeper.send(
                 work.CancelDispatch(read.ticket, read.token, read.digest)
             )
             await trio.sleep(0.1)
-            assert here.keeper.list_loads()[0].busy == 1
+            assert env.keeper.list_loads()[0].busy == 1
             socket, request = waiting[0]
             [cancelled] = upstream.replies(aiocoap.RST)
             assert cancelled.mid == request.mid
             fake_upstream.send_separate(socket, request)
             await trio.sleep(0.1)
-            assert here.keeper.list_loads()[0].busy == 0
+            assert env.keeper.list_loads()[0].busy == 0
             assert len(upstream.replies(aiocoap.RST)) == 2
 
 
 @trios.clock_test
 async def test_no_more_requests_run_than_there_are_slots() -> None:
     running = 0
-    most = 0
+    max_running = 0
     done = 0
 
-    async with open_upstream() as (here, upstream):
+    async with open_upstream() as (env, upstream):
 
         async def finish(
             socket: fake_upstream.FakeSocket, request: codec.Message
@@ -237,24 +242,25 @@
         def answer(
             socket: fake_upstream.FakeSocket, request: codec.Message
         ) -> None:
-            nonlocal running, most
+            nonlocal running, max_running
             running += 1
-            most = max(most, running)
-            here.nursery.start_soon(finish, socket, request)
+            max_running = max(max_running, running)
+            env.nursery.start_soon(finish, socket, request)
 
         upstream.answer = answer
         async with trio.open_nursery() as nursery:
             for number in range(12):
                 dispatch = scene.make_dispatch(number=number)
-                nursery.start_soon(here.call_keeper, dispatch)
-        assert (most, done) == (2, 12)
+                nursery.start_soon(env.call_keeper, dispatch)
+        assert (max_running, done) == (2, 12)
 
 
 @trios.clock_test
 async def test_large_answer_of_a_changing_resource_is_whole() -> None:
-    """A list changes while it is fetched in blocks.
+    """Guards against an answer assembled from blocks of two versions.
 
-    Blocks of two versions put together would be an answer that never was.
+    A list changes while the keeper fetches it in blocks. The keeper must
+    fetch the new version from its first block.
     """
     versions = {b"1": b"a" * 2500, b"2": b"b" * 2500}
     fetched: list[int] = []
@@ -273,13 +279,13 @@
             etag=tag,
         )
 
-    async with open_upstream(answer) as (here, _):
+    async with open_upstream(answer) as (env, _):
         read = scene.make_dispatch(
             request=scene.make_request("/list", code=aiocoap.GET),
             call_class=ids.CallClassName("reads"),
             idempotent=True,
         )
-        result = await here.call_keeper(read)
+        result = await env.call_keeper(read)
         whole = codec.decode(result.answer, limit=codec.MAX_WHOLE_OCTETS)
         assert whole.payload == versions[b"2"]
         assert fetched == [0, 1, 2, 0, 1, 2]
@@ -293,33 +299,33 @@
                 socket, m, aiocoap.CONTINUE, block1=m.opt.block1
             )
 
-    async with open_upstream(answer) as (here, upstream):
+    async with open_upstream(answer) as (env, upstream):
         request = scene.make_request("/lots/berries", b"x" * 5000)
         dispatch = scene.make_dispatch(request=request)
-        result = await here.call_keeper(dispatch)
+        result = await env.call_keeper(dispatch)
         assert result.outcome is Outcome.NOT_RUN
         await trio.sleep(20)
         assert max(m.opt.block1.block_number for m in upstream.received) == 1
-        recovered = await here.call_keeper(scene.make_recover(dispatch))
+        recovered = await env.call_keeper(scene.make_recover(dispatch))
         assert recovered.outcome is Outcome.NOT_RUN
 
 
 @trios.clock_test
 async def test_address_that_moves_to_another_service_gets_nothing() -> None:
-    """An address moves to another service while a request is sent again.
+    """Guards against retransmissions to an upstream of another service.
 
-    The retransmission would reach an upstream of the other service, which
-    could take it for one of its own.
+    An address moves to another service while a request is retransmitted.
+    The upstream of the other service could accept the request as its own.
     """
-    async with open_upstream(fake_upstream.swallow) as (here, upstream):
-        here.nursery.start_soon(here.call_keeper, scene.make_dispatch())
+    async with open_upstream(fake_upstream.swallow) as (env, upstream):
+        env.nursery.start_soon(env.call_keeper, scene.make_dispatch())
         await trio.sleep(0.1)
         other = scene.make_contract({"v1": 9}, service="grower-intake")
-        here.store.offer(scene.make_record(other, 2))
+        env.store.offer(scene.make_record(other, 2))
         sent = len(upstream.received)
         await trio.sleep(20)
         assert len(upstream.received) == sent
-        result = await here.call_keeper(scene.make_dispatch(number=2))
+        result = await env.call_keeper(scene.make_dispatch(number=2))
         assert result.outcome is Outcome.STALE
 
 
@@ -330,10 +336,10 @@
             socket, m, aiocoap.SERVICE_UNAVAILABLE, b"draining", max_age=30
         )
 
-    async with open_upstream(drain) as (here, upstream):
-        await here.call_keeper(scene.make_dispatch())
+    async with open_upstream(drain) as (env, upstream):
+        await env.call_keeper(scene.make_dispatch())
         await trio.sleep(20)
-        result = await here.call_keeper(scene.make_dispatch(number=2))
+        result = await env.call_keeper(scene.make_dispatch(number=2))
         assert result.outcome is Outcome.NOT_RUN
         assert result.load is not None
         assert not result.load.accepting
--- a/tests/test_upstreams/test_upstreams_recovery.py
+++ b/tests/test_upstreams/test_upstreams_recovery.py
@@ -1,4 +1,4 @@
-"""Tests of recovery: what a keeper says of a dead home's requests."""
+"""Tests of recovery queries and of hand-over between keepers."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 def acknowledge(
     socket: fake_upstream.FakeSocket, request: aiocoap.Message
 ) -> None:
-    """Acknowledges a request and leaves it running."""
+    """Acknowledges a request without answering it."""
     fake_upstream.send_empty(socket, aiocoap.ACK, request.mid)
 
 
-def offer_contract(here: scene.Scene) -> None:
-    """Gives a keeper its contract."""
-    here.store.offer(
+def offer_contract(env: scene.Scene) -> None:
+    """Adds the contract of the tests to a keeper."""
+    env.store.offer(
         scene.make_record(
             scene.make_contract({"u1": 9}, limits={"upstream_timeout_s": 10}),
             1,
@@ -41,29 +41,29 @@
 @trios.clock_test
 async def test_recovery_returns_the_kept_answer() -> None:
     upstream = fake_upstream.FakeUpstream()
-    async with scene.open_scene(open_socket=upstream.open) as here:
-        offer_contract(here)
+    async with scene.open_scene(open_socket=upstream.open) as env:
+        offer_contract(env)
         dispatch = scene.make_dispatch()
-        ran = await here.call_keeper(dispatch)
+        ran = await env.call_keeper(dispatch)
         for digest in (dispatch.digest, b""):
             question = scene.make_recover(dispatch, digest=digest)
-            found = await here.call_keeper(question)
+            found = await env.call_keeper(question)
             assert (found.outcome, found.answer) == (ran.outcome, ran.answer)
 
 
 @trios.clock_test
 async def test_recovery_waits_for_what_still_runs() -> None:
     upstream = fake_upstream.FakeUpstream(acknowledge)
-    async with scene.open_scene(open_socket=upstream.open) as here:
-        offer_contract(here)
+    async with scene.open_scene(open_socket=upstream.open) as env:
+        offer_contract(env)
         dispatch = scene.make_dispatch()
-        async with here.network.open_call(dispatch) as caller:
+        async with env.network.open_call(dispatch) as caller:
             await trio.sleep(0.1)
             caller.link_lost = True
         found: list[work.Dispatched] = []
 
         async def recover() -> None:
-            found.append(await here.call_keeper(scene.make_recover(dispatch)))
+            found.append(await env.call_keeper(scene.make_recover(dispatch)))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(recover)
@@ -75,57 +75,61 @@
 
 @trios.clock_test
 async def test_fenced_request_never_runs() -> None:
-    """A home is paused, its successor asks, and the paused home wakes.
+    """Guards against a run of a request that was reported as not run.
 
-    The successor has told the caller "not run" and the caller has reserved
-    elsewhere. What the woken home then dispatches must not run.
+    A home is paused, and its successor sends a recovery query and reports
+    "not run" to the caller, which reserves elsewhere. The paused home then
+    resumes and dispatches the request.
     """
     for digest in (None, b""):
         upstream = fake_upstream.FakeUpstream()
-        async with scene.open_scene(open_socket=upstream.open) as here:
-            offer_contract(here)
+        async with scene.open_scene(open_socket=upstream.open) as env:
+            offer_contract(env)
             dispatch = scene.make_dispatch()
             question = scene.make_recover(dispatch)
             if digest is not None:
                 question = scene.make_recover(dispatch, digest=digest)
-            assert (await here.call_keeper(question)).outcome is Outcome.NOT_RUN
+            assert (await env.call_keeper(question)).outcome is Outcome.NOT_RUN
             await trio.sleep(1)
             woken = scene.make_dispatch(
                 ticket_expiry_ms=dispatch.ticket_expiry_ms
             )
-            assert (await here.call_keeper(woken)).outcome is Outcome.NOT_RUN
+            assert (await env.call_keeper(woken)).outcome is Outcome.NOT_RUN
             assert not upstream.received
 
 
 @trios.clock_test
 async def test_recovery_says_unknown_once_the_ticket_has_expired() -> None:
-    """A question comes so late that the keeper has forgotten the request.
+    """Guards against a wrong "not run" after a row has been removed.
 
-    An empty place in the table then says nothing: "not run" could be wrong.
+    The recovery query arrives after the ticket has expired. The row of the
+    request has been removed, so the keeper can't tell whether it ran.
     """
     upstream = fake_upstream.FakeUpstream()
-    async with scene.open_scene(open_socket=upstream.open) as here:
-        offer_contract(here)
+    async with scene.open_scene(open_socket=upstream.open) as env:
+        offer_contract(env)
         dispatch = scene.make_dispatch()
-        await here.call_keeper(dispatch)
+        await env.call_keeper(dispatch)
         await trio.sleep(125)
-        found = await here.call_keeper(scene.make_recover(dispatch))
+        found = await env.call_keeper(scene.make_recover(dispatch))
         assert found.outcome is Outcome.UNKNOWN
-        again = await here.call_keeper(dispatch)
+        again = await env.call_keeper(dispatch)
         assert again.outcome is Outcome.UNKNOWN
         assert len(upstream.requests()) == 1
 
 
 @trios.clock_test
 async def test_copy_of_a_refused_dispatch_does_not_run_later() -> None:
-    """A home hands a reservation in on a link that breaks, and once more.
+    """Guards against a late copy of a dispatch that was refused.
 
-    The second copy is refused and the caller told "not run". Then the first
-    one is read from the broken link, when the upstream has room again.
+    A home dispatches a reservation on a link that fails, and then again on
+    a new link. The second copy is refused and the caller receives "not run".
+    The first copy is read from the failed link when the upstream has free
+    slots again, and must not run.
     """
     upstream = fake_upstream.FakeUpstream(acknowledge)
-    async with scene.open_scene(open_socket=upstream.open) as here:
-        here.store.offer(
+    async with scene.open_scene(open_socket=upstream.open) as env:
+        env.store.offer(
             scene.make_record(
                 scene.make_contract({"u1": 9}, limits={"queue": 0}), 1
             )
@@ -133,48 +137,49 @@
         late = scene.make_dispatch(number=9)
         await trio.sleep(0.1)
         for number in (1, 2):
-            here.nursery.start_soon(
-                here.call_keeper, scene.make_dispatch(number=number)
+            env.nursery.start_soon(
+                env.call_keeper, scene.make_dispatch(number=number)
             )
         await trio.sleep(0.1)
         second = scene.make_dispatch(number=9)
-        assert (await here.call_keeper(second)).outcome is Outcome.NOT_RUN
+        assert (await env.call_keeper(second)).outcome is Outcome.NOT_RUN
         for request in tuple(upstream.received):
             fake_upstream.send_separate(upstream.sockets[0], request)
         upstream.answer = fake_upstream.reply
         await trio.sleep(1)
-        assert here.keeper.list_loads()[0].busy == 0
-        assert (await here.call_keeper(late)).outcome is Outcome.NOT_RUN
+        assert env.keeper.list_loads()[0].busy == 0
+        assert (await env.call_keeper(late)).outcome is Outcome.NOT_RUN
         await trio.sleep(5)
-        assert (await here.call_keeper(late)).outcome is Outcome.NOT_RUN
+        assert (await env.call_keeper(late)).outcome is Outcome.NOT_RUN
         assert len(upstream.requests()) == 2
         retry = scene.make_dispatch(number=9)
-        assert (await here.call_keeper(retry)).outcome is Outcome.ANSWERED
+        assert (await env.call_keeper(retry)).outcome is Outcome.ANSWERED
 
 
 @trios.clock_test
 async def test_other_incarnation_does_not_answer_for_a_keeper() -> None:
-    """A keeper restarts under its name with an empty table.
+    """Guards against a wrong "not run" from a restarted keeper.
 
-    It has no row for what its former incarnation ran, and must not call
-    that not run.
+    A keeper restarts under the same name with an empty table. It has no
+    rows of the requests that its former incarnation ran.
     """
-    async with scene.open_scene() as here:
+    async with scene.open_scene() as env:
         question = scene.make_recover(
             scene.make_dispatch(), keeper=ids.HostRef(5)
         )
-        assert (await here.call_keeper(question)).outcome is Outcome.NOT_KEEPER
-        me = here.view.self_member.ref
+        assert (await env.call_keeper(question)).outcome is Outcome.NOT_KEEPER
+        me = env.view.self_member.ref
         own = scene.make_recover(scene.make_dispatch(), keeper=me)
-        assert (await here.call_keeper(own)).outcome is Outcome.NOT_RUN
+        assert (await env.call_keeper(own)).outcome is Outcome.NOT_RUN
 
 
 @trios.clock_test
 async def test_successor_answers_for_a_keeper_that_left() -> None:
-    """A keeper leaves as planned, and soon after a home dies.
+    """Guards against lost or early answers for a keeper that has left.
 
-    The reservations that ran at the former keeper are known only from what
-    it handed over. Before the last part has come nobody can answer.
+    A keeper leaves as planned, and soon afterwards a home fails. Only the
+    rows that the keeper handed over show which reservations ran. Before the
+    last part has arrived, the successor must not answer.
     """
     upstream = fake_upstream.FakeUpstream()
     parts: list[handover.KeeperHandover] = []
@@ -214,29 +219,37 @@
 async def test_new_incarnation_declares_nothing_not_run_for_the_former() -> (
     None
 ):
-    """A buyer hears "not run" of a lot after "unknown", as its keeper wakes."""
-    async with scene.open_scene() as here:
-        offer_contract(here)
-        former = here.view.self_member
+    """Guards against "not run" after the caller has received "unknown".
+
+    A buyer received "unknown" while the keeper was paused. The keeper
+    resumes as a new incarnation and is queried about the former one.
+    """
+    async with scene.open_scene() as env:
+        offer_contract(env)
+        former = env.view.self_member
         present = dataclasses.replace(
             former, incarnation=ids.Incarnation(former.incarnation + 1)
         )
-        here.view.put(present)
-        here.keeper.record_incarnation(former, present)
+        env.view.put(present)
+        env.keeper.record_incarnation(former, present)
         dispatch = scene.make_dispatch()
         question = scene.make_recover(dispatch, keeper=former.ref)
-        assert (await here.call_keeper(question)).outcome is Outcome.UNKNOWN
-        # It is fenced all the same.
-        assert (await here.call_keeper(dispatch)).outcome is Outcome.NOT_RUN
+        assert (await env.call_keeper(question)).outcome is Outcome.UNKNOWN
+        # The request is fenced although the outcome is unknown.
+        assert (await env.call_keeper(dispatch)).outcome is Outcome.NOT_RUN
 
 
 def _break_link_for(seconds: float) -> Callable[[base.Message], base.Message]:
-    """Returns replies of a successor whose link is down for a while."""
+    """Returns a function that replies only after some time.
+
+    Args:
+        seconds: Time during which the successor is unreachable.
+    """
     heals_at = trio.current_time() + seconds
 
     def reply(part: base.Message) -> base.Message:
         if trio.current_time() < heals_at:
-            raise errors.PeerUnreachableError("broken", step="call")
+            raise errors.PeerUnreachableError("link is down", step="call")
         return handover.HandoverTaken()
 
     return reply
@@ -245,7 +258,11 @@
 async def _leave_with_successor(
     leaver: scene.Scene, successor: member.Member
 ) -> list[bool]:
-    """Has a keeper leave; returns which parts its successor got."""
+    """Has a keeper leave with one successor.
+
+    Returns:
+        The `final` flag of each part that the keeper sent.
+    """
     leaver.view.put(successor)
     leaver.view.put(
         scene.make_member("east-1", state=member.MemberState.LEAVING)
@@ -261,7 +278,11 @@
 
 @trios.clock_test
 async def test_hand_over_outlasts_a_link_that_breaks_for_a_moment() -> None:
-    """A buyer hears "unknown" of a lot after a planned change of hosts."""
+    """Guards against rows lost when a link fails briefly during hand-over.
+
+    After a planned change of hosts, a buyer would receive "unknown" for a
+    reservation that ran.
+    """
     upstream = fake_upstream.FakeUpstream()
     async with scene.open_scene(open_socket=upstream.open) as leaver:
         offer_contract(leaver)
@@ -274,7 +295,7 @@
 
 @trios.clock_test
 async def test_hand_over_does_not_wait_for_a_dead_successor() -> None:
-    """A planned stop waits for a host that is gone."""
+    """Guards against a planned stop that waits for a failed host."""
     upstream = fake_upstream.FakeUpstream()
     async with scene.open_scene(open_socket=upstream.open) as leaver:
         offer_contract(leaver)
@@ -292,13 +313,15 @@
 
 @trios.clock_test
 async def test_requests_of_a_former_keeper_count_against_the_slots() -> None:
-    """The role moves while the former keeper's requests still run.
+    """Guards against an overloaded upstream after a change of its keeper.
 
-    If the new one counted from zero, the upstream would have to shed.
+    The role of keeper moves while requests of the former keeper still run.
+    If the new keeper started to count at zero, it would send more requests
+    than the upstream has slots, and the upstream would shed them.
     """
     upstream = fake_upstream.FakeUpstream()
-    async with scene.open_scene(open_socket=upstream.open) as here:
-        offer_contract(here)
+    async with scene.open_scene(open_socket=upstream.open) as env:
+        offer_contract(env)
         key = ids.UpstreamId("floor-trading/u1")
 
         def make_part(busy: int) -> handover.KeeperHandover:
@@ -306,11 +329,11 @@
                 ids.HostRef(5), (key,), (), (busy,), False
             )
 
-        await here.call_keeper(make_part(2))
-        here.nursery.start_soon(here.call_keeper, scene.make_dispatch())
+        await env.call_keeper(make_part(2))
+        env.nursery.start_soon(env.call_keeper, scene.make_dispatch())
         await trio.sleep(1)
         assert not upstream.received
-        await here.call_keeper(make_part(1))
+        await env.call_keeper(make_part(1))
         await trio.sleep(0.1)
         assert len(upstream.requests()) == 1
 
@@ -318,22 +341,22 @@
 @trios.clock_test
 async def test_leaving_keeper_waits_for_what_runs() -> None:
     upstream = fake_upstream.FakeUpstream(acknowledge)
-    async with scene.open_scene(open_socket=upstream.open) as here:
-        offer_contract(here)
+    async with scene.open_scene(open_socket=upstream.open) as env:
+        offer_contract(env)
         results: list[work.Dispatched] = []
 
         async def ask() -> None:
-            results.append(await here.call_keeper(scene.make_dispatch()))
+            results.append(await env.call_keeper(scene.make_dispatch()))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
             await trio.sleep(0.1)
-            here.view.put(
+            env.view.put(
                 scene.make_member("east-1", state=member.MemberState.LEAVING)
             )
-            nursery.start_soon(here.keeper.leave)
+            nursery.start_soon(env.keeper.leave)
             await trio.sleep(2)
-            late = await here.call_keeper(scene.make_dispatch(number=2))
+            late = await env.call_keeper(scene.make_dispatch(number=2))
             assert late.outcome is Outcome.NOT_KEEPER
             fake_upstream.send_separate(
                 upstream.sockets[0], upstream.received[0]
@@ -343,18 +366,22 @@
 
 @trios.clock_test
 async def test_new_incarnation_answers_for_the_former_one() -> None:
-    """A buyer hears "unknown" of a lot because its keeper was paused."""
+    """Guards against lost outcomes after a keeper changes its incarnation.
+
+    A keeper was paused and resumes as a new incarnation of the same process.
+    A buyer would receive "unknown" for a reservation that ran.
+    """
     upstream = fake_upstream.FakeUpstream()
-    async with scene.open_scene(open_socket=upstream.open) as here:
-        offer_contract(here)
+    async with scene.open_scene(open_socket=upstream.open) as env:
+        offer_contract(env)
         dispatch = scene.make_dispatch()
-        ran = await here.call_keeper(dispatch)
-        former = here.view.self_member
+        ran = await env.call_keeper(dispatch)
+        former = env.view.self_member
         present = dataclasses.replace(
             former, incarnation=ids.Incarnation(former.incarnation + 1)
         )
-        here.view.put(present)
-        here.keeper.record_incarnation(former, present)
+        env.view.put(present)
+        env.keeper.record_incarnation(former, present)
         question = scene.make_recover(dispatch, keeper=former.ref)
-        found = await here.call_keeper(question)
+        found = await env.call_keeper(question)
         assert (found.outcome, found.answer) == (ran.outcome, ran.answer)
