--- a/persimmonhinge/upstreams/dispatch_handler.py
+++ b/persimmonhinge/upstreams/dispatch_handler.py
@@ -128,7 +128,8 @@
         """Returns the outcome of a job.
 
         Stops waiting when the deadline passes, the home cancels the request
-        or its link is lost, and then cancels the job if that is safe.
+        or its link is lost. The job is then cancelled if no other call waits
+        for it and cancelling is safe.
         """
         job.waiter_count += 1
         try:
--- a/persimmonhinge/upstreams/handover_receiver.py
+++ b/persimmonhinge/upstreams/handover_receiver.py
@@ -51,7 +51,10 @@
             self._apply_busy_count(part.former, key, count)
         if part.final:
             self._former_keepers.mark_complete(part.former)
-            logger.info("Received the last handover part from %s.", caller.host)
+            logger.info(
+                "Received the last part of a former keeper's table from %s.",
+                caller.host,
+            )
         await trio.lowlevel.checkpoint()
         return handover.HandoverTaken()
 
