--- a/tests/test_upstreams/test_upstreams_keeper.py
+++ b/tests/test_upstreams/test_upstreams_keeper.py
@@ -46,13 +46,13 @@
         contract = scene.make_contract({"u1": standin.port})
         env.store.offer(scene.make_record(contract, 1))
 
-        async def ask() -> None:
+        async def dispatch_request() -> None:
             results.append(await env.call_keeper(scene.make_dispatch()))
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ask)
-            nursery.start_soon(ask)
-        await ask()
+            nursery.start_soon(dispatch_request)
+            nursery.start_soon(dispatch_request)
+        await dispatch_request()
         assert len(standin.read_log()) == 1
         assert {result.answer for result in results} == {results[0].answer}
 
--- a/tests/test_upstreams/test_upstreams_outcomes.py
+++ b/tests/test_upstreams/test_upstreams_outcomes.py
@@ -92,11 +92,11 @@
 @trios.clock_test
 async def test_silence_ends_at_the_limit_and_frees_the_slot() -> None:
     async with open_upstream(fake_upstream.swallow) as (env, upstream):
-        began_at = trio.current_time()
+        started_at = trio.current_time()
         dispatch = scene.make_dispatch(deadline_ms=60_000)
         result = await env.call_keeper(dispatch)
         assert result.outcome is Outcome.UNKNOWN
-        assert round(trio.current_time() - began_at, 3) == 10
+        assert round(trio.current_time() - started_at, 3) == 10
         assert env.keeper.list_loads()[0].busy == 0
         assert len({m.mid for m in upstream.received}) == 1
         assert len(upstream.received) > 1
--- a/tests/test_upstreams/test_upstreams_recovery.py
+++ b/tests/test_upstreams/test_upstreams_recovery.py
@@ -44,11 +44,14 @@
     async with scene.open_scene(open_socket=upstream.open) as env:
         offer_contract(env)
         dispatch = scene.make_dispatch()
-        ran = await env.call_keeper(dispatch)
+        original = await env.call_keeper(dispatch)
         for digest in (dispatch.digest, b""):
-            question = scene.make_recover(dispatch, digest=digest)
-            found = await env.call_keeper(question)
-            assert (found.outcome, found.answer) == (ran.outcome, ran.answer)
+            query = scene.make_recover(dispatch, digest=digest)
+            found = await env.call_keeper(query)
+            assert (found.outcome, found.answer) == (
+                original.outcome,
+                original.answer,
+            )
 
 
 @trios.clock_test
@@ -86,15 +89,15 @@
         async with scene.open_scene(open_socket=upstream.open) as env:
             offer_contract(env)
             dispatch = scene.make_dispatch()
-            question = scene.make_recover(dispatch)
+            query = scene.make_recover(dispatch)
             if digest is not None:
-                question = scene.make_recover(dispatch, digest=digest)
-            assert (await env.call_keeper(question)).outcome is Outcome.NOT_RUN
+                query = scene.make_recover(dispatch, digest=digest)
+            assert (await env.call_keeper(query)).outcome is Outcome.NOT_RUN
             await trio.sleep(1)
-            woken = scene.make_dispatch(
+            resumed = scene.make_dispatch(
                 ticket_expiry_ms=dispatch.ticket_expiry_ms
             )
-            assert (await env.call_keeper(woken)).outcome is Outcome.NOT_RUN
+            assert (await env.call_keeper(resumed)).outcome is Outcome.NOT_RUN
             assert not upstream.received
 
 
@@ -164,10 +167,8 @@
     rows of the requests that its former incarnation ran.
     """
     async with scene.open_scene() as env:
-        question = scene.make_recover(
-            scene.make_dispatch(), keeper=ids.HostRef(5)
-        )
-        assert (await env.call_keeper(question)).outcome is Outcome.NOT_KEEPER
+        query = scene.make_recover(scene.make_dispatch(), keeper=ids.HostRef(5))
+        assert (await env.call_keeper(query)).outcome is Outcome.NOT_KEEPER
         me = env.view.self_member.ref
         own = scene.make_recover(scene.make_dispatch(), keeper=me)
         assert (await env.call_keeper(own)).outcome is Outcome.NOT_RUN
@@ -186,7 +187,7 @@
     dispatch = scene.make_dispatch()
     async with scene.open_scene(open_socket=upstream.open) as leaver:
         offer_contract(leaver)
-        ran = await leaver.call_keeper(dispatch)
+        original = await leaver.call_keeper(dispatch)
         former = leaver.view.self_member.ref
         leaver.view.put(scene.make_member("east-2"))
         leaver.view.put(
@@ -200,15 +201,18 @@
             assert host == "east-2"
             assert isinstance(part, handover.KeeperHandover)
             parts.append(part)
-    question = scene.make_recover(dispatch, keeper=former)
+    query = scene.make_recover(dispatch, keeper=former)
     async with scene.open_scene("east-2") as successor:
         assert [part.final for part in parts] == [False, True]
         await successor.call_keeper(parts[0])
-        before = await successor.call_keeper(question)
+        before = await successor.call_keeper(query)
         assert before.outcome is Outcome.NOT_KEEPER
         await successor.call_keeper(parts[1])
-        found = await successor.call_keeper(question)
-        assert (found.outcome, found.answer) == (ran.outcome, ran.answer)
+        found = await successor.call_keeper(query)
+        assert (found.outcome, found.answer) == (
+            original.outcome,
+            original.answer,
+        )
         other = scene.make_recover(
             dispatch, keeper=former, digest=b"other request"
         )
@@ -233,8 +237,8 @@
         env.view.put(present)
         env.keeper.record_incarnation(former, present)
         dispatch = scene.make_dispatch()
-        question = scene.make_recover(dispatch, keeper=former.ref)
-        assert (await env.call_keeper(question)).outcome is Outcome.UNKNOWN
+        query = scene.make_recover(dispatch, keeper=former.ref)
+        assert (await env.call_keeper(query)).outcome is Outcome.UNKNOWN
         # The request is fenced although the outcome is unknown.
         assert (await env.call_keeper(dispatch)).outcome is Outcome.NOT_RUN
 
@@ -301,9 +305,9 @@
         offer_contract(leaver)
         await leaver.call_keeper(scene.make_dispatch())
         leaver.nursery.start_soon(_mark_dead_after, leaver, 0.5)
-        began = trio.current_time()
+        started_at = trio.current_time()
         await _leave_with_successor(leaver, scene.make_member("east-2"))
-        assert trio.current_time() - began < 1
+        assert trio.current_time() - started_at < 1
 
 
 async def _mark_dead_after(leaver: scene.Scene, seconds: float) -> None:
@@ -345,11 +349,11 @@
         offer_contract(env)
         results: list[work.Dispatched] = []
 
-        async def ask() -> None:
+        async def dispatch_request() -> None:
             results.append(await env.call_keeper(scene.make_dispatch()))
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ask)
+            nursery.start_soon(dispatch_request)
             await trio.sleep(0.1)
             env.view.put(
                 scene.make_member("east-1", state=member.MemberState.LEAVING)
@@ -375,13 +379,16 @@
     async with scene.open_scene(open_socket=upstream.open) as env:
         offer_contract(env)
         dispatch = scene.make_dispatch()
-        ran = await env.call_keeper(dispatch)
+        original = await env.call_keeper(dispatch)
         former = env.view.self_member
         present = dataclasses.replace(
             former, incarnation=ids.Incarnation(former.incarnation + 1)
         )
         env.view.put(present)
         env.keeper.record_incarnation(former, present)
-        question = scene.make_recover(dispatch, keeper=former.ref)
-        found = await env.call_keeper(question)
-        assert (found.outcome, found.answer) == (ran.outcome, ran.answer)
+        query = scene.make_recover(dispatch, keeper=former.ref)
+        found = await env.call_keeper(query)
+        assert (found.outcome, found.answer) == (
+            original.outcome,
+            original.answer,
+        )
