--- a/persimmonhinge/upstreams/executed_table.py
+++ b/persimmonhinge/upstreams/executed_table.py
@@ -102,8 +102,8 @@
         )
         refused.upstream = dispatch.upstream
         refused.refused_home_uptime_ms = dispatch.home_uptime_ms
-        expiry_ms = dispatch.home_uptime_ms + MAX_DISPATCH_AGE_MS + 1
-        self._rows.put(refused, min(expiry_ms, entry.expiry_ms))
+        due_ms = dispatch.home_uptime_ms + MAX_DISPATCH_AGE_MS + 1
+        self._rows.put(refused, min(due_ms, entry.expiry_ms))
 
     def recover_request(
         self, query: work.Recover
@@ -134,7 +134,9 @@
         if self.is_full and self._rows.get(fence.key) is None:
             return _make_unknown("keeper's table of requests is full")
         self._rows.put(fence, fence.expiry_ms)
-        return _make_not_run("request did not run at this keeper")
+        return _make_not_run(
+            "request did not run at this keeper and will not run"
+        )
 
     def remove_expired(self, home: ids.HostRef) -> None:
         """Removes the rows of a home that are no longer needed.
