--- a/persimmonhinge/upstreams/__init__.py
+++ b/persimmonhinge/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""The keeper: sends requests and opens feeds to the upstreams of a host."""
+"""The keeper: runs requests and feeds at the upstreams that a host keeps."""
--- a/persimmonhinge/upstreams/added_upstreams.py
+++ b/persimmonhinge/upstreams/added_upstreams.py
@@ -8,7 +8,7 @@
 from persimmonhinge.contracts import contract as contract_module
 from persimmonhinge.contracts import store as store_module
 
-_UpstreamKey = tuple[str, contract_module.Address]
+_IdAndAddress = tuple[str, contract_module.Address]
 
 
 class AddedUpstreams:
@@ -25,7 +25,7 @@
         self._store = store
         self._store_version = -1
         self._added_at: dict[
-            ids.ServiceName, dict[_UpstreamKey, float | None]
+            ids.ServiceName, dict[_IdAndAddress, float | None]
         ] = {}
 
     def refresh(self) -> None:
@@ -56,9 +56,9 @@
     def _compute_added_at(
         self,
         contract: contract_module.Contract,
-        previous: dict[_UpstreamKey, float | None] | None,
-    ) -> dict[_UpstreamKey, float | None]:
-        added_at: dict[_UpstreamKey, float | None] = {}
+        previous: dict[_IdAndAddress, float | None] | None,
+    ) -> dict[_IdAndAddress, float | None]:
+        added_at: dict[_IdAndAddress, float | None] = {}
         for upstream in contract.upstreams:
             if upstream.state is contract_module.UpstreamState.DRAINING:
                 # Draining upstreams are left out, so that one whose draining
--- a/persimmonhinge/upstreams/dispatch_handler.py
+++ b/persimmonhinge/upstreams/dispatch_handler.py
@@ -20,8 +20,8 @@
 from persimmonhinge.upstreams import target as target_module
 from persimmonhinge.upstreams import upstreams as upstreams_module
 
-# Extra time to wait after the deadline: an upstream that uses its whole
-# deadline answers at the very moment when it passes.
+# Extra time to wait after the deadline, for the answer of an upstream that
+# uses all the time until the deadline.
 _ANSWER_GRACE_S = 0.05
 
 _Outcome = work.Outcome
@@ -145,11 +145,9 @@
         self, caller: network.Caller, job: job_module.Job
     ) -> None:
         with trio.move_on_at(job.deadline + _ANSWER_GRACE_S) as scope:
-            check_caller = functools.partial(
-                _cancel_if_caller_gone, caller, scope
-            )
-            caller.watch(check_caller)
-            check_caller()
+            check_call = functools.partial(_cancel_if_call_ended, caller, scope)
+            caller.watch(check_call)
+            check_call()
             await job.wait()
 
     def _abandon_job(self, job: job_module.Job) -> work.Dispatched:
@@ -184,7 +182,7 @@
         return not transfer.may_run
 
 
-def _cancel_if_caller_gone(
+def _cancel_if_call_ended(
     caller: network.Caller, scope: trio.CancelScope
 ) -> None:
     """Cancels a scope if the home cancelled its call or its link is lost."""
--- a/persimmonhinge/upstreams/executed_entry.py
+++ b/persimmonhinge/upstreams/executed_row.py
@@ -1,4 +1,4 @@
-"""Entries of the table of executed requests."""
+"""A row of the table of executed requests."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     digest: bytes
 
 
-class EntryState(enum.Enum):
+class RowState(enum.Enum):
     """State of a request.
 
     PENDING: The request is queued or running.
@@ -42,7 +42,7 @@
     FENCED = "fenced"
 
 
-class ExecutedEntry:
+class ExecutedRow:
     """One row of the table of executed requests.
 
     Attributes:
@@ -75,7 +75,7 @@
         key: ExecutedKey,
         home: ids.HostRef,
         expiry_ms: int,
-        state: EntryState,
+        state: RowState,
     ) -> None:
         self.key = key
         self.home = home
--- a/persimmonhinge/upstreams/executed_table.py
+++ b/persimmonhinge/upstreams/executed_table.py
@@ -6,19 +6,19 @@
 
 from persimmonhinge import ids
 from persimmonhinge.peers.messages import work
-from persimmonhinge.upstreams import executed_entry
+from persimmonhinge.upstreams import executed_row
 from persimmonhinge.upstreams import executed_rows
 from persimmonhinge.upstreams import job as job_module
 from persimmonhinge.upstreams import uptimes as uptimes_module
 
-# Maximum difference between the home's uptime and the uptime in a dispatch.
-# Older dispatches are refused, so a row of a refused dispatch needs to be
-# stored only for this long.
+# Maximum difference between the lower bound of the home's uptime and the
+# uptime in a dispatch. Older dispatches are refused, so the row of a refused
+# dispatch needs to be stored only for this long.
 MAX_DISPATCH_AGE_MS = 5_000
-MAX_ENTRIES = 100_000
+MAX_ROWS = 100_000
 MAX_ANSWER_OCTETS = 64 * 1024 * 1024
 
-_State = executed_entry.EntryState
+_State = executed_row.RowState
 _Outcome = work.Outcome
 
 
@@ -28,18 +28,18 @@
     A row is written before the request is sent to the upstream. It is
     removed only when the home's uptime has certainly passed the expiry of
     the ticket. After that, no query about the ticket is answered with "not
-    run", because the removed row may have belonged to it. Rows are never
-    evicted: a full table accepts no new requests.
+    run", because the row of the queried request may have been removed. Rows
+    are never evicted: a full table accepts no new requests.
     """
 
     def __init__(
         self,
         uptimes: uptimes_module.Uptimes,
-        max_entries: int = MAX_ENTRIES,
+        max_rows: int = MAX_ROWS,
         max_answer_octets: int = MAX_ANSWER_OCTETS,
     ) -> None:
         self.uptimes = uptimes
-        self._max_entries = max_entries
+        self._max_rows = max_rows
         self._max_answer_octets = max_answer_octets
         self._rows = executed_rows.ExecutedRows()
 
@@ -49,13 +49,13 @@
     @property
     def is_full(self) -> bool:
         """True if the table accepts no new rows."""
-        if len(self._rows) >= self._max_entries:
+        if len(self._rows) >= self._max_rows:
             return True
         return self._rows.answer_octets >= self._max_answer_octets
 
     def check_dispatch(
         self, dispatch: work.Dispatch
-    ) -> executed_entry.ExecutedEntry | work.Dispatched | None:
+    ) -> executed_row.ExecutedRow | work.Dispatched | None:
         """Decides whether a dispatched request may run.
 
         Returns:
@@ -74,40 +74,40 @@
         self, dispatch: work.Dispatch, job: job_module.Job
     ) -> None:
         """Adds the row of a job before the job is queued or started."""
-        entry = executed_entry.ExecutedEntry(
+        row = executed_row.ExecutedRow(
             _make_key(dispatch),
             dispatch.home,
             dispatch.ticket_expiry_ms,
             _State.PENDING,
         )
-        entry.job = job
+        row.job = job
         job.on_finish = functools.partial(self.finish_request, dispatch)
-        self._rows.put(entry, entry.expiry_ms)
+        self._rows.put(row, row.expiry_ms)
 
     def finish_request(
         self, dispatch: work.Dispatch, outcome: work.Dispatched
     ) -> None:
         """Stores the outcome of a job, or the fact that it was refused."""
-        entry = self._rows.get(_make_key(dispatch))
-        if entry is None or entry.state is not _State.PENDING:
+        row = self._rows.get(_make_key(dispatch))
+        if row is None or row.state is not _State.PENDING:
             return
-        entry.job = None
+        row.job = None
         if outcome.outcome in (_Outcome.ANSWERED, _Outcome.UNKNOWN):
-            entry.state = _State.ENDED
-            entry.outcome = outcome
-            self._rows.answer_octets += entry.answer_octets
+            row.state = _State.ENDED
+            row.outcome = outcome
+            self._rows.answer_octets += row.answer_octets
             return
-        refused = executed_entry.ExecutedEntry(
-            entry.key, entry.home, entry.expiry_ms, _State.REFUSED
+        refused = executed_row.ExecutedRow(
+            row.key, row.home, row.expiry_ms, _State.REFUSED
         )
         refused.upstream = dispatch.upstream
         refused.refused_home_uptime_ms = dispatch.home_uptime_ms
         due_ms = dispatch.home_uptime_ms + MAX_DISPATCH_AGE_MS + 1
-        self._rows.put(refused, min(due_ms, entry.expiry_ms))
+        self._rows.put(refused, min(due_ms, row.expiry_ms))
 
     def recover_request(
         self, query: work.Recover
-    ) -> executed_entry.ExecutedEntry | work.Dispatched:
+    ) -> executed_row.ExecutedRow | work.Dispatched:
         """Looks up the outcome of a request and fences it if it did not run.
 
         Returns:
@@ -116,7 +116,7 @@
         self.uptimes.record_ticket_expiry(query.home, query.ticket_expiry_ms)
         self.remove_expired(query.home)
         existing = self._find_rows(query)
-        started = [entry for entry in existing if _may_have_run(entry)]
+        started = [row for row in existing if _may_have_run(row)]
         if len(started) > 1:
             # The caller used its token for several requests, and the query
             # has no digest that would identify one of them.
@@ -125,8 +125,8 @@
             return started[0]
         if self._is_expired(query.home, query.ticket_expiry_ms):
             return _make_unknown("ticket has expired")
-        fence = executed_entry.ExecutedEntry(
-            executed_entry.ExecutedKey(query.ticket, query.token, query.digest),
+        fence = executed_row.ExecutedRow(
+            executed_row.ExecutedKey(query.ticket, query.token, query.digest),
             query.home,
             query.ticket_expiry_ms,
             _State.FENCED,
@@ -144,44 +144,42 @@
         Pending rows stay and are checked again later.
         """
         uptime_ms = self.uptimes.get_lower_bound_ms(home)
-        for entry in self._rows.pop_due(home, uptime_ms):
-            if entry.state is _State.PENDING:
-                self._rows.schedule_check(
-                    entry, uptime_ms + MAX_DISPATCH_AGE_MS
-                )
+        for row in self._rows.pop_due(home, uptime_ms):
+            if row.state is _State.PENDING:
+                self._rows.schedule_check(row, uptime_ms + MAX_DISPATCH_AGE_MS)
             else:
-                self._rows.remove(entry)
+                self._rows.remove(row)
 
     def remove_all_expired(self) -> None:
         """Removes the rows of all homes that are no longer needed."""
         for home in self._rows.list_homes():
             self.remove_expired(home)
 
-    def list_final_rows(self) -> list[executed_entry.ExecutedEntry]:
+    def list_final_rows(self) -> list[executed_row.ExecutedRow]:
         """Returns the rows to hand over: those ENDED or FENCED."""
         return [
-            entry
-            for entry in self._rows
-            if entry.state in (_State.ENDED, _State.FENCED)
+            row
+            for row in self._rows
+            if row.state in (_State.ENDED, _State.FENCED)
         ]
 
-    def add_handed_over_row(self, entry: executed_entry.ExecutedEntry) -> bool:
+    def add_handed_over_row(self, row: executed_row.ExecutedRow) -> bool:
         """Adds a row that a former keeper handed over.
 
         Returns:
             False if the row was not stored because the table is full.
         """
-        existing = self._rows.get(entry.key)
+        existing = self._rows.get(row.key)
         if existing is not None and _may_have_run(existing):
             return True
         if self.is_full:
             return False
-        self._rows.put(entry, entry.expiry_ms)
+        self._rows.put(row, row.expiry_ms)
         return True
 
     def _check_existing(
-        self, existing: executed_entry.ExecutedEntry, dispatch: work.Dispatch
-    ) -> executed_entry.ExecutedEntry | work.Dispatched | None:
+        self, existing: executed_row.ExecutedRow, dispatch: work.Dispatch
+    ) -> executed_row.ExecutedRow | work.Dispatched | None:
         if existing.state is _State.FENCED:
             return _make_not_run("request was already reported as not run")
         if existing.state is not _State.REFUSED:
@@ -225,34 +223,32 @@
 
     def _find_row(
         self, dispatch: work.Dispatch
-    ) -> executed_entry.ExecutedEntry | None:
+    ) -> executed_row.ExecutedRow | None:
         key = _make_key(dispatch)
         existing = self._rows.get(key)
         if existing is not None and existing.state is not _State.REFUSED:
             return existing
         fence = self._rows.get(
-            executed_entry.ExecutedKey(key.ticket, key.token, b"")
+            executed_row.ExecutedKey(key.ticket, key.token, b"")
         )
         return fence or existing
 
-    def _find_rows(
-        self, query: work.Recover
-    ) -> list[executed_entry.ExecutedEntry]:
+    def _find_rows(self, query: work.Recover) -> list[executed_row.ExecutedRow]:
         rows = self._rows.get_by_token(query.ticket, query.token)
         if not query.digest:
             return list(rows.values())
-        entry = rows.get(query.digest)
-        return [] if entry is None else [entry]
+        row = rows.get(query.digest)
+        return [] if row is None else [row]
 
 
-def _make_key(dispatch: work.Dispatch) -> executed_entry.ExecutedKey:
-    return executed_entry.ExecutedKey(
+def _make_key(dispatch: work.Dispatch) -> executed_row.ExecutedKey:
+    return executed_row.ExecutedKey(
         dispatch.ticket, dispatch.token, dispatch.digest
     )
 
 
-def _may_have_run(entry: executed_entry.ExecutedEntry) -> bool:
-    return entry.state in (_State.PENDING, _State.ENDED)
+def _may_have_run(row: executed_row.ExecutedRow) -> bool:
+    return row.state in (_State.PENDING, _State.ENDED)
 
 
 def _make_not_run(reason: str, retry_after_s: int = 0) -> work.Dispatched:
--- a/persimmonhinge/upstreams/former_keepers.py
+++ b/persimmonhinge/upstreams/former_keepers.py
@@ -12,7 +12,7 @@
 
 
 class FormerKeepers:
-    """Records for which former keepers this host can answer.
+    """Records for which former keepers this host answers recovery queries.
 
     This host can answer for another host only after it has received that
     host's complete table. Until then, a missing row does not mean that a
@@ -41,9 +41,10 @@
     def add_own_incarnation(self, former: ids.HostRef) -> None:
         """Records a former incarnation of this host.
 
-        Callers may already have received "unknown" for requests of that
-        incarnation. This host therefore reports its stored outcomes, but
-        never that one of its requests did not run.
+        Other hosts may have declared that incarnation dead, and callers may
+        have received "unknown" for its requests. This host therefore reports
+        the stored outcomes, but never that one of these requests did not
+        run.
         """
         self._own_replaced_at[former] = self._clock()
 
@@ -52,7 +53,7 @@
         return former in self._own_replaced_at
 
     def can_answer_for(self, former: ids.HostRef) -> bool:
-        """Returns whether this host can answer for a former keeper."""
+        """Returns whether queries about a former keeper can be answered."""
         return former in self._completed_at or former in self._own_replaced_at
 
     def list_complete(self) -> list[ids.HostRef]:
--- a/persimmonhinge/upstreams/handover_receiver.py
+++ b/persimmonhinge/upstreams/handover_receiver.py
@@ -1,4 +1,4 @@
-"""Applies what former keepers hand over to this host."""
+"""Applies the handovers that this host receives from former keepers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from persimmonhinge.peers import network
 from persimmonhinge.peers.messages import handover
 from persimmonhinge.peers.messages import work
-from persimmonhinge.upstreams import executed_entry
+from persimmonhinge.upstreams import executed_row
 from persimmonhinge.upstreams import executed_table
 from persimmonhinge.upstreams import former_keepers as former_keepers_module
 from persimmonhinge.upstreams import roles as roles_module
@@ -19,7 +19,7 @@
 
 logger = logging.getLogger(__name__)
 
-_State = executed_entry.EntryState
+_State = executed_row.RowState
 
 
 class HandoverReceiver:
@@ -58,19 +58,25 @@
         await trio.lowlevel.checkpoint()
         return handover.HandoverTaken()
 
-    def _store_row(self, former: ids.HostRef, row: handover.Executed) -> None:
+    def _store_row(
+        self, former: ids.HostRef, handover_row: handover.Executed
+    ) -> None:
         state = _State.ENDED
-        if row.outcome is work.Outcome.NOT_RUN:
+        if handover_row.outcome is work.Outcome.NOT_RUN:
             state = _State.FENCED
-        uptime_ms = max(0, self._executed.uptimes.get_lower_bound_ms(row.home))
-        entry = executed_entry.ExecutedEntry(
-            executed_entry.ExecutedKey(row.ticket, row.token, row.digest),
-            row.home,
-            uptime_ms + row.expires_in_ms,
+        uptime_ms = max(
+            0, self._executed.uptimes.get_lower_bound_ms(handover_row.home)
+        )
+        row = executed_row.ExecutedRow(
+            executed_row.ExecutedKey(
+                handover_row.ticket, handover_row.token, handover_row.digest
+            ),
+            handover_row.home,
+            uptime_ms + handover_row.expires_in_ms,
             state,
         )
-        entry.outcome = work.Dispatched(row.outcome, row.answer)
-        if not self._executed.add_handed_over_row(entry):
+        row.outcome = work.Dispatched(handover_row.outcome, handover_row.answer)
+        if not self._executed.add_handed_over_row(row):
             # Guards against a table with a missing row, which would lead to
             # the answer "not run" for a request that the former keeper ran.
             self._former_keepers.mark_incomplete(former)
--- a/persimmonhinge/upstreams/handover_sender.py
+++ b/persimmonhinge/upstreams/handover_sender.py
@@ -13,7 +13,7 @@
 from persimmonhinge.peers import network as network_module
 from persimmonhinge.peers.messages import handover
 from persimmonhinge.peers.messages import work
-from persimmonhinge.upstreams import executed_entry
+from persimmonhinge.upstreams import executed_row
 from persimmonhinge.upstreams import executed_table
 from persimmonhinge.upstreams import former_keepers as former_keepers_module
 from persimmonhinge.upstreams import kept as kept_module
@@ -25,8 +25,7 @@
 _POLL_INTERVAL_S = 0.05
 _CALL_TIMEOUT_S = 2.0
 # Maximum duration of the attempts to reach a live successor, and the pause
-# between two attempts. The first attempt to reconnect a failed link starts
-# after 0.2 s.
+# between two attempts. A failed link is dialed again after 0.2 s at first.
 _MAX_RETRY_DURATION_S = 3.0
 _RETRY_INTERVAL_S = 0.1
 _MAX_PART_ROWS = 200
@@ -34,7 +33,7 @@
 
 
 class HandoverSender:
-    """Sends counts of running requests and executed rows to successors."""
+    """Sends counts of running requests and the executed table to successors."""
 
     def __init__(
         self,
@@ -51,19 +50,19 @@
         self._executed = executed
         self._former_keepers = former_keepers
         self._network = network
-        self._reported: set[kept_module.KeptUpstream] = set()
+        self._reporting: set[kept_module.KeptUpstream] = set()
 
     def start_reports(self, nursery: trio.Nursery) -> None:
-        """Starts reports on running requests of upstreams that have moved.
+        """Starts reports on running requests of upstreams with a new keeper.
 
         Args:
             nursery: Runs the reports.
         """
         for kept in self._upstreams.list_all():
-            if kept in self._reported or not kept.slots.running:
+            if kept in self._reporting or not kept.slots.running:
                 continue
             if self._find_successor(kept) is not None:
-                self._reported.add(kept)
+                self._reporting.add(kept)
                 nursery.start_soon(self._report_running, kept)
 
     async def hand_over(self) -> None:
@@ -76,7 +75,7 @@
         """
         self._upstreams.refresh()
         successors = self._list_successors()
-        sent: set[executed_entry.ExecutedEntry] = set()
+        sent: set[executed_row.ExecutedRow] = set()
         await self._send_rows(successors, sent)
         while any(k.slots.running for k in self._upstreams.list_all()):
             await trio.sleep(_POLL_INTERVAL_S)
@@ -107,7 +106,7 @@
                     reported_busy = busy
                 await trio.sleep(_POLL_INTERVAL_S)
         finally:
-            self._reported.discard(kept)
+            self._reporting.discard(kept)
 
     def _find_successor(
         self, kept: kept_module.KeptUpstream
@@ -118,7 +117,7 @@
         return keeper.host
 
     def _list_successors(self) -> list[ids.HostId]:
-        """Returns the hosts that are now the keepers of this host's domain."""
+        """Returns the hosts that are now the keepers in this host's domain."""
         me = self._view.self_member
         found = {
             keeper.host
@@ -132,12 +131,12 @@
     async def _send_rows(
         self,
         successors: list[ids.HostId],
-        sent: set[executed_entry.ExecutedEntry],
+        sent: set[executed_row.ExecutedRow],
     ) -> None:
-        unsent = [e for e in self._executed.list_final_rows() if e not in sent]
+        unsent = [r for r in self._executed.list_final_rows() if r not in sent]
         sent.update(unsent)
         homes = self._list_home_uptimes()
-        for rows in _split_rows([self._make_row(entry) for entry in unsent]):
+        for rows in _split_rows([self._make_handover_row(r) for r in unsent]):
             part = self._make_part(executed=rows, homes=homes)
             for successor in tuple(successors):
                 if not await self._send_part(successor, part):
@@ -154,21 +153,19 @@
         for successor in successors:
             await self._send_part(successor, part)
 
-    def _make_row(
-        self, entry: executed_entry.ExecutedEntry
+    def _make_handover_row(
+        self, row: executed_row.ExecutedRow
     ) -> handover.Executed:
         outcome, answer = work.Outcome.NOT_RUN, b""
-        if entry.outcome is not None:
-            outcome, answer = entry.outcome.outcome, entry.outcome.answer
-        uptime_ms = max(
-            0, self._executed.uptimes.get_lower_bound_ms(entry.home)
-        )
+        if row.outcome is not None:
+            outcome, answer = row.outcome.outcome, row.outcome.answer
+        uptime_ms = max(0, self._executed.uptimes.get_lower_bound_ms(row.home))
         return handover.Executed(
-            entry.key.ticket,
-            entry.key.token,
-            entry.key.digest,
-            entry.home,
-            max(0, entry.expiry_ms - uptime_ms),
+            row.key.ticket,
+            row.key.token,
+            row.key.digest,
+            row.home,
+            max(0, row.expiry_ms - uptime_ms),
             outcome,
             answer,
         )
@@ -198,7 +195,7 @@
     async def _send_part(
         self, host: ids.HostId, part: handover.KeeperHandover
     ) -> bool:
-        """Sends a part to a successor; False if it could not be reached."""
+        """Sends a part to a successor; returns False if it is unreachable."""
         retry_until = trio.current_time() + _MAX_RETRY_DURATION_S
         while True:
             try:
@@ -218,7 +215,10 @@
 def _split_rows(
     rows: list[handover.Executed],
 ) -> Iterator[tuple[handover.Executed, ...]]:
-    """Splits rows into parts small enough not to delay other messages."""
+    """Splits rows into parts small enough not to delay other messages.
+
+    The other messages are those that the link to the successor carries.
+    """
     part: list[handover.Executed] = []
     octets = 0
     for row in rows:
--- a/persimmonhinge/upstreams/job.py
+++ b/persimmonhinge/upstreams/job.py
@@ -44,7 +44,8 @@
         waiter_count: Number of calls that wait for the outcome.
         withdraw: Removes the job from the queue and finishes it as not run;
             returns False if the job is not queued any more.
-        transfer: The exchange with the upstream; None until the job runs.
+        transfer: Sends the request to the upstream and receives its answer;
+            None until the job runs.
         on_finish: Called with the outcome, before waiting calls resume.
     """
 
--- a/persimmonhinge/upstreams/keeper.py
+++ b/persimmonhinge/upstreams/keeper.py
@@ -109,7 +109,7 @@
             handover_sender = self._make_handover_sender(upstreams)
             self._upstreams = upstreams
             self._handover_sender = handover_sender
-            self._register(context, upstreams)
+            self._register_handlers(context, upstreams)
             for changed in (self._view.changed, self._contracts.changed):
                 # The version is read before the first refresh. Otherwise a
                 # change between that refresh and the start of the task would
@@ -144,17 +144,17 @@
         self._former_keepers.add_own_incarnation(former.ref)
 
     async def leave(self) -> None:
-        """Hands over this host's table and waits for running requests.
+        """Hands over the table of executed requests and waits for running ones.
 
         Must be called after this host's own view shows it as leaving, so
         that no new request starts. Returns only after all running requests
-        have finished.
+        have finished and all feeds are closed.
         """
         if self._handover_sender is not None:
             await self._handover_sender.hand_over()
 
     def list_loads(self) -> list[work.UpstreamLoad]:
-        """Returns the load of each kept upstream, by `service/upstream`."""
+        """Returns the loads of kept upstreams, named `service/upstream`."""
         if self._upstreams is None:
             return []
         return [
@@ -179,7 +179,7 @@
             event_budget.EventBudget(self._counts),
         )
 
-    def _register(
+    def _register_handlers(
         self,
         context: context_module.KeeperContext,
         upstreams: upstreams_module.KeptUpstreams,
--- a/persimmonhinge/upstreams/recover_handler.py
+++ b/persimmonhinge/upstreams/recover_handler.py
@@ -11,9 +11,9 @@
 from persimmonhinge.upstreams import former_keepers as former_keepers_module
 
 _Outcome = work.Outcome
-_UNKNOWN_FORMER_INCARNATION = work.Dispatched(
+_FORMER_INCARNATION_OUTCOME = work.Dispatched(
     _Outcome.UNKNOWN,
-    reason="keeper changed its incarnation and has no outcome",
+    reason="keeper took a new incarnation before the request ran",
 )
 
 
@@ -49,7 +49,7 @@
             outcome.outcome is _Outcome.NOT_RUN
             and self._former_keepers.is_own_incarnation(query.keeper)
         ):
-            outcome = _UNKNOWN_FORMER_INCARNATION
+            outcome = _FORMER_INCARNATION_OUTCOME
         self._counts.add(
             "keeper_recovered_total", outcome=outcome.outcome.value
         )
--- a/persimmonhinge/upstreams/roles.py
+++ b/persimmonhinge/upstreams/roles.py
@@ -1,4 +1,4 @@
-"""Looks up the keepers of upstreams and their current contracts."""
+"""Looks up upstreams in the current contracts, and their keepers."""
 
 from __future__ import annotations
 
--- a/persimmonhinge/upstreams/upstreams.py
+++ b/persimmonhinge/upstreams/upstreams.py
@@ -17,7 +17,7 @@
 
 logger = logging.getLogger(__name__)
 
-_UpstreamKey = tuple[ids.UpstreamId, contract.Address]
+_KeyAndAddress = tuple[ids.UpstreamId, contract.Address]
 
 
 class KeptUpstreams:
@@ -32,7 +32,7 @@
     ) -> None:
         self._context = context
         self._roles = roles
-        self._kept: dict[_UpstreamKey, kept_module.KeptUpstream] = {}
+        self._kept: dict[_KeyAndAddress, kept_module.KeptUpstream] = {}
         self._added_upstreams = added_upstreams.AddedUpstreams(
             context.contracts
         )
@@ -40,16 +40,16 @@
     def get_or_create(
         self, target: target_module.Target
     ) -> kept_module.KeptUpstream:
-        """Returns the entry of a kept upstream, and creates it if missing."""
-        key = (target.key, target.upstream.address)
-        kept = self._kept.get(key)
+        """Returns the `KeptUpstream` of a target; creates it if missing."""
+        key_and_address = (target.key, target.upstream.address)
+        kept = self._kept.get(key_and_address)
         if kept is None:
             added_at = self._added_upstreams.find_added_at(
                 target.service, target.upstream
             )
             slow_start = slow_start_module.SlowStart(added_at)
             kept = kept_module.KeptUpstream(self._context, target, slow_start)
-            self._kept[key] = kept
+            self._kept[key_and_address] = kept
         elif kept.target != target:
             kept.update(target)
         return kept
@@ -59,7 +59,7 @@
         return [k for k in self._kept.values() if self._is_kept(k)]
 
     def list_all(self) -> list[kept_module.KeptUpstream]:
-        """Returns all upstreams, including those that moved recently."""
+        """Returns all upstreams, including those that have a new keeper."""
         return list(self._kept.values())
 
     def refresh(self) -> None:
@@ -72,14 +72,20 @@
             self._release_if_moved(kept)
 
     def run_periodic_tasks(self) -> None:
-        """Fills free slots, closes idle sockets and removes idle upstreams."""
+        """Starts queued jobs in free slots and closes sockets that are idle.
+
+        Upstreams that are idle and no longer kept by this host are removed.
+        """
         for kept in self.list_all():
             kept.slots.fill()
             kept.endpoints.close_idle()
             if kept.is_idle and not self._is_kept(kept):
                 kept.endpoints.close()
-                key = (kept.target.key, kept.target.upstream.address)
-                del self._kept[key]
+                key_and_address = (
+                    kept.target.key,
+                    kept.target.upstream.address,
+                )
+                del self._kept[key_and_address]
 
     def _is_kept(self, kept: kept_module.KeptUpstream) -> bool:
         current = self._find_current_target(kept)
--- a/tests/test_upstreams/test_upstreams_executed.py
+++ b/tests/test_upstreams/test_upstreams_executed.py
@@ -11,7 +11,7 @@
 from persimmonhinge.coap import codec
 from persimmonhinge.contracts import contract
 from persimmonhinge.peers.messages import work
-from persimmonhinge.upstreams import executed_entry
+from persimmonhinge.upstreams import executed_row
 from persimmonhinge.upstreams import executed_table
 from persimmonhinge.upstreams import job as job_module
 from persimmonhinge.upstreams import uptimes
@@ -148,7 +148,7 @@
         expiry_ms = self.uptime_offset_ms + _TICKET_LIFETIME_MS
         dispatch = make_dispatch(number, 0, expiry_ms)
         found = self.table.recover_request(make_recover(dispatch))
-        if isinstance(found, executed_entry.ExecutedEntry):
+        if isinstance(found, executed_row.ExecutedRow):
             assert self.runs.get(dispatch.digest, 0) == 1
             return
         if found.outcome is Outcome.NOT_RUN:
@@ -165,25 +165,25 @@
     def _check_verdict(
         self,
         dispatch: work.Dispatch,
-        verdict: executed_entry.ExecutedEntry | work.Dispatched,
+        verdict: executed_row.ExecutedRow | work.Dispatched,
     ) -> None:
-        if isinstance(verdict, executed_entry.ExecutedEntry):
+        if isinstance(verdict, executed_row.ExecutedRow):
             assert self.runs.get(dispatch.digest, 0) == 1
             return
         if verdict.outcome is not Outcome.NOT_RUN:
             return
         assert dispatch.digest not in self.runs
-        same = [d for d in self.sent if d.digest == dispatch.digest]
-        if same[-1] is dispatch:
+        copies = [d for d in self.sent if d.digest == dispatch.digest]
+        if copies[-1] is dispatch:
             # The home waits for the outcome of its newest dispatch, and now
             # reports to the caller that the request did not run.
             self.declared_not_run.add(dispatch.digest)
 
 
-def make_model(uptime_offset_ms: int, max_entries: int) -> Model:
+def make_model(uptime_offset_ms: int, max_rows: int) -> Model:
     """Returns a model with an empty table."""
     clock = Clock()
-    table = executed_table.ExecutedTable(uptimes.Uptimes(clock), max_entries)
+    table = executed_table.ExecutedTable(uptimes.Uptimes(clock), max_rows)
     return Model(table, clock, uptime_offset_ms)
 
 
@@ -227,45 +227,45 @@
 @hypothesis.given(
     steps=_STEPS,
     uptime_offset_ms=strategies.integers(0, 10_000_000),
-    max_entries=strategies.integers(1, 4),
+    max_rows=strategies.integers(1, 4),
 )
 def test_executed_no_history_runs_a_request_twice(
-    steps: list[tuple[str, int]], uptime_offset_ms: int, max_entries: int
+    steps: list[tuple[str, int]], uptime_offset_ms: int, max_rows: int
 ) -> None:
-    """Guards against requests that run twice or are wrongly "not run".
+    """Guards against requests that run twice or are wrongly called not run.
 
     A buyer would be billed twice, or receive "not run" for a lot that is
     reserved. Dispatches are read late, in any order and more than once,
     answers are lost, other hosts send recovery queries, tickets expire, and
     the table is full.
     """
-    model = make_model(uptime_offset_ms, max_entries)
+    model = make_model(uptime_offset_ms, max_rows)
     for name, value in steps:
         apply_step(model, name, value)
-        assert len(model.table) <= max_entries
+        assert len(model.table) <= max_rows
 
 
 @hypothesis.given(
     delays_ms=strategies.lists(strategies.integers(0, 50_000), max_size=10),
     start_ms=strategies.integers(0, 10**9),
 )
-def test_executed_uptime_is_a_rising_bound_from_below(
+def test_executed_uptime_is_a_lower_bound_that_never_decreases(
     delays_ms: list[int], start_ms: int
 ) -> None:
     clock = Clock()
     bounds = uptimes.Uptimes(clock)
-    former = -1
+    previous_ms = -1
     for delay_ms in delays_ms:
         true_ms = start_ms + int(clock.now_s * 1000)
         bounds.record_uptime(_HOME, true_ms - delay_ms)
         clock.now_s += 0.7
         bound_ms = bounds.get_lower_bound_ms(_HOME)
-        assert former <= bound_ms <= start_ms + clock.now_s * 1000
-        former = bound_ms
+        assert previous_ms <= bound_ms <= start_ms + clock.now_s * 1000
+        previous_ms = bound_ms
 
 
-def test_executed_full_table_takes_nothing_and_forgets_nothing() -> None:
-    model = make_model(0, max_entries=2)
+def test_executed_full_table_accepts_and_evicts_nothing() -> None:
+    model = make_model(0, max_rows=2)
     for number in range(3):
         model.send(number)
         model.read_dispatch(number, has_slot=True)
@@ -274,7 +274,7 @@
     found = model.table.recover_request(
         make_recover(make_dispatch(0, 0, 8_000))
     )
-    assert isinstance(found, executed_entry.ExecutedEntry)
+    assert isinstance(found, executed_row.ExecutedRow)
     refused = model.table.recover_request(
         make_recover(make_dispatch(3, 0, 8_000))
     )
@@ -283,12 +283,12 @@
 
 
 def test_executed_expired_ticket_runs_nothing() -> None:
-    """Guards against a second run of a copy read after its ticket expired.
+    """Guards against a second run when a copy arrives after ticket expiry.
 
     The row of the first run has been removed by then, so a missing row does
     not mean that the request may run.
     """
-    model = make_model(0, max_entries=2)
+    model = make_model(0, max_rows=2)
     model.send(0)
     model.read_dispatch(0, has_slot=True)
     model.finish(0, Outcome.ANSWERED)
