--- a/tests/test_upstreams/fake_network.py
+++ b/tests/test_upstreams/fake_network.py
@@ -90,7 +90,7 @@
         self.to_keeper.on_message = look
 
     def close(self, *, link_lost: bool = False) -> None:
-        """Closes the call from the home's side, or as on loss of the link."""
+        """Closes the call, either by the home or because its link is lost."""
         self.link_lost = link_lost
         self.closed.set()
         self.to_keeper.close()
--- a/tests/test_upstreams/test_upstreams_keeper.py
+++ b/tests/test_upstreams/test_upstreams_keeper.py
@@ -82,7 +82,7 @@
 
 
 @trios.trio_test
-async def test_keeper_refuses_what_is_not_its_own() -> None:
+async def test_keeper_refuses_upstreams_that_it_does_not_keep() -> None:
     async with scene.open_scene() as env:
         contract = scene.make_contract({"u1": 9})
         env.store.offer(scene.make_record(contract, 3))
--- a/tests/test_upstreams/test_upstreams_outcomes.py
+++ b/tests/test_upstreams/test_upstreams_outcomes.py
@@ -25,7 +25,11 @@
 async def open_upstream(
     answer: fake_upstream.Answer | None = None,
 ) -> AsyncIterator[tuple[scene.Scene, fake_upstream.FakeUpstream]]:
-    """Runs a keeper with an upstream whose answers a function makes."""
+    """Runs a keeper with a fake upstream.
+
+    Args:
+        answer: Called for each message that the upstream receives.
+    """
     upstream = fake_upstream.FakeUpstream(answer)
     async with scene.open_scene(open_socket=upstream.open) as env:
         contract = scene.make_contract({"u1": 9}, limits=_LIMITS)
@@ -90,7 +94,7 @@
 
 
 @trios.clock_test
-async def test_silence_ends_at_the_limit_and_frees_the_slot() -> None:
+async def test_unanswered_request_times_out_and_frees_its_slot() -> None:
     async with open_upstream(fake_upstream.swallow) as (env, upstream):
         started_at = trio.current_time()
         dispatch = scene.make_dispatch(deadline_ms=60_000)
@@ -110,7 +114,7 @@
 
 
 @trios.clock_test
-async def test_shed_request_did_not_run_and_says_when_to_return() -> None:
+async def test_shed_request_did_not_run_and_has_a_retry_delay() -> None:
     async with open_upstream(shed) as (env, _):
         result = await env.call_keeper(scene.make_dispatch())
         assert result.outcome is Outcome.NOT_RUN
@@ -120,7 +124,7 @@
 
 
 @trios.clock_test
-async def test_answer_that_comes_late_is_kept_for_who_asks_again() -> None:
+async def test_late_answer_is_stored_for_recovery_queries() -> None:
     """Guards against the loss of an answer that arrives after the deadline.
 
     A reservation runs past its deadline and is answered later. A recovery
@@ -150,7 +154,7 @@
 
 
 @trios.clock_test
-async def test_answers_of_other_tokens_are_not_taken() -> None:
+async def test_answers_with_other_tokens_are_not_accepted() -> None:
     """Guards against an answer that reaches the wrong caller.
 
     The answers of two callers cross, and one carries the other's message id.
@@ -169,7 +173,7 @@
 
 
 @trios.clock_test
-async def test_queued_work_of_a_home_that_is_gone_is_never_sent() -> None:
+async def test_queued_request_of_an_unreachable_home_is_never_sent() -> None:
     async with open_upstream(fake_upstream.swallow) as (env, upstream):
         for number in (1, 2):
             env.nursery.start_soon(
@@ -188,7 +192,7 @@
 
 
 @trios.clock_test
-async def test_cancelled_idempotent_work_keeps_its_slot_until_it_ends() -> None:
+async def test_cancelled_idempotent_request_keeps_its_slot_until_done() -> None:
     """Guards against more running requests than the upstream has slots.
 
     A caller disconnects while its request runs at the upstream. If its slot
@@ -292,7 +296,7 @@
 
 
 @trios.clock_test
-async def test_upload_that_is_cut_off_did_not_run() -> None:
+async def test_incomplete_upload_did_not_run() -> None:
     def answer(socket: fake_upstream.FakeSocket, m: codec.Message) -> None:
         if m.opt.block1.block_number == 0:
             fake_upstream.reply(
@@ -311,7 +315,7 @@
 
 
 @trios.clock_test
-async def test_address_that_moves_to_another_service_gets_nothing() -> None:
+async def test_address_moved_to_another_service_receives_nothing() -> None:
     """Guards against retransmissions to an upstream of another service.
 
     An address moves to another service while a request is retransmitted.
@@ -330,7 +334,7 @@
 
 
 @trios.clock_test
-async def test_upstream_that_says_it_drains_gets_no_new_work() -> None:
+async def test_draining_upstream_receives_no_new_requests() -> None:
     def drain(socket: fake_upstream.FakeSocket, m: codec.Message) -> None:
         fake_upstream.reply(
             socket, m, aiocoap.SERVICE_UNAVAILABLE, b"draining", max_age=30
--- a/tests/test_upstreams/test_upstreams_recovery.py
+++ b/tests/test_upstreams/test_upstreams_recovery.py
@@ -1,4 +1,4 @@
-"""Tests of recovery queries and of hand-over between keepers."""
+"""Tests of recovery queries and of the handover between keepers."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 @trios.clock_test
-async def test_recovery_returns_the_kept_answer() -> None:
+async def test_recovery_returns_the_stored_answer() -> None:
     upstream = fake_upstream.FakeUpstream()
     async with scene.open_scene(open_socket=upstream.open) as env:
         offer_contract(env)
@@ -55,7 +55,7 @@
 
 
 @trios.clock_test
-async def test_recovery_waits_for_what_still_runs() -> None:
+async def test_recovery_waits_for_a_running_request() -> None:
     upstream = fake_upstream.FakeUpstream(acknowledge)
     async with scene.open_scene(open_socket=upstream.open) as env:
         offer_contract(env)
@@ -102,7 +102,7 @@
 
 
 @trios.clock_test
-async def test_recovery_says_unknown_once_the_ticket_has_expired() -> None:
+async def test_recovery_returns_unknown_after_the_ticket_has_expired() -> None:
     """Guards against a wrong "not run" after a row has been removed.
 
     The recovery query arrives after the ticket has expired. The row of the
@@ -220,9 +220,7 @@
 
 
 @trios.clock_test
-async def test_new_incarnation_declares_nothing_not_run_for_the_former() -> (
-    None
-):
+async def test_new_incarnation_never_reports_not_run_for_the_former() -> None:
     """Guards against "not run" after the caller has received "unknown".
 
     A buyer received "unknown" while the keeper was paused. The keeper
@@ -244,15 +242,15 @@
 
 
 def _break_link_for(seconds: float) -> Callable[[base.Message], base.Message]:
-    """Returns a function that replies only after some time.
+    """Returns a reply function whose first calls fail.
 
     Args:
-        seconds: Time during which the successor is unreachable.
+        seconds: Time during which the calls fail.
     """
-    heals_at = trio.current_time() + seconds
+    restored_at = trio.current_time() + seconds
 
     def reply(part: base.Message) -> base.Message:
-        if trio.current_time() < heals_at:
+        if trio.current_time() < restored_at:
             raise errors.PeerUnreachableError("link is down", step="call")
         return handover.HandoverTaken()
 
@@ -281,8 +279,8 @@
 
 
 @trios.clock_test
-async def test_hand_over_outlasts_a_link_that_breaks_for_a_moment() -> None:
-    """Guards against rows lost when a link fails briefly during hand-over.
+async def test_handover_survives_a_brief_link_failure() -> None:
+    """Guards against rows lost when a link fails briefly during a handover.
 
     After a planned change of hosts, a buyer would receive "unknown" for a
     reservation that ran.
@@ -293,12 +291,14 @@
         await leaver.call_keeper(scene.make_dispatch())
         replies = leaver.network.replies
         replies[handover.KeeperHandover] = _break_link_for(1.0)
-        parts = await _leave_with_successor(leaver, scene.make_member("east-2"))
-    assert parts[-1]
+        final_flags = await _leave_with_successor(
+            leaver, scene.make_member("east-2")
+        )
+    assert final_flags[-1]
 
 
 @trios.clock_test
-async def test_hand_over_does_not_wait_for_a_dead_successor() -> None:
+async def test_handover_does_not_wait_for_a_dead_successor() -> None:
     """Guards against a planned stop that waits for a failed host."""
     upstream = fake_upstream.FakeUpstream()
     async with scene.open_scene(open_socket=upstream.open) as leaver:
@@ -343,7 +343,7 @@
 
 
 @trios.clock_test
-async def test_leaving_keeper_waits_for_what_runs() -> None:
+async def test_leaving_keeper_waits_for_running_requests() -> None:
     upstream = fake_upstream.FakeUpstream(acknowledge)
     async with scene.open_scene(open_socket=upstream.open) as env:
         offer_contract(env)
