--- a/persimmonhinge/upstreams/handover_sender.py
+++ b/persimmonhinge/upstreams/handover_sender.py
@@ -136,7 +136,9 @@
         unsent = [r for r in self._executed.list_final_rows() if r not in sent]
         sent.update(unsent)
         homes = self._list_home_uptimes()
-        for rows in _split_rows([self._make_handover_row(r) for r in unsent]):
+        for rows in _split_rows(
+            [self._make_handover_row(row) for row in unsent]
+        ):
             part = self._make_part(executed=rows, homes=homes)
             for successor in tuple(successors):
                 if not await self._send_part(successor, part):
