--- a/tests/test_upstreams/test_upstreams_outcomes.py
+++ b/tests/test_upstreams/test_upstreams_outcomes.py
@@ -28,7 +28,8 @@
     """Runs a keeper with a fake upstream.
 
     Args:
-        answer: Called for each message that the upstream receives.
+        answer: Called with each request that the upstream receives; if None,
+            each request is answered at once.
     """
     upstream = fake_upstream.FakeUpstream(answer)
     async with scene.open_scene(open_socket=upstream.open) as env:
