--- a/persimmonhinge/upstreams/dispatch_handler.py
+++ b/persimmonhinge/upstreams/dispatch_handler.py
@@ -69,9 +69,9 @@
             dispatch.service, dispatch.revision, dispatch.upstream
         )
         if target is None:
+            # The contract revisions of home and keeper differ.
             return work.Dispatched(
-                _Outcome.STALE,
-                reason="contract revisions of home and keeper differ",
+                _Outcome.STALE, reason="contracts differ between hosts"
             )
         if not self._roles.is_kept_here(target):
             keeper = self._roles.find_keeper(target)
@@ -92,9 +92,7 @@
         self, dispatch: work.Dispatch
     ) -> job_module.Job | work.Dispatched | None:
         if not dispatch.ticket or not dispatch.digest:
-            return _make_not_run(
-                "non-idempotent request has no ticket or digest"
-            )
+            return _make_not_run("work that runs once needs a ticket")
         existing = self._executed.check_dispatch(dispatch)
         if existing is None or isinstance(existing, work.Dispatched):
             return existing
@@ -106,9 +104,9 @@
     ) -> job_module.Job | work.Dispatched:
         call_class = target.entry.contract.get_class(dispatch.call_class)
         if call_class is None:
+            # The keeper's contract lacks the call class.
             return work.Dispatched(
-                _Outcome.STALE,
-                reason="call class is missing in the keeper's contract",
+                _Outcome.STALE, reason="call class is not in the contract"
             )
         try:
             request = requests.read_request(dispatch.request, target.service)
@@ -158,9 +156,9 @@
         """
         if job.waiter_count == 0 and self._cancel_job(job):
             return job.outcome
+        # The request may still run at the upstream.
         return work.Dispatched(
-            _Outcome.UNKNOWN,
-            reason="request may still run at the upstream",
+            _Outcome.UNKNOWN, reason="still running at the deadline"
         )
 
     def _cancel_job(self, job: job_module.Job) -> bool:
@@ -178,7 +176,7 @@
             return False
         transfer.abandon()
         if not transfer.may_run:
-            job.finish(_make_not_run("upload to the upstream was cancelled"))
+            job.finish(_make_not_run("upload was cut off"))
         return not transfer.may_run
 
 
--- a/persimmonhinge/upstreams/executed_table.py
+++ b/persimmonhinge/upstreams/executed_table.py
@@ -120,7 +120,7 @@
         if len(started) > 1:
             # The caller used its token for several requests, and the query
             # has no digest that would identify one of them.
-            return _make_unknown("several requests used this token")
+            return _make_unknown("several requests have this token")
         if started:
             return started[0]
         if self._is_expired(query.home, query.ticket_expiry_ms):
@@ -132,11 +132,9 @@
             _State.FENCED,
         )
         if self.is_full and self._rows.get(fence.key) is None:
-            return _make_unknown("keeper's table of requests is full")
+            return _make_unknown("table is full")
         self._rows.put(fence, fence.expiry_ms)
-        return _make_not_run(
-            "request did not run at this keeper and will not run"
-        )
+        return _make_not_run("did not run here and will not")
 
     def remove_expired(self, home: ids.HostRef) -> None:
         """Removes the rows of a home that are no longer needed.
@@ -181,7 +179,7 @@
         self, existing: executed_row.ExecutedRow, dispatch: work.Dispatch
     ) -> executed_row.ExecutedRow | work.Dispatched | None:
         if existing.state is _State.FENCED:
-            return _make_not_run("request was already reported as not run")
+            return _make_not_run("was declared not run")
         if existing.state is not _State.REFUSED:
             return existing
         # Guards against a request that runs after its caller has received
@@ -197,7 +195,7 @@
             sent_at_same_time and dispatch.upstream != existing.upstream
         ):
             return self._refuse_unsafe(dispatch)
-        return _make_not_run("an earlier copy of the dispatch was refused")
+        return _make_not_run("an earlier attempt was refused")
 
     def _refuse_unsafe(self, dispatch: work.Dispatch) -> work.Dispatched | None:
         if self._is_expired(dispatch.home, dispatch.ticket_expiry_ms):
@@ -213,9 +211,7 @@
             # table.
             return _make_not_run("dispatch is too old")
         if self.is_full:
-            return _make_not_run(
-                "keeper's table of requests is full", retry_after_s=1
-            )
+            return _make_not_run("table of requests is full", retry_after_s=1)
         return None
 
     def _is_expired(self, home: ids.HostRef, expiry_ms: int) -> bool:
--- a/persimmonhinge/upstreams/recover_handler.py
+++ b/persimmonhinge/upstreams/recover_handler.py
@@ -11,9 +11,9 @@
 from persimmonhinge.upstreams import former_keepers as former_keepers_module
 
 _Outcome = work.Outcome
+# The keeper took a new incarnation before the request ran.
 _FORMER_INCARNATION_OUTCOME = work.Dispatched(
-    _Outcome.UNKNOWN,
-    reason="keeper took a new incarnation before the request ran",
+    _Outcome.UNKNOWN, reason="keeper was given up before it ran"
 )
 
 
@@ -41,8 +41,7 @@
         """
         if not self._can_answer_for(query.keeper):
             return work.Dispatched(
-                _Outcome.NOT_KEEPER,
-                reason="host cannot answer for the queried incarnation",
+                _Outcome.NOT_KEEPER, reason="is another incarnation"
             )
         outcome = await self._find_outcome(query)
         if (
--- a/persimmonhinge/upstreams/upstreams.py
+++ b/persimmonhinge/upstreams/upstreams.py
@@ -120,6 +120,6 @@
     """Returns the outcome sent by a host that is not the upstream's keeper."""
     return work.Dispatched(
         work.Outcome.NOT_KEEPER,
-        reason="another host is the keeper of the upstream",
+        reason="another host keeps the upstream",
         keeper=keeper or ids.HostId(""),
     )
