--- a/benchmarks/feed_rescue.py
+++ b/benchmarks/feed_rescue.py
@@ -68,14 +68,14 @@
     if way is Way.NUMBERS:
         yield
         return
-    make = adoption.Adoption._make
+    make = adoption.Adoption._make_feed
 
     def renumber(
         self: adoption.Adoption, sender: ids.HostId, offer: messages.FeedAdopt
     ) -> feeds.Feed | None:
         feed = make(self, sender, offer)
         if feed is not None:
-            feed.sequence = offer.feed.floor + limits.MOVE_MARGIN
+            feed.sequence = offer.feed.floor + limits.MOVE_SEQUENCE_MARGIN
         return feed
 
     with (
@@ -161,14 +161,15 @@
     push = frames.FrameKind.PUSH
     event = writer.write(push, _CALL, messages.FeedEvent(_NUMBER, _BODY))
     recent = tuple(
-        os.urandom(digests.DIGEST_OCTETS) for _ in range(limits.RECENT_ANSWERS)
+        os.urandom(digests.DIGEST_OCTETS)
+        for _ in range(limits.MAX_RECENT_ANSWERS)
     )
     ack = messages.FeedAck(_NUMBER, recent, _NUMBER)
     in_steps = len(writer.write(push, _CALL, ack))
     gathered = len(msgspec.msgpack.encode([[_CALL, _NUMBER]] * 100)) / 100
     return {
         "event": len(event),
-        "numbers": in_steps / limits.ACK_EVENTS,
+        "numbers": in_steps / limits.EVENTS_PER_ACK,
         "each": gathered,
     }
 
@@ -178,7 +179,7 @@
     """Gives octets of confirmations, and memory of a keeper."""
     print(json.dumps({"octets_an_event": _count_octets()}), flush=True)
     for size in _SIZES:
-        for held in (0, limits.ACK_EVENTS, _TICKS_HELD):
+        for held in (0, limits.EVENTS_PER_ACK, _TICKS_HELD):
             print(json.dumps(_hold_events(size, held)), flush=True)
 
 
--- a/benchmarks/feeds.py
+++ b/benchmarks/feeds.py
@@ -238,12 +238,12 @@
         1,
         trio.current_time(),
         recent=b"1234",
-        current=make_answer(),
+        newest_answer=make_answer(),
     )
     upstream = contract.upstreams[number % _UPSTREAMS]
     no_scope: Any = None
     feed.source = sources.Source(
-        feed, upstream, _HOST, ids.HostRef(1), no_scope, taken=True
+        feed, upstream, _HOST, ids.HostRef(1), no_scope, used=True
     )
     return feed.source
 
--- a/persimmonhinge/flows/feeds/adoption.py
+++ b/persimmonhinge/flows/feeds/adoption.py
@@ -9,17 +9,17 @@
 
 from persimmonhinge import errors
 from persimmonhinge import ids
-from persimmonhinge.contracts import contract as contracts
+from persimmonhinge.contracts import contract
 from persimmonhinge.flows import port
 from persimmonhinge.flows.feeds import caller_side
 from persimmonhinge.flows.feeds import digests
-from persimmonhinge.flows.feeds import event as events
-from persimmonhinge.flows.feeds import feed as feeds
+from persimmonhinge.flows.feeds import event as event_module
+from persimmonhinge.flows.feeds import feed as feed_module
+from persimmonhinge.flows.feeds import feed_context
 from persimmonhinge.flows.feeds import limits
-from persimmonhinge.flows.feeds import outline
-from persimmonhinge.flows.feeds import source as sources
-from persimmonhinge.flows.feeds import surroundings
-from persimmonhinge.peers.messages import feeds as messages
+from persimmonhinge.flows.feeds import open_messages
+from persimmonhinge.flows.feeds import source as source_module
+from persimmonhinge.peers.messages import feeds
 
 
 class Adoption:
@@ -27,23 +27,23 @@
 
     def __init__(
         self,
-        around: surroundings.Surroundings,
+        context: feed_context.FeedContext,
         callers: caller_side.CallerSide,
-        adopt: Callable[[feeds.Feed, port.Choice | None], None],
-        forget: Callable[[feeds.Feed], None],
-        report: Callable[[feeds.Feed], None],
-        misplace: Callable[[feeds.Feed], None],
+        adopt: Callable[[feed_module.Feed, port.Choice | None], None],
+        remove_feed: Callable[[feed_module.Feed], None],
+        report: Callable[[feed_module.Feed], None],
+        check_home: Callable[[feed_module.Feed], None],
     ) -> None:
-        self._around = around
+        self._context = context
         self._callers = callers
         self._adopt = adopt
-        self._forget = forget
+        self._remove_feed = remove_feed
         self._report = report
-        self._misplace = misplace
+        self._check_home = check_home
 
-    async def take(
-        self, sender: ids.HostId, message: messages.FeedAdopt
-    ) -> feeds.Feed | None:
+    async def accept_feed(
+        self, sender: ids.HostId, message: feeds.FeedAdopt
+    ) -> feed_module.Feed | None:
         """Takes in a feed, or what the former home says of one.
 
         Two hosts may hand over the same feed, or one may do so twice: the
@@ -53,23 +53,25 @@
             The feed once an upstream serves it; None if it is not taken.
         """
         opened = message.feed
-        flow = outline.read_flow(opened)
-        feed = self._around.table.get(flow, opened.token)
+        flow = open_messages.read_flow(opened)
+        feed = self._context.table.get(flow, opened.token)
         if feed is not None and self._is_outdated(feed, message):
-            self._forget(feed)
+            self._remove_feed(feed)
             feed = None
         if feed is None:
-            feed = self._make(sender, message)
+            feed = self._make_feed(sender, message)
         else:
-            feed.sequence = max(feed.sequence, _find_highest(feed, opened))
+            feed.sequence = max(
+                feed.sequence, _find_highest_sequence(feed, opened)
+            )
         if feed is None or not await self._is_served(feed):
             return None
         if not message.prepares and feed.outbox is not None:
-            self._go_live(feed, digests.join(opened.recent))
+            self._commit(feed, digests.join(opened.recent))
         return feed
 
     def _is_outdated(
-        self, feed: feeds.Feed, message: messages.FeedAdopt
+        self, feed: feed_module.Feed, message: feeds.FeedAdopt
     ) -> bool:
         """Tells whether the sender knows more of a feed than this host.
 
@@ -80,50 +82,50 @@
         held since the former home opened the feed elsewhere.
         """
         opened = message.feed
-        if feed.reply is not feeds.Reply.DONE:
+        if feed.reply is not feed_module.Reply.DONE:
             return False
-        if _is_of_keeper(opened):
+        if _is_from_keeper(opened):
             return opened.confirmed > feed.confirmed
-        return feed.source is None and feed.opened is None
+        return feed.source is None and feed.served is None
 
-    def _make(
-        self, sender: ids.HostId, message: messages.FeedAdopt
-    ) -> feeds.Feed | None:
+    def _make_feed(
+        self, sender: ids.HostId, message: feeds.FeedAdopt
+    ) -> feed_module.Feed | None:
         opened = message.feed
         call_class = self._classify(opened)
-        most = self._around.settings.flows.most_flows
-        if call_class is None or len(self._around.table) >= most:
+        most = self._context.settings.flows.most_flows
+        if call_class is None or len(self._context.table) >= most:
             return None
         now = trio.current_time()
-        interval_s = self._around.settings.flows.feed_confirm_s
-        feed = feeds.Feed(
-            outline.read_flow(opened),
+        interval_s = self._context.settings.flows.feed_confirm_s
+        feed = feed_module.Feed(
+            open_messages.read_flow(opened),
             opened.token,
             opened.request,
             call_class,
             opened.last_sequence,
             now,
-            confirmed=opened.confirmed if _is_of_keeper(opened) else 0,
+            confirmed=opened.confirmed if _is_from_keeper(opened) else 0,
             floor=opened.floor,
             reported=opened.last_sequence,
             recent=digests.join(opened.recent),
-            unsure=not message.prepares,
-            opened=trio.Event(),
-            confirm_at=now + self._around.random.uniform(0, interval_s),
+            is_newest_unconfirmed=not message.prepares,
+            served=trio.Event(),
+            confirm_at=now + self._context.random.uniform(0, interval_s),
         )
         if message.prepares:
             feed.prepared = True
-            self._callers.hold(feed)
+            self._callers.hold_answers(feed)
             self._expect_commit(feed, sender)
-        self._adopt(feed, self._find_former(sender, opened))
+        self._adopt(feed, self._find_former_choice(sender, opened))
         return feed
 
-    def _find_former(
-        self, sender: ids.HostId, opened: messages.FeedOpen
+    def _find_former_choice(
+        self, sender: ids.HostId, opened: feeds.FeedOpen
     ) -> port.Choice | None:
         """Returns where a keeper that hands a feed over has it open."""
-        entry = self._around.contracts.get(opened.service)
-        keeper = self._around.view.get(sender)
+        entry = self._context.contracts.get(opened.service)
+        keeper = self._context.view.get(sender)
         if entry is None or keeper is None:
             return None
         upstream = entry.contract.get_upstream(opened.upstream)
@@ -131,112 +133,116 @@
             return None
         return port.Choice(upstream, sender, keeper.ref)
 
-    def _classify(
-        self, opened: messages.FeedOpen
-    ) -> contracts.CallClass | None:
-        entry = self._around.contracts.get(opened.service)
+    def _classify(self, opened: feeds.FeedOpen) -> contract.CallClass | None:
+        entry = self._context.contracts.get(opened.service)
         if entry is None:
             return None
         try:
-            request = events.read_answer(opened.request, "")
+            request = event_module.read_answer(opened.request, "")
         except errors.MalformedDatagramError:
             return None
         path = "/" + "/".join(request.opt.uri_path)
-        return entry.contract.classify(
-            contracts.Method.GET, path, observes=True
-        )
+        return entry.contract.classify(contract.Method.GET, path, observes=True)
 
-    async def _is_served(self, feed: feeds.Feed) -> bool:
+    async def _is_served(self, feed: feed_module.Feed) -> bool:
         """Waits until an upstream serves a feed.
 
         One that was made for the sender is dropped if none does.
         """
-        if feed.opened is None and feed.source is None:
+        if feed.served is None and feed.source is None:
             return False
-        if feed.opened is not None and feed.source is None:
-            with trio.move_on_after(limits.ADOPT_S):
-                await feed.opened.wait()
+        if feed.served is not None and feed.source is None:
+            with trio.move_on_after(limits.ADOPT_TIMEOUT_S):
+                await feed.served.wait()
         if feed.closed:
             return False
-        if feed.opened is not None and not feed.opened.is_set():
+        if feed.served is not None and not feed.served.is_set():
             # The sender keeps the feed and asks again.
-            self._forget(feed)
+            self._remove_feed(feed)
             return False
-        feed.opened = None
+        feed.served = None
         return True
 
-    def _expect_commit(self, feed: feeds.Feed, former: ids.HostId) -> None:
+    def _expect_commit(
+        self, feed: feed_module.Feed, former: ids.HostId
+    ) -> None:
         """Goes on without the former home if that says no more.
 
         Guards against a former home that dies between its two messages: no
         one else may know of the feed, and the caller would wait for good.
         """
-        expire = functools.partial(self._expire, feed, feed.outbox, former)
-        self._around.timers.call_after(limits.PREPARED_S, expire)
+        expire = functools.partial(
+            self._handle_missing_commit, feed, feed.outbox, former
+        )
+        self._context.timers.call_after(limits.COMMIT_TIMEOUT_S, expire)
 
-    def _expire(
+    def _handle_missing_commit(
         self,
-        feed: feeds.Feed,
-        outbox: list[events.Event] | None,
+        feed: feed_module.Feed,
+        outbox: list[event_module.Event] | None,
         former: ids.HostId,
     ) -> None:
         if feed.closed or feed.outbox is not outbox:
             return
-        self._around.counts.add("feeds_adopted_uncommitted_total")
+        self._context.counts.add("feeds_adopted_uncommitted_total")
         feed.prepared = False
-        home = self._around.find_home(feed.flow)
-        if home in (former, self._around.view.me):
-            self._go_on(feed, outbox)
+        home = self._context.find_home(feed.flow)
+        if home in (former, self._context.view.me):
+            self._release_uncommitted(feed, outbox)
             return
         # Its keeper may have given it to the home of this moment.
-        self._misplace(feed)
-        go_on = functools.partial(self._go_on, feed, outbox)
-        self._around.timers.call_after(limits.UNCOMMITTED_S, go_on)
+        self._check_home(feed)
+        go_on = functools.partial(self._release_uncommitted, feed, outbox)
+        self._context.timers.call_after(
+            limits.UNCOMMITTED_RELEASE_DELAY_S, go_on
+        )
 
-    def _go_on(
-        self, feed: feeds.Feed, outbox: list[events.Event] | None
+    def _release_uncommitted(
+        self, feed: feed_module.Feed, outbox: list[event_module.Event] | None
     ) -> None:
         """Sends what was held back, unless another home has the feed."""
         if feed.closed or feed.outbox is not outbox:
             return
-        self._callers.release(feed)
+        self._callers.release_answers(feed)
         self._report(feed)
 
-    def _go_live(self, feed: feeds.Feed, sent: bytes) -> None:
+    def _commit(self, feed: feed_module.Feed, sent: bytes) -> None:
         """Sends what the former home has not; `sent` are its digests."""
         feed.prepared = False
         outbox = feed.outbox or []
-        rest = outbox[_count_known(outbox, sent) :]
+        rest = outbox[_count_sent(outbox, sent) :]
         known = feed.recent
         feed.recent = sent
         for event in rest:
             feed.recent = digests.append(feed.recent, event.digest)
         if feed.source is not None:
-            _relocate(feed.source, known, feed.recent)
+            _update_replay_position(feed.source, known, feed.recent)
         feed.outbox = rest
-        self._callers.release(feed)
+        self._callers.release_answers(feed)
         self._report(feed)
 
 
-def _is_of_keeper(opened: messages.FeedOpen) -> bool:
+def _is_from_keeper(opened: feeds.FeedOpen) -> bool:
     """Tells whether a keeper hands a feed over, and not its former home."""
     return bool(opened.upstream)
 
 
-def _find_highest(feed: feeds.Feed, opened: messages.FeedOpen) -> int:
+def _find_highest_sequence(
+    feed: feed_module.Feed, opened: feeds.FeedOpen
+) -> int:
     """Returns the highest number that another home may have sent.
 
     What a keeper gave before the feed was open elsewhere is below the numbers
     that it has had there.
     """
-    if not _is_of_keeper(opened):
+    if not _is_from_keeper(opened):
         return opened.last_sequence
     if 0 < opened.confirmed <= feed.confirmed:
         return 0
     return opened.floor
 
 
-def _count_known(outbox: list[events.Event], sent: bytes) -> int:
+def _count_sent(outbox: list[event_module.Event], sent: bytes) -> int:
     """Returns how many events up to the newest one that was sent."""
     for place in range(len(outbox), 0, -1):
         if digests.find(sent, outbox[place - 1].digest) >= 0:
@@ -244,7 +250,9 @@
     return 0
 
 
-def _relocate(source: sources.Source, known: bytes, recent: bytes) -> None:
+def _update_replay_position(
+    source: source_module.Source, old_digests: bytes, new_digests: bytes
+) -> None:
     """Finds where an upstream stands among other recent answers.
 
     Args:
@@ -252,10 +260,12 @@
         known: The recent answers that it was compared with.
         recent: Those that it is to be compared with from now on.
     """
-    if source.position == -1:
+    if source.replay_position == -1:
         return
-    newest = digests.last(known)
-    if source.position is not None:
-        newest = digests.get(known, source.position)
-    found = digests.find(recent, newest)
-    source.position = None if found == digests.count(recent) - 1 else found
+    newest = digests.last(old_digests)
+    if source.replay_position is not None:
+        newest = digests.get(old_digests, source.replay_position)
+    found = digests.find(new_digests, newest)
+    source.replay_position = (
+        None if found == digests.count(new_digests) - 1 else found
+    )
--- a/persimmonhinge/flows/feeds/broken_links.py
+++ b/persimmonhinge/flows/feeds/broken_links.py
@@ -6,22 +6,22 @@
 
 from persimmonhinge import ids
 from persimmonhinge.flows import port
-from persimmonhinge.flows.feeds import feed as feeds
+from persimmonhinge.flows.feeds import feed as feed_module
+from persimmonhinge.flows.feeds import feed_context
 from persimmonhinge.flows.feeds import limits
-from persimmonhinge.flows.feeds import outline
-from persimmonhinge.flows.feeds import search as searches
-from persimmonhinge.flows.feeds import source as sources
-from persimmonhinge.flows.feeds import surroundings
-from persimmonhinge.peers.messages import feeds as messages
+from persimmonhinge.flows.feeds import open_messages
+from persimmonhinge.flows.feeds import search as search_module
+from persimmonhinge.flows.feeds import source as source_module
+from persimmonhinge.peers.messages import feeds
 
 
 class BrokenLinks:
     """Has feeds go back to the keeper that holds what came meanwhile."""
 
-    def __init__(self, around: surroundings.Surroundings) -> None:
-        self._around = around
+    def __init__(self, context: feed_context.FeedContext) -> None:
+        self._context = context
 
-    def note(self, source: sources.Source) -> None:
+    def record_loss(self, source: source_module.Source) -> None:
         """Takes in that the stream which served a feed is gone.
 
         Guards against a gap where the feed was just moving: what its keeper
@@ -29,26 +29,32 @@
         there ends.
         """
         feed = source.feed
-        feed.lost = None if source.end else source
-        if feed.lost is not None and feed.candidate is not None:
+        feed.lost_source = None if source.end else source
+        if feed.lost_source is not None and feed.candidate is not None:
             feed.candidate.scope.cancel()
 
-    def prefer_keeper(self, feed: feeds.Feed, search: searches.Search) -> None:
+    def prefer_keeper(
+        self, feed: feed_module.Feed, search: search_module.Search
+    ) -> None:
         """Has a feed opened where it was, once in a search.
 
         Its keeper holds what came meanwhile, also if the feed has to move.
         """
-        lost = feed.lost
-        if lost is None or feed.source is not None or search.asked is lost:
+        lost = feed.lost_source
+        if (
+            lost is None
+            or feed.source is not None
+            or search.last_queried is lost
+        ):
             return
-        search.asked = lost
-        if self._around.view.find_ref(lost.keeper_ref) is not None:
+        search.last_queried = lost
+        if self._context.view.find_ref(lost.keeper_ref) is not None:
             search.preferred = port.Choice(
                 lost.upstream, lost.keeper, lost.keeper_ref
             )
 
-    def wants_retry(
-        self, source: sources.Source, search: searches.Search
+    def should_retry_keeper(
+        self, source: source_module.Source, search: search_module.Search
     ) -> bool:
         """Tells whether the keeper that had the feed is to be asked again.
 
@@ -61,27 +67,27 @@
             search: The search that it belongs to.
         """
         now = trio.current_time()
-        if source.given_up and not search.patient_until:
-            search.patient_until = now + limits.GIVEN_UP_S
-        if source.feed.lost is None or source.end is not None:
+        if source.declared_dead and not search.retry_keeper_until:
+            search.retry_keeper_until = now + limits.MAX_DECLARED_DEAD_RETRY_S
+        if source.feed.lost_source is None or source.end is not None:
             return False
-        if now >= search.patient_until:
+        if now >= search.retry_keeper_until:
             return False
-        search.asked = None
+        search.last_queried = None
         return True
 
-    def leave_keeper(self, feed: feeds.Feed) -> None:
+    def notify_former_keeper(self, feed: feed_module.Feed) -> None:
         """Tells the keeper of a broken link that the feed is open elsewhere.
 
         Guards against a keeper that gives another home what it holds, after
         this one has sent it from elsewhere and died.
         """
-        lost, feed.lost = feed.lost, None
+        lost, feed.lost_source = feed.lost_source, None
         source = feed.source
         if lost is None or source is None:
             return
         upstream = ids.UpstreamId(lost.upstream.id)
         if source.keeper == lost.keeper and source.upstream.id == upstream:
             return
-        left = outline.make_open(feed, upstream, ids.Revision(0))
-        self._around.network.send(lost.keeper, messages.FeedLeft(left))
+        left = open_messages.make_open_message(feed, upstream, ids.Revision(0))
+        self._context.network.send(lost.keeper, feeds.FeedLeft(left))
--- a/persimmonhinge/flows/feeds/confirmations.py
+++ b/persimmonhinge/flows/feeds/confirmations.py
@@ -10,9 +10,9 @@
 from persimmonhinge.coap import codec
 from persimmonhinge.coap import transmission
 from persimmonhinge.flows import port
-from persimmonhinge.flows.feeds import exchange as exchanges
-from persimmonhinge.flows.feeds import feed as feeds
-from persimmonhinge.flows.feeds import surroundings
+from persimmonhinge.flows.feeds import exchange as exchange_module
+from persimmonhinge.flows.feeds import feed as feed_module
+from persimmonhinge.flows.feeds import feed_context
 
 
 class Confirmations:
@@ -25,69 +25,75 @@
 
     def __init__(
         self,
-        around: surroundings.Surroundings,
-        forget: Callable[[feeds.Feed], None],
+        context: feed_context.FeedContext,
+        remove_feed: Callable[[feed_module.Feed], None],
     ) -> None:
-        self._around = around
-        self._forget = forget
-        self._by_id: dict[tuple[port.Flow, int], exchanges.Exchange] = {}
+        self._context = context
+        self._remove_feed = remove_feed
+        self._by_id: dict[tuple[port.Flow, int], exchange_module.Exchange] = {}
 
-    def send(self, feed: feeds.Feed, message: codec.Message) -> None:
+    def send(self, feed: feed_module.Feed, message: codec.Message) -> None:
         """Sends a message as confirmable; its message id is set here."""
-        self.end(feed)
-        spread = self._around.random.uniform(
+        self.end_exchange(feed)
+        spread = self._context.random.uniform(
             1.0, transmission.ACK_RANDOM_FACTOR
         )
         timeout_s = transmission.ACK_TIMEOUT_S * spread
-        exchange = exchanges.Exchange(feed, message, [], timeout_s)
+        exchange = exchange_module.Exchange(feed, message, [], timeout_s)
         feed.exchange = exchange
         message.mtype = aiocoap.CON
-        self._transmit_anew(exchange)
-        self._wait(exchange)
+        self._transmit_with_new_id(exchange)
+        self._schedule_retransmission(exchange)
 
-    def renew(self, feed: feeds.Feed, message: codec.Message) -> None:
+    def replace_message(
+        self, feed: feed_module.Feed, message: codec.Message
+    ) -> None:
         """Replaces what the next retransmission carries."""
         if feed.exchange is None:
             return
         feed.exchange.message = message
-        feed.exchange.renewed = True
+        feed.exchange.replaced = True
 
     def acknowledge(self, flow: port.Flow, message_id: int) -> bool:
         """Ends the exchange of a message; False if there is none."""
         exchange = self._by_id.get((flow, message_id))
         if exchange is None:
             return False
-        self.end(exchange.feed)
+        self.end_exchange(exchange.feed)
         return True
 
-    def find(self, flow: port.Flow, message_id: int) -> feeds.Feed | None:
+    def find_feed(
+        self, flow: port.Flow, message_id: int
+    ) -> feed_module.Feed | None:
         """Returns the feed of a message that waits, None if none does."""
         exchange = self._by_id.get((flow, message_id))
         return exchange.feed if exchange else None
 
-    def end(self, feed: feeds.Feed) -> None:
+    def end_exchange(self, feed: feed_module.Feed) -> None:
         """Ends the exchange of a feed, if there is one."""
         if feed.exchange is None:
             return
-        for message_id in feed.exchange.ids:
+        for message_id in feed.exchange.message_ids:
             self._by_id.pop((feed.flow, message_id), None)
         feed.exchange = None
 
-    def _transmit_anew(self, exchange: exchanges.Exchange) -> None:
+    def _transmit_with_new_id(self, exchange: exchange_module.Exchange) -> None:
         """Sends under a new message id: the content is new to the caller."""
         flow = exchange.feed.flow
-        message_id = self._around.answers.next_message_id(flow)
-        exchange.ids.append(message_id)
+        message_id = self._context.answers.next_message_id(flow)
+        exchange.message_ids.append(message_id)
         self._by_id[(flow, message_id)] = exchange
         exchange.message.mid = message_id
-        exchange.renewed = False
-        self._around.answers.send(flow, exchange.message)
+        exchange.replaced = False
+        self._context.answers.send(flow, exchange.message)
 
-    def _wait(self, exchange: exchanges.Exchange) -> None:
-        repeat = functools.partial(self._repeat, exchange)
-        self._around.timers.call_after(exchange.timeout_s, repeat)
+    def _schedule_retransmission(
+        self, exchange: exchange_module.Exchange
+    ) -> None:
+        repeat = functools.partial(self._retransmit, exchange)
+        self._context.timers.call_after(exchange.timeout_s, repeat)
 
-    def _repeat(self, exchange: exchanges.Exchange) -> None:
+    def _retransmit(self, exchange: exchange_module.Exchange) -> None:
         feed = exchange.feed
         if feed.exchange is not exchange:
             return
@@ -96,19 +102,19 @@
             return
         exchange.retransmissions += 1
         exchange.timeout_s *= 2
-        if exchange.renewed:
+        if exchange.replaced:
             exchange.message.mtype = aiocoap.CON
-            self._transmit_anew(exchange)
+            self._transmit_with_new_id(exchange)
         else:
-            self._around.answers.send(feed.flow, exchange.message)
-        self._wait(exchange)
+            self._context.answers.send(feed.flow, exchange.message)
+        self._schedule_retransmission(exchange)
 
-    def _give_up(self, feed: feeds.Feed) -> None:
-        self.end(feed)
-        if self._around.find_home(feed.flow) != self._around.view.me:
+    def _give_up(self, feed: feed_module.Feed) -> None:
+        self.end_exchange(feed)
+        if self._context.find_home(feed.flow) != self._context.view.me:
             # Other hosts bring the caller's acknowledgements to its home.
             # While a feed waits to be handed over there, none arrives here,
             # and a caller that is well would seem gone.
             return
-        self._around.counts.add("feeds_closed_total", cause="caller-gone")
-        self._forget(feed)
+        self._context.counts.add("feeds_closed_total", cause="caller-gone")
+        self._remove_feed(feed)
--- a/persimmonhinge/flows/feeds/digests.py
+++ b/persimmonhinge/flows/feeds/digests.py
@@ -28,7 +28,7 @@
 
 def append(recent: bytes, digest: bytes) -> bytes:
     """Returns the digests with one more, less the oldest."""
-    most = limits.RECENT_ANSWERS * DIGEST_OCTETS
+    most = limits.MAX_RECENT_ANSWERS * DIGEST_OCTETS
     return (recent + digest)[-most:]
 
 
@@ -65,4 +65,4 @@
 def join(recent: tuple[bytes, ...]) -> bytes:
     """Returns the digests of a message as octets."""
     whole = [d for d in recent if len(d) == DIGEST_OCTETS]
-    return b"".join(whole[-limits.RECENT_ANSWERS :])
+    return b"".join(whole[-limits.MAX_RECENT_ANSWERS :])
--- a/persimmonhinge/flows/feeds/exchange.py
+++ b/persimmonhinge/flows/feeds/exchange.py
@@ -8,7 +8,7 @@
 from persimmonhinge.coap import codec
 
 if TYPE_CHECKING:
-    from persimmonhinge.flows.feeds import feed as feeds
+    from persimmonhinge.flows.feeds import feed as feed_module
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -24,9 +24,9 @@
         retransmissions: How often it was sent again.
     """
 
-    feed: feeds.Feed
+    feed: feed_module.Feed
     message: codec.Message
-    ids: list[int]
+    message_ids: list[int]
     timeout_s: float
-    renewed: bool = False
+    replaced: bool = False
     retransmissions: int = 0
--- a/persimmonhinge/flows/feeds/feed.py
+++ b/persimmonhinge/flows/feeds/feed.py
@@ -7,11 +7,11 @@
 
 import trio
 
-from persimmonhinge.contracts import contract as contracts
+from persimmonhinge.contracts import contract
 from persimmonhinge.flows import port
-from persimmonhinge.flows.feeds import event as events
-from persimmonhinge.flows.feeds import exchange as exchanges
-from persimmonhinge.flows.feeds import source as sources
+from persimmonhinge.flows.feeds import event
+from persimmonhinge.flows.feeds import exchange as exchange_module
+from persimmonhinge.flows.feeds import source as source_module
 
 
 class Reply(enum.Enum):
@@ -67,27 +67,27 @@
     flow: port.Flow
     token: bytes
     request: bytes
-    call_class: contracts.CallClass
+    call_class: contract.CallClass
     sequence: int
-    lost_at: float
+    unserved_since: float
     confirmed: int = 0
     floor: int = 0
     reply: Reply = Reply.DONE
     request_id: int = -1
     confirmable: bool = False
     recent: bytes = b""
-    current: bytes = b""
+    newest_answer: bytes = b""
     sent_at: float = 0.0
     reported: int = 0
-    source: sources.Source | None = None
-    candidate: sources.Source | None = None
-    lost: sources.Source | None = None
+    source: source_module.Source | None = None
+    candidate: source_module.Source | None = None
+    lost_source: source_module.Source | None = None
     searching: bool = False
-    outbox: list[events.Event] | None = None
+    outbox: list[event.Event] | None = None
     prepared: bool = False
-    unsure: bool = False
-    opened: trio.Event | None = None
+    is_newest_unconfirmed: bool = False
+    served: trio.Event | None = None
     confirm_at: float = 0.0
     message_id: int = -1
-    exchange: exchanges.Exchange | None = None
+    exchange: exchange_module.Exchange | None = None
     closed: bool = False
--- a/persimmonhinge/flows/feeds/surroundings.py
+++ b/persimmonhinge/flows/feeds/feed_context.py
@@ -7,17 +7,17 @@
 
 from persimmonhinge.contracts import store
 from persimmonhinge.flows import port
-from persimmonhinge.flows.feeds import table as tables
+from persimmonhinge.flows.feeds import table as table_module
 from persimmonhinge.flows.feeds import timers
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.peers import network as networks
+from persimmonhinge.membership import placement as placement_module
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.peers import network as network_module
 from persimmonhinge.settings import entry
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Surroundings:
+class FeedContext:
     """The parts of the host around the feeds, and what feeds share.
 
     Attributes:
@@ -35,16 +35,16 @@
     """
 
     settings: entry.EntrySettings
-    view: views.View
-    placement: placements.Placement
+    view: view_module.View
+    placement: placement_module.Placement
     contracts: store.ContractStore
-    network: networks.PeerNetwork
+    network: network_module.PeerNetwork
     answers: port.CallerSender
     chooser: port.Chooser
-    counts: host_counts.Counts
+    counts: counts_module.Counts
     random: random.Random
-    table: tables.FeedTable = dataclasses.field(
-        default_factory=tables.FeedTable
+    table: table_module.FeedTable = dataclasses.field(
+        default_factory=table_module.FeedTable
     )
     timers: timers.Timers = dataclasses.field(default_factory=timers.Timers)
 
--- a/persimmonhinge/flows/feeds/handover.py
+++ b/persimmonhinge/flows/feeds/handover.py
@@ -13,13 +13,13 @@
 from persimmonhinge.flows import port
 from persimmonhinge.flows.feeds import adoption
 from persimmonhinge.flows.feeds import caller_side
-from persimmonhinge.flows.feeds import feed as feeds
+from persimmonhinge.flows.feeds import feed as feed_module
+from persimmonhinge.flows.feeds import feed_context
 from persimmonhinge.flows.feeds import limits
-from persimmonhinge.flows.feeds import outline
-from persimmonhinge.flows.feeds import surroundings
+from persimmonhinge.flows.feeds import open_messages
 from persimmonhinge.flows.feeds import watches
-from persimmonhinge.peers import network as networks
-from persimmonhinge.peers.messages import feeds as messages
+from persimmonhinge.peers import network as network_module
+from persimmonhinge.peers.messages import feeds
 
 logger = logging.getLogger(__name__)
 
@@ -31,26 +31,26 @@
 
     def __init__(
         self,
-        around: surroundings.Surroundings,
+        context: feed_context.FeedContext,
         callers: caller_side.CallerSide,
-        adopt: Callable[[feeds.Feed, port.Choice | None], None],
-        forget: Callable[[feeds.Feed], None],
-        end: Callable[[feeds.Feed, bytes, int], None],
-        report: Callable[[feeds.Feed], None],
+        adopt: Callable[[feed_module.Feed, port.Choice | None], None],
+        remove_feed: Callable[[feed_module.Feed], None],
+        end_feed: Callable[[feed_module.Feed, bytes, int], None],
+        report: Callable[[feed_module.Feed], None],
     ) -> None:
-        self._around = around
+        self._context = context
         self._callers = callers
-        self._forget = forget
-        self._end = end
+        self._remove_feed = remove_feed
+        self._end_feed = end_feed
         self._adoption = adoption.Adoption(
-            around, callers, adopt, forget, report, self.note
+            context, callers, adopt, remove_feed, report, self.check_home
         )
-        self._misplaced: dict[feeds.Feed, None] = {}
-        self._noted = trio.Event()
+        self._misplaced: dict[feed_module.Feed, None] = {}
+        self._misplaced_added = trio.Event()
         self._lock = trio.Lock()
         self._leaving = False
 
-    def note(self, feed: feeds.Feed) -> None:
+    def check_home(self, feed: feed_module.Feed) -> None:
         """Looks whether a feed that opens here belongs elsewhere.
 
         A caller's ticket leads to the host that made it also after the home
@@ -58,69 +58,69 @@
         """
         if self._find_homes(feed):
             self._misplaced[feed] = None
-            self._noted.set()
+            self._misplaced_added.set()
 
-    async def take(
-        self, caller: networks.Caller, message: messages.FeedAdopt
-    ) -> messages.Adopted:
+    async def handle_adopt(
+        self, caller: network_module.Caller, message: feeds.FeedAdopt
+    ) -> feeds.Adopted:
         """Answers a host that hands a feed over."""
-        if self._leaving or not self._around.view.self_member.takes_roles:
-            return messages.Adopted(False)
-        feed = await self._adoption.take(caller.host, message)
+        if self._leaving or not self._context.view.self_member.takes_roles:
+            return feeds.Adopted(False)
+        feed = await self._adoption.accept_feed(caller.host, message)
         if feed is None:
-            return messages.Adopted(False)
+            return feeds.Adopted(False)
         # A host whose view differs hands over to this one what this one
         # would hand back: that waits for the next change of the view.
         if caller.host not in self._find_homes(feed):
-            self.note(feed)
-        return messages.Adopted(True)
+            self.check_home(feed)
+        return feeds.Adopted(True)
 
     async def run(self) -> None:
         """Follows the view until it is cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follow_view)
             while True:
-                await self._noted.wait()
-                self._noted = trio.Event()
+                await self._misplaced_added.wait()
+                self._misplaced_added = trio.Event()
                 await self._hand_over_all()
                 if self._misplaced:
-                    self._noted.set()
+                    self._misplaced_added.set()
                     await trio.sleep(self._retry_delay())
 
     async def leave(self) -> None:
         """Hands all feeds over, and sends away what no host takes."""
         self._leaving = True
-        limit_s = self._around.settings.stop_limit_s * limits.LEAVE_PART
+        limit_s = self._context.settings.stop_limit_s * limits.LEAVE_FRACTION
         with trio.move_on_after(limit_s):
             await self._leave_in_rounds()
-        for feed in self._around.table:
-            self._around.counts.add("feeds_left_behind_total")
-            self._end(feed, b"", 0)
+        for feed in self._context.table:
+            self._context.counts.add("feeds_left_behind_total")
+            self._end_feed(feed, b"", 0)
 
     async def _leave_in_rounds(self) -> None:
-        while len(self._around.table) and self._has_other_hosts():
-            for feed in self._around.table:
+        while len(self._context.table) and self._has_other_hosts():
+            for feed in self._context.table:
                 self._misplaced[feed] = None
             await self._hand_over_all()
             await trio.sleep(_LEAVE_RETRY_S)
 
     def _has_other_hosts(self) -> bool:
-        view = self._around.view
+        view = self._context.view
         return any(m.host != view.me for m in view.role_takers())
 
     def _retry_delay(self) -> float:
-        spread = self._around.random.uniform(0.5, 1.5)
+        spread = self._context.random.uniform(0.5, 1.5)
         return limits.HANDOVER_RETRY_S * spread
 
     async def _follow_view(self) -> None:
-        changed = self._around.view.changed
+        changed = self._context.view.changed
         version = changed.version
         while True:
             await changed.wait_beyond(version)
-            version = await self._settle()
-            await self._note_all()
+            version = await self._wait_until_settled()
+            await self._check_all_homes()
 
-    async def _settle(self) -> int:
+    async def _wait_until_settled(self) -> int:
         """Waits until the view rests.
 
         Guards against a view that flaps, as when a host is suspected and
@@ -129,9 +129,9 @@
         Returns:
             Version of the view that is to be followed.
         """
-        changed = self._around.view.changed
+        changed = self._context.view.changed
         version = changed.version
-        with trio.move_on_after(limits.SETTLE_LIMIT_S):
+        with trio.move_on_after(limits.MAX_SETTLE_S):
             while True:
                 version = changed.version
                 with trio.move_on_after(limits.SETTLE_S) as rest:
@@ -140,17 +140,17 @@
                     break
         return version
 
-    async def _note_all(self) -> None:
-        for number, feed in enumerate(self._around.table):
-            if number % watches.STRIDE == 0:
+    async def _check_all_homes(self) -> None:
+        for number, feed in enumerate(self._context.table):
+            if number % watches.FEEDS_PER_CHECKPOINT == 0:
                 await trio.lowlevel.checkpoint()
-            self.note(feed)
+            self.check_home(feed)
 
-    def _find_homes(self, feed: feeds.Feed) -> list[ids.HostId]:
+    def _find_homes(self, feed: feed_module.Feed) -> list[ids.HostId]:
         """Returns the hosts that are to have a feed; none if it stays."""
         flow = feed.flow
-        ranked = self._around.placement.rank_homes(flow.service, flow.caller)
-        me = self._around.view.me
+        ranked = self._context.placement.rank_homes(flow.service, flow.caller)
+        me = self._context.view.me
         if self._leaving:
             return [m.host for m in ranked if m.host != me]
         if not ranked or ranked[0].host == me:
@@ -161,15 +161,15 @@
         async with self._lock:
             work = iter(list(self._misplaced))
             failed: set[ids.HostId] = set()
-            workers = min(limits.HANDOVERS_AT_A_TIME, len(self._misplaced))
+            workers = min(limits.MAX_CONCURRENT_HANDOVERS, len(self._misplaced))
             async with trio.open_nursery() as nursery:
                 for _ in range(workers):
-                    nursery.start_soon(self._work_through, work, failed)
+                    nursery.start_soon(self._hand_over_each, work, failed)
 
-    async def _work_through(
-        self, work: Iterator[feeds.Feed], failed: set[ids.HostId]
+    async def _hand_over_each(
+        self, pending: Iterator[feed_module.Feed], failed: set[ids.HostId]
     ) -> None:
-        for feed in work:
+        for feed in pending:
             await trio.lowlevel.checkpoint()
             if feed.closed:
                 self._misplaced.pop(feed, None)
@@ -180,7 +180,7 @@
 
     async def _try_homes(
         self,
-        feed: feeds.Feed,
+        feed: feed_module.Feed,
         homes: list[ids.HostId],
         failed: set[ids.HostId],
     ) -> bool:
@@ -198,30 +198,34 @@
                 logger.info("Feeds stay here for now: %s.", error)
         return False
 
-    async def _hand_over(self, feed: feeds.Feed, home: ids.HostId) -> bool:
-        if not await self._ask(feed, home, prepares=True):
+    async def _hand_over(
+        self, feed: feed_module.Feed, home: ids.HostId
+    ) -> bool:
+        if not await self._send_adopt(feed, home, prepares=True):
             return False
         if feed.closed:
             # Its keeper gave it to another home meanwhile, or to this one.
             return False
-        self._callers.hold(feed)
+        self._callers.hold_answers(feed)
         accepted = False
         try:
-            accepted = await self._ask(feed, home, prepares=False)
+            accepted = await self._send_adopt(feed, home, prepares=False)
         finally:
             if not accepted and not feed.closed:
-                self._callers.release(feed)
+                self._callers.release_answers(feed)
         if accepted and not feed.closed:
-            self._around.counts.add("feeds_handed_over_total")
-            self._forget(feed)
+            self._context.counts.add("feeds_handed_over_total")
+            self._remove_feed(feed)
         return accepted
 
-    async def _ask(
-        self, feed: feeds.Feed, home: ids.HostId, *, prepares: bool
+    async def _send_adopt(
+        self, feed: feed_module.Feed, home: ids.HostId, *, prepares: bool
     ) -> bool:
         # The new home chooses its own upstream.
-        opened = outline.make_open(feed, ids.UpstreamId(""), ids.Revision(0))
-        message = messages.FeedAdopt(opened, prepares)
-        network = self._around.network
-        reply = await network.call(home, message, limits.ADOPT_CALL_S)
-        return isinstance(reply, messages.Adopted) and reply.accepted
+        opened = open_messages.make_open_message(
+            feed, ids.UpstreamId(""), ids.Revision(0)
+        )
+        message = feeds.FeedAdopt(opened, prepares)
+        network = self._context.network
+        reply = await network.call(home, message, limits.ADOPT_CALL_TIMEOUT_S)
+        return isinstance(reply, feeds.Adopted) and reply.accepted
--- a/persimmonhinge/flows/feeds/outline.py
+++ b/persimmonhinge/flows/feeds/open_messages.py
@@ -10,14 +10,14 @@
 from persimmonhinge.coap import options
 from persimmonhinge.flows import port
 from persimmonhinge.flows.feeds import digests
-from persimmonhinge.flows.feeds import feed as feeds
+from persimmonhinge.flows.feeds import feed as feed_module
 from persimmonhinge.flows.feeds import limits
-from persimmonhinge.peers.messages import feeds as messages
+from persimmonhinge.peers.messages import feeds
 
 _Option = optionnumbers.OptionNumber
 # Options between the caller and its home alone. The ticket in Echo above all
 # must not reach an upstream.
-_OWN_OPTIONS = (
+_CALLER_SIDE_OPTIONS = (
     _Option.OBSERVE,
     _Option.ECHO,
     _Option.BLOCK1,
@@ -36,26 +36,26 @@
     request = codec.Message(code=message.code)
     request.mtype, request.mid, request.token = aiocoap.NON, 0, b""
     for option in message.opt.option_list():
-        if option.number not in _OWN_OPTIONS:
+        if option.number not in _CALLER_SIDE_OPTIONS:
             request.opt.add_option(option)
     return codec.encode(request)
 
 
-def make_open(
-    feed: feeds.Feed,
+def make_open_message(
+    feed: feed_module.Feed,
     upstream: ids.UpstreamId,
     revision: ids.Revision,
     *,
     resumes: bool = False,
-) -> messages.FeedOpen:
+) -> feeds.FeedOpen:
     """Returns a feed as it stands now.
 
     The floor leaves room for events of the keeper that serves it now.
     """
     floor = max(feed.floor, feed.sequence)
     if feed.recent:
-        floor += limits.MOVE_MARGIN
-    return messages.FeedOpen(
+        floor += limits.MOVE_SEQUENCE_MARGIN
+    return feeds.FeedOpen(
         feed.flow.service,
         revision,
         upstream,
@@ -65,20 +65,20 @@
         feed.token,
         feed.sequence,
         digests.split(feed.recent),
-        find_taken(feed),
+        find_newest_accepted(feed),
         floor,
         resumes,
     )
 
 
-def find_taken(feed: feeds.Feed) -> int:
+def find_newest_accepted(feed: feed_module.Feed) -> int:
     """Returns the number of the newest event that needs not come again."""
     if not feed.outbox:
         return feed.confirmed
     return max(feed.confirmed, feed.outbox[-1].sequence)
 
 
-def read_flow(opened: messages.FeedOpen) -> port.Flow:
+def read_flow(opened: feeds.FeedOpen) -> port.Flow:
     """Returns the flow of a feed that another host describes."""
     caller = (opened.caller_host, opened.caller_port)
     return port.Flow(opened.service, caller)
--- a/persimmonhinge/flows/feeds/refusal.py
+++ b/persimmonhinge/flows/feeds/refusal.py
@@ -9,22 +9,24 @@
 from persimmonhinge import errors
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
-from persimmonhinge.flows.feeds import event as events
+from persimmonhinge.flows.feeds import event
 from persimmonhinge.flows.feeds import limits
-from persimmonhinge.flows.feeds import search as searches
-from persimmonhinge.flows.feeds import source as sources
-from persimmonhinge.peers.messages import feeds as messages
+from persimmonhinge.flows.feeds import search as search_module
+from persimmonhinge.flows.feeds import source as source_module
+from persimmonhinge.peers.messages import feeds
 
 _SUCCESS_CLASS = 2
 _CLIENT_ERROR_CLASS = 4
 _CLASS_SHIFT = 5
 
 
-def note(search: searches.Search, source: sources.Source) -> None:
+def record_failure(
+    search: search_module.Search, source: source_module.Source
+) -> None:
     """Notes an upstream that did not take the feed."""
     search.tried |= {ids.UpstreamId(source.upstream.id)}
     end = source.end
-    if end is None or end.cause is not messages.FeedEndCause.REFUSED:
+    if end is None or end.cause is not feeds.FeedEndCause.REFUSED:
         search.unreachable = True
         return
     search.answer = end.answer or search.answer
@@ -40,7 +42,7 @@
     if not answer:
         return False
     try:
-        code = events.read_answer(answer, "").code
+        code = event.read_answer(answer, "").code
     except errors.MalformedDatagramError:
         return False
     if code is aiocoap.TOO_MANY_REQUESTS:
@@ -59,8 +61,8 @@
         randomness: Spreads the callers that are sent away together.
     """
     if is_final(answer):
-        return events.read_answer(answer, "")
-    wait_s = max(limits.REFUSED_RETRY_S, retry_after_s)
+        return event.read_answer(answer, "")
+    wait_s = max(limits.MIN_REFUSED_RETRY_S, retry_after_s)
     message = codec.Message(code=aiocoap.SERVICE_UNAVAILABLE)
     message.opt.max_age = randomness.randint(wait_s, 2 * wait_s)
     return message
--- a/persimmonhinge/flows/feeds/search.py
+++ b/persimmonhinge/flows/feeds/search.py
@@ -9,7 +9,7 @@
 from persimmonhinge import ids
 from persimmonhinge.flows import port
 from persimmonhinge.flows.feeds import limits
-from persimmonhinge.flows.feeds import source as sources
+from persimmonhinge.flows.feeds import source
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -37,28 +37,28 @@
     # Most searches try one upstream and stay in memory with their feed: an
     # empty set of its own would take 216 octets.
     tried: frozenset[ids.UpstreamId] = frozenset()
-    once: bool = False
-    first: bool = False
+    single_round: bool = False
+    awaits_first_answer: bool = False
     unreachable: bool = False
     answer: bytes = b""
     retry_after_s: int = 0
-    delay_s: float = limits.RETRY_FIRST_S
-    asked: sources.Source | None = None
-    patient_until: float = 0.0
+    delay_s: float = limits.MIN_ROUND_DELAY_S
+    last_queried: source.Source | None = None
+    retry_keeper_until: float = 0.0
     permit: trio.Semaphore | None = None
 
-    def begin_round(self) -> None:
+    def start_round(self) -> None:
         """Lets all upstreams be tried again."""
         self.tried = frozenset()
         self.unreachable = False
-        self.delay_s = min(self.delay_s * 2, limits.RETRY_LAST_S)
+        self.delay_s = min(self.delay_s * 2, limits.MAX_ROUND_DELAY_S)
 
-    async def acquire(self, permits: trio.Semaphore) -> None:
+    async def acquire_permit(self, permits: trio.Semaphore) -> None:
         """Waits for a permit to make an attempt."""
         await permits.acquire()
         self.permit = permits
 
-    def release(self) -> None:
+    def release_permit(self) -> None:
         """Gives the permit back, if there is one."""
         if self.permit is not None:
             self.permit.release()
--- a/persimmonhinge/flows/feeds/service.py
+++ b/persimmonhinge/flows/feeds/service.py
@@ -10,25 +10,25 @@
 
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
-from persimmonhinge.contracts import contract as contracts
+from persimmonhinge.contracts import contract
 from persimmonhinge.contracts import store
 from persimmonhinge.flows import port
 from persimmonhinge.flows.feeds import caller_side
-from persimmonhinge.flows.feeds import feed as feed_rows
+from persimmonhinge.flows.feeds import feed as feed_module
+from persimmonhinge.flows.feeds import feed_context
 from persimmonhinge.flows.feeds import handover
 from persimmonhinge.flows.feeds import limits
-from persimmonhinge.flows.feeds import outline
+from persimmonhinge.flows.feeds import open_messages
 from persimmonhinge.flows.feeds import refusal
 from persimmonhinge.flows.feeds import reports
-from persimmonhinge.flows.feeds import surroundings
 from persimmonhinge.flows.feeds import upstream_side
 from persimmonhinge.flows.feeds import watches
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.peers import network as networks
-from persimmonhinge.peers.messages import feeds as messages
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.membership import placement as placement_module
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.peers import network as network_module
+from persimmonhinge.peers.messages import feeds
+from persimmonhinge.settings import entry as entry_module
 
 logger = logging.getLogger(__name__)
 
@@ -38,17 +38,17 @@
 
     def __init__(
         self,
-        settings: settings_entry.EntrySettings,
-        view: views.View,
-        placement: placements.Placement,
+        settings: entry_module.EntrySettings,
+        view: view_module.View,
+        placement: placement_module.Placement,
         contract_store: store.ContractStore,
-        network: networks.PeerNetwork,
+        network: network_module.PeerNetwork,
         answers: port.CallerSender,
         chooser: port.Chooser,
-        counts: host_counts.Counts,
+        counts: counts_module.Counts,
         randomness: random.Random | None = None,
     ) -> None:
-        self._around = surroundings.Surroundings(
+        self._context = feed_context.FeedContext(
             settings,
             view,
             placement,
@@ -59,15 +59,15 @@
             counts,
             randomness or random.Random(),
         )
-        self._callers = caller_side.CallerSide(self._around, self._forget)
+        self._callers = caller_side.CallerSide(self._context, self._remove_feed)
         self._reports = reports.Reports()
         self._upstreams: upstream_side.UpstreamSide
         self._handover = handover.Handover(
-            self._around,
+            self._context,
             self._callers,
             self._adopt,
-            self._forget,
-            self._end,
+            self._remove_feed,
+            self._end_feed,
             self._report,
         )
         counts.watch("feeds_open", self.count)
@@ -78,22 +78,24 @@
         """Carries feeds until it is cancelled."""
         async with trio.open_nursery() as nursery:
             self._upstreams = upstream_side.UpstreamSide(
-                self._around,
+                self._context,
                 nursery,
                 self._callers,
                 self._reports,
-                self._end,
-                self._forget,
+                self._end_feed,
+                self._remove_feed,
             )
             watch = watches.Watches(
-                self._around, self._upstreams, self.close_all_of
+                self._context, self._upstreams, self.close_service
             )
-            nursery.start_soon(self._around.timers.run)
+            nursery.start_soon(self._context.timers.run)
             nursery.start_soon(self._reports.run)
             nursery.start_soon(watch.watch_contracts)
             nursery.start_soon(watch.watch_keepers)
             nursery.start_soon(self._handover.run)
-            self._around.network.handle(messages.FeedAdopt, self._handover.take)
+            self._context.network.handle(
+                feeds.FeedAdopt, self._handover.handle_adopt
+            )
             task_status.started()
 
     def open(
@@ -101,21 +103,21 @@
         flow: port.Flow,
         message: codec.Message,
         entry: store.ContractEntry,
-        call_class: contracts.CallClass,
+        call_class: contract.CallClass,
     ) -> None:
         """Takes a caller's GET with Observe 0.
 
         The same token again is a registration of the same feed (RFC 7641,
         3.3.1); it is answered with the newest state.
         """
-        request = outline.make_request(message)
-        feed = self._around.table.get(flow, message.token)
+        request = open_messages.make_request(message)
+        feed = self._context.table.get(flow, message.token)
         if feed is not None and feed.request_id == message.mid:
             self._callers.repeat_reply(feed)
         elif feed is not None and feed.request == request:
-            self._renew(feed, message, call_class)
+            self._refresh(feed, message, call_class)
         else:
-            self._replace(feed, flow, message, request, call_class)
+            self._open_new(feed, flow, message, request, call_class)
 
     def close(self, flow: port.Flow, message: codec.Message) -> bool:
         """Takes a caller's GET with Observe 1; the home answers it.
@@ -123,11 +125,11 @@
         Returns:
             False if there is no such feed.
         """
-        feed = self._around.table.get(flow, message.token)
+        feed = self._context.table.get(flow, message.token)
         if feed is None:
             return False
-        self._around.counts.add("feeds_closed_total", cause="deregistered")
-        self._forget(feed)
+        self._context.counts.add("feeds_closed_total", cause="deregistered")
+        self._remove_feed(feed)
         return True
 
     def acknowledge(self, flow: port.Flow, message_id: int) -> bool:
@@ -140,14 +142,14 @@
         Returns:
             False if no feed has sent this message lately.
         """
-        feed = self._callers.confirmations.find(flow, message_id)
-        for candidate in self._around.table.of_flow(flow):
+        feed = self._callers.confirmations.find_feed(flow, message_id)
+        for candidate in self._context.table.get_flow_feeds(flow):
             if candidate.message_id == message_id:
                 feed = candidate
         if feed is None:
             return False
-        self._around.counts.add("feeds_closed_total", cause="reset")
-        self._forget(feed)
+        self._context.counts.add("feeds_closed_total", cause="reset")
+        self._remove_feed(feed)
         return True
 
     def read_state(
@@ -161,17 +163,17 @@
         Returns:
             None if the flow has no feed of this resource with an answer.
         """
-        request = outline.make_request(message)
-        for feed in self._around.table.of_flow(flow):
-            if feed.request == request and feed.current:
+        request = open_messages.make_request(message)
+        for feed in self._context.table.get_flow_feeds(flow):
+            if feed.request == request and feed.newest_answer:
                 return caller_side.read_current(feed)
         return None
 
-    def close_all_of(self, service: ids.ServiceName) -> None:
+    def close_service(self, service: ids.ServiceName) -> None:
         """Ends all feeds of a service whose contract was deleted."""
-        for feed in self._around.table:
+        for feed in self._context.table:
             if feed.flow.service == service:
-                self._end(feed, b"", 0)
+                self._end_feed(feed, b"", 0)
 
     async def move(
         self, service: ids.ServiceName, upstream: ids.UpstreamId, count: int
@@ -184,10 +186,12 @@
             Number of feeds that begin to move, at most `count`.
         """
         begun = 0
-        for feed in watches.pick(iter(self._around.table), service, upstream):
+        for feed in watches.find_feeds_at(
+            iter(self._context.table), service, upstream
+        ):
             if begun >= count:
                 break
-            begun += self._upstreams.move(feed, once=True)
+            begun += self._upstreams.move(feed, single_round=True)
         await trio.lowlevel.checkpoint()
         return begun
 
@@ -197,33 +201,33 @@
 
     def count(self) -> int:
         """Returns the number of feeds in the table."""
-        return len(self._around.table)
+        return len(self._context.table)
 
-    def _renew(
+    def _refresh(
         self,
-        feed: feed_rows.Feed,
+        feed: feed_module.Feed,
         message: codec.Message,
-        call_class: contracts.CallClass,
+        call_class: contract.CallClass,
     ) -> None:
         feed.call_class = call_class
-        self._callers.take_request(feed, message)
-        if feed.current and feed.outbox is None:
+        self._callers.record_request(feed, message)
+        if feed.newest_answer and feed.outbox is None:
             self._callers.send_current(feed)
 
-    def _replace(
+    def _open_new(
         self,
-        former: feed_rows.Feed | None,
+        former: feed_module.Feed | None,
         flow: port.Flow,
         message: codec.Message,
         request: bytes,
-        call_class: contracts.CallClass,
+        call_class: contract.CallClass,
     ) -> None:
         sequence = start_sequence()
         if former is not None:
             # The token was given to another resource; the numbers go on.
             sequence = max(sequence, former.sequence)
-            self._forget(former)
-        feed = feed_rows.Feed(
+            self._remove_feed(former)
+        feed = feed_module.Feed(
             flow,
             message.token,
             request,
@@ -233,50 +237,50 @@
             floor=sequence,
             reported=sequence,
         )
-        self._callers.take_request(feed, message)
-        if self.count() >= self._around.settings.flows.most_flows:
-            self._around.counts.add("feeds_refused_total", cause="table-full")
-            self._send_last(feed, b"", 0)
+        self._callers.record_request(feed, message)
+        if self.count() >= self._context.settings.flows.most_flows:
+            self._context.counts.add("feeds_refused_total", cause="table-full")
+            self._send_final(feed, b"", 0)
             return
-        self._around.table.add(feed)
-        self._around.counts.add("feeds_opened_total")
+        self._context.table.add(feed)
+        self._context.counts.add("feeds_opened_total")
         self._upstreams.open(feed)
-        self._handover.note(feed)
+        self._handover.check_home(feed)
 
     def _adopt(
-        self, feed: feed_rows.Feed, preferred: port.Choice | None
+        self, feed: feed_module.Feed, preferred: port.Choice | None
     ) -> None:
         """Opens a feed that another host hands over."""
-        self._around.table.add(feed)
-        self._around.counts.add("feeds_adopted_total")
+        self._context.table.add(feed)
+        self._context.counts.add("feeds_adopted_total")
         self._upstreams.open(feed, preferred)
 
-    def _report(self, feed: feed_rows.Feed) -> None:
+    def _report(self, feed: feed_module.Feed) -> None:
         self._upstreams.report_soon(feed)
 
-    def _forget(self, feed: feed_rows.Feed) -> None:
+    def _remove_feed(self, feed: feed_module.Feed) -> None:
         """Closes a feed without a word to its caller."""
         feed.closed = True
-        self._around.table.remove(feed)
-        self._callers.confirmations.end(feed)
+        self._context.table.remove(feed)
+        self._callers.confirmations.end_exchange(feed)
         for source in (feed.source, feed.candidate):
             if source is not None:
                 source.scope.cancel()
 
-    def _end(
-        self, feed: feed_rows.Feed, answer: bytes, retry_after_s: int
+    def _end_feed(
+        self, feed: feed_module.Feed, answer: bytes, retry_after_s: int
     ) -> None:
         """Closes a feed and tells its caller so."""
         if feed.closed:
             return
-        self._forget(feed)
-        self._around.counts.add("feeds_closed_total", cause="no-upstream")
-        self._send_last(feed, answer, retry_after_s)
+        self._remove_feed(feed)
+        self._context.counts.add("feeds_closed_total", cause="no-upstream")
+        self._send_final(feed, answer, retry_after_s)
 
-    def _send_last(
-        self, feed: feed_rows.Feed, answer: bytes, retry_after_s: int
+    def _send_final(
+        self, feed: feed_module.Feed, answer: bytes, retry_after_s: int
     ) -> None:
-        randomness = self._around.random
+        randomness = self._context.random
         message = refusal.make_answer(answer, retry_after_s, randomness)
         self._callers.send_final(feed, message)
 
--- a/persimmonhinge/flows/feeds/source.py
+++ b/persimmonhinge/flows/feeds/source.py
@@ -8,13 +8,13 @@
 import trio
 
 from persimmonhinge import ids
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.flows.feeds import event as events
+from persimmonhinge.contracts import contract
+from persimmonhinge.flows.feeds import event
 from persimmonhinge.peers import network
-from persimmonhinge.peers.messages import feeds as messages
+from persimmonhinge.peers.messages import feeds
 
 if TYPE_CHECKING:
-    from persimmonhinge.flows.feeds import feed as feeds
+    from persimmonhinge.flows.feeds import feed as feed_module
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -40,18 +40,18 @@
         held: Events that wait for the former upstream to come level.
     """
 
-    feed: feeds.Feed
-    upstream: contracts.Upstream
+    feed: feed_module.Feed
+    upstream: contract.Upstream
     keeper: ids.HostId
     keeper_ref: ids.HostRef
     scope: trio.CancelScope
     resumes: bool = False
     stream: network.PeerStream | None = None
     started: bool = False
-    taken: bool = False
-    cause: messages.FeedEndCause | None = None
-    end: messages.FeedEnd | None = None
-    newest: int = 0
-    given_up: bool = False
-    position: int | None = None
-    held: list[events.Event] | None = None
+    used: bool = False
+    move_cause: feeds.FeedEndCause | None = None
+    end: feeds.FeedEnd | None = None
+    newest_sequence: int = 0
+    declared_dead: bool = False
+    replay_position: int | None = None
+    held_events: list[event.Event] | None = None
--- a/persimmonhinge/flows/feeds/seam.py
+++ b/persimmonhinge/flows/feeds/switchover.py
@@ -9,18 +9,18 @@
 
 from persimmonhinge.flows.feeds import caller_side
 from persimmonhinge.flows.feeds import digests
-from persimmonhinge.flows.feeds import event as events
-from persimmonhinge.flows.feeds import feed as feeds
+from persimmonhinge.flows.feeds import event as event_module
+from persimmonhinge.flows.feeds import feed as feed_module
+from persimmonhinge.flows.feeds import feed_context
 from persimmonhinge.flows.feeds import limits
-from persimmonhinge.flows.feeds import outline
-from persimmonhinge.flows.feeds import source as sources
-from persimmonhinge.flows.feeds import surroundings
-from persimmonhinge.peers.messages import feeds as messages
+from persimmonhinge.flows.feeds import open_messages
+from persimmonhinge.flows.feeds import source as source_module
+from persimmonhinge.peers.messages import feeds
 
 _DEFAULT_MAX_AGE_S = 60
 
 
-class Seam:
+class Switchover:
     """Decides which events of which upstream a caller gets.
 
     The former upstream serves until the new one has shown where it stands.
@@ -34,27 +34,29 @@
 
     def __init__(
         self,
-        around: surroundings.Surroundings,
+        context: feed_context.FeedContext,
         callers: caller_side.CallerSide,
-        taken: Callable[[feeds.Feed], None],
+        on_switch: Callable[[feed_module.Feed], None],
     ) -> None:
-        self._around = around
+        self._context = context
         self._callers = callers
-        self._taken = taken
+        self._on_switch = on_switch
 
-    def take(self, source: sources.Source, event: events.Event) -> None:
+    def process_event(
+        self, source: source_module.Source, event: event_module.Event
+    ) -> None:
         """Takes an event of the present, the next or a former upstream."""
         feed = source.feed
         if event.resumed:
-            self._take_resumed(source, event)
+            self._process_resumed(source, event)
         elif feed.source is source:
-            self._pass_on(source, event)
-            self._compare(feed, event)
+            self._forward(source, event)
+            self._check_candidate(feed, event)
         elif feed.candidate is source:
-            self._take_from_candidate(source, event)
+            self._process_from_candidate(source, event)
         # Else it is a late event of a former upstream, which is passed over.
 
-    def lose(self, source: sources.Source) -> None:
+    def record_end(self, source: source_module.Source) -> None:
         """Notes that an upstream serves its feed no more."""
         feed = source.feed
         if feed.candidate is source:
@@ -62,12 +64,12 @@
         if feed.source is not source:
             return
         feed.source = None
-        feed.lost_at = trio.current_time()
-        if feed.candidate is not None and feed.candidate.held:
-            self._finish_after(limits.BEHIND_S, feed.candidate)
+        feed.unserved_since = trio.current_time()
+        if feed.candidate is not None and feed.candidate.held_events:
+            self._schedule_finish(limits.UNSERVED_SWITCH_WAIT_S, feed.candidate)
 
-    def _take_resumed(
-        self, source: sources.Source, event: events.Event
+    def _process_resumed(
+        self, source: source_module.Source, event: event_module.Event
     ) -> None:
         """Takes an event of a keeper that goes on with the same feed.
 
@@ -78,108 +80,120 @@
         feed = source.feed
         if feed.candidate is source:
             self._switch(source)
-            feed.unsure = False
+            feed.is_newest_unconfirmed = False
             if feed.confirmed:
-                source.position = None
-        if event.sequence > outline.find_taken(feed):
-            self._pass_on(source, event)
-        elif not feed.current:
-            self._callers.note_current(feed, event)
-
-    def _take_from_candidate(
-        self, source: sources.Source, event: events.Event
+                source.replay_position = None
+        if event.sequence > open_messages.find_newest_accepted(feed):
+            self._forward(source, event)
+        elif not feed.newest_answer:
+            self._callers.record_current(feed, event)
+
+    def _process_from_candidate(
+        self, source: source_module.Source, event: event_module.Event
     ) -> None:
         feed = source.feed
         if not feed.recent or digests.find(feed.recent, event.digest) >= 0:
             # What it held, if anything, is older than this one.
             self._switch(source)
-            self._pass_on(source, event)
+            self._forward(source, event)
             return
-        if source.held is None:
-            source.held = []
-            self._finish_after(self._choose_wait(feed), source)
-        source.held.append(event)
-        if len(source.held) >= limits.SEAM_EVENTS:
-            self._finish(source)
-
-    def _choose_wait(self, feed: feeds.Feed) -> float:
+        if source.held_events is None:
+            source.held_events = []
+            self._schedule_finish(self._choose_wait(feed), source)
+        source.held_events.append(event)
+        if len(source.held_events) >= limits.MAX_HELD_EVENTS:
+            self._finish_wait(source)
+
+    def _choose_wait(self, feed: feed_module.Feed) -> float:
         former = feed.source
-        if former is None or former.cause is messages.FeedEndCause.SILENT:
-            return limits.BEHIND_S
-        return limits.SEAM_S
+        if former is None or former.move_cause is feeds.FeedEndCause.SILENT:
+            return limits.UNSERVED_SWITCH_WAIT_S
+        return limits.MAX_SWITCH_WAIT_S
 
-    def _finish_after(self, delay_s: float, source: sources.Source) -> None:
-        finish = functools.partial(self._finish, source)
-        self._around.timers.call_after(delay_s, finish)
+    def _schedule_finish(
+        self, delay_s: float, source: source_module.Source
+    ) -> None:
+        finish = functools.partial(self._finish_wait, source)
+        self._context.timers.call_after(delay_s, finish)
 
-    def _compare(self, feed: feeds.Feed, event: events.Event) -> None:
+    def _check_candidate(
+        self, feed: feed_module.Feed, event: event_module.Event
+    ) -> None:
         """Changes over if the former upstream has come level."""
         source = feed.candidate
-        if source is None or not source.held:
+        if source is None or not source.held_events:
             return
-        for place, held in enumerate(source.held):
+        for place, held in enumerate(source.held_events):
             if held.digest == event.digest:
-                del source.held[: place + 1]
-                self._finish(source)
+                del source.held_events[: place + 1]
+                self._finish_wait(source)
                 return
 
-    def _finish(self, source: sources.Source) -> None:
+    def _finish_wait(self, source: source_module.Source) -> None:
         """Changes over to a candidate that waited."""
         feed = source.feed
-        if feed.candidate is not source or source.held is None:
+        if feed.candidate is not source or source.held_events is None:
             return
-        held = source.held
-        source.held = None
+        held = source.held_events
+        source.held_events = None
         self._switch(source)
-        source.position = None
+        source.replay_position = None
         for event in held:
-            self._pass_on(source, event)
+            self._forward(source, event)
 
-    def _switch(self, source: sources.Source) -> None:
+    def _switch(self, source: source_module.Source) -> None:
         feed = source.feed
         former = feed.source
         feed.candidate = None
         feed.source = source
-        source.held = None
+        source.held_events = None
         feed.searching = False
-        source.taken = True
-        source.position = -1 if feed.recent else None
+        source.used = True
+        source.replay_position = -1 if feed.recent else None
         if former is not None:
             former.scope.cancel()
-            self._around.counts.add("feeds_moved_total")
-        self._taken(feed)
+            self._context.counts.add("feeds_moved_total")
+        self._on_switch(feed)
 
-    def _pass_on(self, source: sources.Source, event: events.Event) -> None:
+    def _forward(
+        self, source: source_module.Source, event: event_module.Event
+    ) -> None:
         feed = source.feed
-        if not self._is_known(source, event):
-            feed.unsure = False
+        if not self._is_duplicate(source, event):
+            feed.is_newest_unconfirmed = False
             self._callers.send(feed, event)
-        source.newest = event.sequence
+        source.newest_sequence = event.sequence
         if feed.outbox is None:
             feed.confirmed = event.sequence
 
-    def _is_known(self, source: sources.Source, event: events.Event) -> bool:
+    def _is_duplicate(
+        self, source: source_module.Source, event: event_module.Event
+    ) -> bool:
         """Tells whether the caller has had the state of an event."""
         feed = source.feed
-        if source.position is None:
+        if source.replay_position is None:
             return self._is_fresh_repeat(feed, event)
         # The upstream publishes in order, so each event that the caller has
         # had stands behind the one before it.
-        found = digests.find(feed.recent, event.digest, source.position + 1)
+        found = digests.find(
+            feed.recent, event.digest, source.replay_position + 1
+        )
         is_newest = found == digests.count(feed.recent) - 1
-        source.position = None if found < 0 or is_newest else found
+        source.replay_position = None if found < 0 or is_newest else found
         # A former home may have died before it sent the newest one: the
         # caller would miss it until the state changes again.
-        return found >= 0 and not (is_newest and feed.unsure)
+        return found >= 0 and not (is_newest and feed.is_newest_unconfirmed)
 
-    def _is_fresh_repeat(self, feed: feeds.Feed, event: events.Event) -> bool:
+    def _is_fresh_repeat(
+        self, feed: feed_module.Feed, event: event_module.Event
+    ) -> bool:
         """Tells whether an event repeats the newest one and adds nothing.
 
         Only the newest one counts: a price that goes up and down again is
         news although it was sent before. A repeat is passed on once the
         caller's copy is about to become stale (RFC 7641, 1.3).
         """
-        if event.digest != digests.last(feed.recent) or not feed.current:
+        if event.digest != digests.last(feed.recent) or not feed.newest_answer:
             return False
         max_age = caller_side.read_current(feed).opt.max_age
         if max_age is None:
--- a/persimmonhinge/flows/feeds/timers.py
+++ b/persimmonhinge/flows/feeds/timers.py
@@ -20,22 +20,22 @@
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
-        self._earlier = trio.Event()
+        self._earlier_due = trio.Event()
 
     def call_after(self, delay_s: float, callback: Callable[[], None]) -> None:
         """Has a callback run after a time, which must not raise."""
         due = trio.current_time() + delay_s
         if not self._heap or due < self._heap[0][0]:
-            self._earlier.set()
+            self._earlier_due.set()
         heapq.heappush(self._heap, (due, next(self._order), callback))
 
     async def run(self) -> None:
         """Runs callbacks until it is cancelled."""
         while True:
-            self._earlier = trio.Event()
+            self._earlier_due = trio.Event()
             due = self._heap[0][0] if self._heap else math.inf
             with trio.move_on_at(due):
-                await self._earlier.wait()
+                await self._earlier_due.wait()
             self._run_due()
 
     def _run_due(self) -> None:
--- a/persimmonhinge/flows/feeds/upstream_side.py
+++ b/persimmonhinge/flows/feeds/upstream_side.py
@@ -11,36 +11,36 @@
 
 from persimmonhinge import errors
 from persimmonhinge import ids
-from persimmonhinge.contracts import contract as contracts
+from persimmonhinge.contracts import contract
 from persimmonhinge.flows import port
 from persimmonhinge.flows.feeds import broken_links
 from persimmonhinge.flows.feeds import caller_side
-from persimmonhinge.flows.feeds import choices
-from persimmonhinge.flows.feeds import event as events
-from persimmonhinge.flows.feeds import feed as feeds
+from persimmonhinge.flows.feeds import event as event_module
+from persimmonhinge.flows.feeds import feed as feed_module
+from persimmonhinge.flows.feeds import feed_context
 from persimmonhinge.flows.feeds import limits
-from persimmonhinge.flows.feeds import outline
+from persimmonhinge.flows.feeds import open_messages
 from persimmonhinge.flows.feeds import refusal
 from persimmonhinge.flows.feeds import reports
-from persimmonhinge.flows.feeds import seam as seams
-from persimmonhinge.flows.feeds import search as searches
-from persimmonhinge.flows.feeds import source as sources
-from persimmonhinge.flows.feeds import surroundings
-from persimmonhinge.peers import errors as link_errors
-from persimmonhinge.peers import network as networks
+from persimmonhinge.flows.feeds import search as search_module
+from persimmonhinge.flows.feeds import source as source_module
+from persimmonhinge.flows.feeds import switchover
+from persimmonhinge.flows.feeds import upstream_selector
+from persimmonhinge.peers import errors as errors_module
+from persimmonhinge.peers import network
 from persimmonhinge.peers.messages import base
-from persimmonhinge.peers.messages import feeds as messages
+from persimmonhinge.peers.messages import feeds
 
 logger = logging.getLogger(__name__)
 
 # Causes after which the old stream goes on until the feed has moved.
 _MOVE_CAUSES = (
-    messages.FeedEndCause.DRAINING,
-    messages.FeedEndCause.MOVED,
-    messages.FeedEndCause.SILENT,
+    feeds.FeedEndCause.DRAINING,
+    feeds.FeedEndCause.MOVED,
+    feeds.FeedEndCause.SILENT,
 )
 
-End = Callable[[feeds.Feed, bytes, int], None]
+EndFeed = Callable[[feed_module.Feed, bytes, int], None]
 
 
 class UpstreamSide:
@@ -57,25 +57,27 @@
 
     def __init__(
         self,
-        around: surroundings.Surroundings,
+        context: feed_context.FeedContext,
         nursery: trio.Nursery,
         callers: caller_side.CallerSide,
         reporter: reports.Reports,
-        end: End,
-        forget: Callable[[feeds.Feed], None],
+        end_feed: EndFeed,
+        remove_feed: Callable[[feed_module.Feed], None],
     ) -> None:
-        self._around = around
+        self._context = context
         self._nursery = nursery
         self._reports = reporter
-        self._end = end
-        self._forget = forget
-        self.choices = choices.Choices(around)
-        self._broken = broken_links.BrokenLinks(around)
-        self._seam = seams.Seam(around, callers, self._note_taken)
-        self._permits = trio.Semaphore(limits.MOVES_AT_A_TIME)
+        self._end_feed = end_feed
+        self._remove_feed = remove_feed
+        self.selector = upstream_selector.UpstreamSelector(context)
+        self._broken_links = broken_links.BrokenLinks(context)
+        self._switchover = switchover.Switchover(
+            context, callers, self._handle_switch
+        )
+        self._permits = trio.Semaphore(limits.MAX_CONCURRENT_MOVES)
 
     def open(
-        self, feed: feeds.Feed, preferred: port.Choice | None = None
+        self, feed: feed_module.Feed, preferred: port.Choice | None = None
     ) -> None:
         """Looks for the first upstream of a feed.
 
@@ -83,10 +85,14 @@
             feed: The feed.
             preferred: Where it was open at its former home, if anywhere.
         """
-        first = feed.reply is not feeds.Reply.DONE
-        self._start(feed, searches.Search(preferred, first=first))
+        first = feed.reply is not feed_module.Reply.DONE
+        self._start(
+            feed, search_module.Search(preferred, awaits_first_answer=first)
+        )
 
-    def move(self, feed: feeds.Feed, *, once: bool = False) -> bool:
+    def move(
+        self, feed: feed_module.Feed, *, single_round: bool = False
+    ) -> bool:
         """Moves a feed from an upstream that still serves it.
 
         Args:
@@ -99,50 +105,56 @@
         if feed.searching or feed.source is None or feed.closed:
             return False
         tried = frozenset({ids.UpstreamId(feed.source.upstream.id)})
-        self._start(feed, searches.Search(tried=tried, once=once))
+        self._start(
+            feed, search_module.Search(tried=tried, single_round=single_round)
+        )
         return True
 
-    def report_soon(self, feed: feeds.Feed) -> None:
+    def report_soon(self, feed: feed_module.Feed) -> None:
         """Tells the keeper what the caller was sent, without waiting."""
         self._nursery.start_soon(self._reports.report, feed)
 
-    def _start(self, feed: feeds.Feed, search: searches.Search) -> None:
+    def _start(
+        self, feed: feed_module.Feed, search: search_module.Search
+    ) -> None:
         feed.searching = True
-        self._nursery.start_soon(self._carry, feed, search)
+        self._nursery.start_soon(self._run_feed, feed, search)
 
-    async def _carry(self, feed: feeds.Feed, search: searches.Search) -> None:
+    async def _run_feed(
+        self, feed: feed_module.Feed, search: search_module.Search
+    ) -> None:
         while not feed.closed:
-            self._broken.prefer_keeper(feed, search)
+            self._broken_links.prefer_keeper(feed, search)
             resumes = search.preferred is not None
-            choice = self.choices.choose(feed, search)
+            choice = self.selector.choose(feed, search)
             if choice is None:
                 if not await self._wait_for_round(feed, search):
                     return
                 continue
             source = self._make_source(feed, choice, resumes=resumes)
             await self._read(source, search)
-            if not source.taken:
-                if self._broken.wants_retry(source, search):
-                    await trio.sleep(limits.GIVEN_UP_RETRY_S)
+            if not source.used:
+                if self._broken_links.should_retry_keeper(source, search):
+                    await trio.sleep(limits.DECLARED_DEAD_RETRY_INTERVAL_S)
                     continue
-                if not self._goes_on(feed, search, source):
+                if not self._continue_after_failure(feed, search, source):
                     return
                 continue
             if feed.closed or feed.source is not None:
                 return
-            self._broken.note(source)
+            self._broken_links.record_loss(source)
             if feed.searching:
                 return
             # The upstream that served is gone and no one looks for another.
             feed.searching = True
             tried = frozenset({ids.UpstreamId(source.upstream.id)})
-            search = searches.Search(tried=tried)
-            self._around.counts.add("feeds_lost_upstream_total")
+            search = search_module.Search(tried=tried)
+            self._context.counts.add("feeds_lost_upstream_total")
 
     def _make_source(
-        self, feed: feeds.Feed, choice: port.Choice, *, resumes: bool
-    ) -> sources.Source:
-        return sources.Source(
+        self, feed: feed_module.Feed, choice: port.Choice, *, resumes: bool
+    ) -> source_module.Source:
+        return source_module.Source(
             feed,
             choice.upstream,
             choice.keeper,
@@ -151,21 +163,23 @@
             resumes,
         )
 
-    def _goes_on(
+    def _continue_after_failure(
         self,
-        feed: feeds.Feed,
-        search: searches.Search,
-        source: sources.Source,
+        feed: feed_module.Feed,
+        search: search_module.Search,
+        source: source_module.Source,
     ) -> bool:
         """Notes a failed attempt; False if the caller has its answer."""
-        refusal.note(search, source)
-        if not search.first or not refusal.is_final(search.answer):
+        refusal.record_failure(search, source)
+        if not search.awaits_first_answer or not refusal.is_final(
+            search.answer
+        ):
             return True
-        self._finish(feed, search)
+        self._end_search(feed, search)
         return False
 
     async def _wait_for_round(
-        self, feed: feeds.Feed, search: searches.Search
+        self, feed: feed_module.Feed, search: search_module.Search
     ) -> bool:
         """Waits until all upstreams may be tried again.
 
@@ -173,121 +187,133 @@
             False if the search is over.
         """
         if feed.source is not None:
-            if search.once or not self.choices.must_move(feed.source):
+            if search.single_round or not self.selector.must_move(feed.source):
                 feed.searching = False
                 return False
-        elif search.first and not search.unreachable:
+        elif search.awaits_first_answer and not search.unreachable:
             # All refuse: a final answer is never held back.
-            self._finish(feed, search)
+            self._end_search(feed, search)
             return False
-        delay_s = search.delay_s * self._around.random.uniform(0.5, 1.0)
-        if feed.source is None and not self.choices.is_in_time(feed, delay_s):
-            self._finish(feed, search)
+        delay_s = search.delay_s * self._context.random.uniform(0.5, 1.0)
+        if feed.source is None and not self.selector.is_within_deadline(
+            feed, delay_s
+        ):
+            self._end_search(feed, search)
             return False
         await trio.sleep(delay_s)
-        search.begin_round()
+        search.start_round()
         return True
 
-    def _finish(self, feed: feeds.Feed, search: searches.Search) -> None:
+    def _end_search(
+        self, feed: feed_module.Feed, search: search_module.Search
+    ) -> None:
         answer = b"" if search.unreachable else search.answer
-        self._end(feed, answer, search.retry_after_s)
+        self._end_feed(feed, answer, search.retry_after_s)
 
     async def _read(
-        self, source: sources.Source, search: searches.Search
+        self, source: source_module.Source, search: search_module.Search
     ) -> None:
         """Opens one stream and reads it to its end."""
         service = source.feed.flow.service
         upstream = ids.UpstreamId(source.upstream.id)
-        kind = contracts.CallKind.FEED
+        kind = contract.CallKind.FEED
         if source.feed.source is not None:
             # Moves that no caller waits for go on a few at a time.
-            await search.acquire(self._permits)
-        self._around.chooser.record_start(service, upstream, kind)
+            await search.acquire_permit(self._permits)
+        self._context.chooser.record_start(service, upstream, kind)
         try:
             with source.scope:
                 await self._read_stream(source, search)
         except errors.PeerError as error:
-            source.given_up = isinstance(error, link_errors.PeerGaveUpError)
+            source.declared_dead = isinstance(
+                error, errors_module.PeerGaveUpError
+            )
             logger.debug("A feed's stream ended: %s.", error)
         finally:
-            search.release()
-            self._around.chooser.record_end(service, upstream, kind)
+            search.release_permit()
+            self._context.chooser.record_end(service, upstream, kind)
             source.stream = None
-            self._seam.lose(source)
+            self._switchover.record_end(source)
 
     async def _read_stream(
-        self, source: sources.Source, search: searches.Search
+        self, source: source_module.Source, search: search_module.Search
     ) -> None:
         feed = source.feed
         feed.candidate = source
-        source.scope.deadline = trio.current_time() + limits.FIRST_EVENT_S
+        source.scope.deadline = (
+            trio.current_time() + limits.FIRST_EVENT_TIMEOUT_S
+        )
         async with self._open_stream(source) as stream:
             source.stream = stream
             while not feed.closed:
-                if self._take(source, await stream.receive()):
+                if self._process_message(source, await stream.receive()):
                     return
-                search.release()
+                search.release_permit()
                 if feed.source is source:
                     await self._reports.report_by_count(feed)
 
     def _open_stream(
-        self, source: sources.Source
-    ) -> contextlib.AbstractAsyncContextManager[networks.PeerStream]:
-        entry = self._around.contracts.get(source.feed.flow.service)
+        self, source: source_module.Source
+    ) -> contextlib.AbstractAsyncContextManager[network.PeerStream]:
+        entry = self._context.contracts.get(source.feed.flow.service)
         revision = ids.Revision(0) if entry is None else entry.revision
         upstream = ids.UpstreamId(source.upstream.id)
-        opening = outline.make_open(
+        opening = open_messages.make_open_message(
             source.feed, upstream, revision, resumes=source.resumes
         )
-        timeout_s = self._around.settings.peers.connect_timeout_s
-        return self._around.network.open(source.keeper, opening, timeout_s)
+        timeout_s = self._context.settings.peers.connect_timeout_s
+        return self._context.network.open(source.keeper, opening, timeout_s)
 
-    def _take(self, source: sources.Source, message: base.Message) -> bool:
+    def _process_message(
+        self, source: source_module.Source, message: base.Message
+    ) -> bool:
         """Takes a message of a keeper; True if it was the last."""
-        if isinstance(message, messages.FeedEvent):
-            self._take_event(source, message)
+        if isinstance(message, feeds.FeedEvent):
+            self._process_event(source, message)
             return False
-        if isinstance(message, messages.FeedEnd):
-            return self._take_end(source, message)
-        if isinstance(message, messages.FeedTaken):
-            self._around.counts.add("feeds_closed_total", cause="taken")
-            self._forget(source.feed)
+        if isinstance(message, feeds.FeedEnd):
+            return self._process_end(source, message)
+        if isinstance(message, feeds.FeedTaken):
+            self._context.counts.add("feeds_closed_total", cause="taken")
+            self._remove_feed(source.feed)
             return True
         return False
 
-    def _take_event(
-        self, source: sources.Source, message: messages.FeedEvent
+    def _process_event(
+        self, source: source_module.Source, message: feeds.FeedEvent
     ) -> None:
         try:
-            event = events.read_event(message, source.keeper)
+            event = event_module.read_event(message, source.keeper)
         except errors.MalformedDatagramError as error:
             logger.warning("Event passed over: %s.", error)
-            self._around.counts.add("feed_events_malformed_total")
+            self._context.counts.add("feed_events_malformed_total")
             return
         source.started = True
         source.scope.deadline = math.inf
         source.feed.floor = max(source.feed.floor, event.sequence)
-        self._seam.take(source, event)
+        self._switchover.process_event(source, event)
 
-    def _take_end(self, source: sources.Source, end: messages.FeedEnd) -> bool:
-        self._around.counts.add("feed_ends_total", cause=end.cause.value)
+    def _process_end(
+        self, source: source_module.Source, end: feeds.FeedEnd
+    ) -> bool:
+        self._context.counts.add("feed_ends_total", cause=end.cause.value)
         if end.load is not None:
             service = source.feed.flow.service
-            self._around.chooser.record_load(service, end.load)
+            self._context.chooser.record_load(service, end.load)
         if end.cause not in _MOVE_CAUSES or not source.started:
             source.end = end
             return True
-        source.cause = end.cause
+        source.move_cause = end.cause
         if source.feed.source is source:
             self.move(source.feed)
         return False
 
-    def _note_taken(self, feed: feeds.Feed) -> None:
-        self._broken.leave_keeper(feed)
-        if feed.opened is not None:
-            feed.opened.set()
+    def _handle_switch(self, feed: feed_module.Feed) -> None:
+        self._broken_links.notify_former_keeper(feed)
+        if feed.served is not None:
+            feed.served.set()
         if feed.recent:
             self.report_soon(feed)
         # Its keeper may have asked for a move while it was a candidate.
-        if feed.source is not None and self.choices.must_move(feed.source):
+        if feed.source is not None and self.selector.must_move(feed.source):
             self.move(feed)
--- a/persimmonhinge/flows/feeds/watches.py
+++ b/persimmonhinge/flows/feeds/watches.py
@@ -8,13 +8,13 @@
 import trio
 
 from persimmonhinge import ids
-from persimmonhinge.contracts import store as stores
-from persimmonhinge.flows.feeds import feed as feeds
-from persimmonhinge.flows.feeds import surroundings
+from persimmonhinge.contracts import store
+from persimmonhinge.flows.feeds import feed as feed_module
+from persimmonhinge.flows.feeds import feed_context
 from persimmonhinge.flows.feeds import upstream_side
 
 # Feeds looked at before other tasks get their turn.
-STRIDE = 256
+FEEDS_PER_CHECKPOINT = 256
 
 
 class Watches:
@@ -22,25 +22,25 @@
 
     def __init__(
         self,
-        around: surroundings.Surroundings,
+        context: feed_context.FeedContext,
         upstreams: upstream_side.UpstreamSide,
         close_service: Callable[[ids.ServiceName], None],
     ) -> None:
-        self._around = around
+        self._context = context
         self._upstreams = upstreams
         self._close_service = close_service
-        self._entries: dict[ids.ServiceName, stores.ContractEntry] = {}
+        self._entries: dict[ids.ServiceName, store.ContractEntry] = {}
 
     async def watch_contracts(self) -> None:
         """Moves feeds from upstreams that drain or that a contract drops."""
-        changed = self._around.contracts.changed
+        changed = self._context.contracts.changed
         version = -1
         while True:
             version = await changed.wait_beyond(version)
             for service in self._find_deleted():
                 self._close_service(service)
             services = self._find_changed()
-            await self._leave_upstreams(services)
+            await self._move_from_upstreams(services)
 
     async def watch_keepers(self) -> None:
         """Moves feeds whose keeper died.
@@ -49,21 +49,21 @@
         gone: the caller would see a feed that stands still. The stream is
         given up as soon as membership counts the keeper's incarnation out.
         """
-        view = self._around.view
+        view = self._context.view
         known: set[ids.HostRef] = set()
         version = -1
         while True:
             version = await view.changed.wait_beyond(version)
             present = {m.ref for m in view.all() if m.answers}
             if known - present:
-                await self._leave_keepers(known - present)
+                await self._cancel_streams_of(known - present)
             known = present
 
     def _find_changed(self) -> set[ids.ServiceName]:
         """Returns the services whose contract or evacuations changed."""
         entries = {
             ids.ServiceName(e.contract.service): e
-            for e in self._around.contracts.entries()
+            for e in self._context.contracts.entries()
         }
         changed = {
             service
@@ -74,34 +74,36 @@
         return changed
 
     def _find_deleted(self) -> list[ids.ServiceName]:
-        get = self._around.contracts.get
+        get = self._context.contracts.get
         return [service for service in self._entries if get(service) is None]
 
-    async def _leave_upstreams(self, services: set[ids.ServiceName]) -> None:
-        for number, feed in enumerate(self._around.table):
-            if number % STRIDE == 0:
+    async def _move_from_upstreams(
+        self, services: set[ids.ServiceName]
+    ) -> None:
+        for number, feed in enumerate(self._context.table):
+            if number % FEEDS_PER_CHECKPOINT == 0:
                 await trio.lowlevel.checkpoint()
             if feed.flow.service not in services or feed.source is None:
                 continue
-            if self._upstreams.choices.must_move(feed.source):
+            if self._upstreams.selector.must_move(feed.source):
                 self._upstreams.move(feed)
 
-    async def _leave_keepers(self, gone: set[ids.HostRef]) -> None:
-        for number, feed in enumerate(self._around.table):
-            if number % STRIDE == 0:
+    async def _cancel_streams_of(self, removed_refs: set[ids.HostRef]) -> None:
+        for number, feed in enumerate(self._context.table):
+            if number % FEEDS_PER_CHECKPOINT == 0:
                 await trio.lowlevel.checkpoint()
             for source in (feed.source, feed.candidate):
-                if source is not None and source.keeper_ref in gone:
+                if source is not None and source.keeper_ref in removed_refs:
                     source.scope.cancel()
 
 
-def pick(
-    feeds_: Iterator[feeds.Feed],
+def find_feeds_at(
+    candidates: Iterator[feed_module.Feed],
     service: ids.ServiceName,
     upstream: ids.UpstreamId,
-) -> Iterator[feeds.Feed]:
+) -> Iterator[feed_module.Feed]:
     """Returns the feeds that one upstream serves."""
-    for feed in feeds_:
+    for feed in candidates:
         source = feed.source
         if feed.flow.service != service or source is None:
             continue
--- a/tests/test_flows/test_flows_feeds_callers.py
+++ b/tests/test_flows/test_flows_feeds_callers.py
@@ -106,7 +106,7 @@
         answer = world.caller.last()
         assert answer.code is aiocoap.SERVICE_UNAVAILABLE
         assert answer.opt.observe is None
-        assert answer.opt.max_age >= limits.REFUSED_RETRY_S
+        assert answer.opt.max_age >= limits.MIN_REFUSED_RETRY_S
         assert len(world.caller.messages) == 1
         assert world.count_feeds() == 0
 
--- a/tests/test_flows/test_flows_feeds_homes.py
+++ b/tests/test_flows/test_flows_feeds_homes.py
@@ -66,9 +66,9 @@
         assert await stream.hand_over(heir, prepares=True)
         home.stop_at_once()
         world.publish(1)
-        await trio.sleep(limits.PREPARED_S / 2)
+        await trio.sleep(limits.COMMIT_TIMEOUT_S / 2)
         assert world.caller.ticks == [0]
-        await trio.sleep(limits.PREPARED_S)
+        await trio.sleep(limits.COMMIT_TIMEOUT_S)
         assert world.caller.ticks == [0, 1]
 
 
@@ -212,7 +212,7 @@
     async with feeds_fakes.run_world() as world:
         await _open(world)
         (upstream,) = [u for u in world.upstreams.values() if u.streams]
-        for tick in range(1, 2 * limits.ACK_EVENTS):
+        for tick in range(1, 2 * limits.EVENTS_PER_ACK):
             world.publish(tick)
             await trio.sleep(0.01)
         (stream,) = upstream.open_streams()
