--- a/persimmonhinge/flows/feeds/__init__.py
+++ b/persimmonhinge/flows/feeds/__init__.py
@@ -1,4 +1,4 @@
-"""Feeds at the home: CoAP observe (RFC 7641) towards callers."""
+"""Feeds at their home: CoAP observations (RFC 7641) by callers."""
 
 from __future__ import annotations
 
--- a/persimmonhinge/flows/feeds/adoption.py
+++ b/persimmonhinge/flows/feeds/adoption.py
@@ -1,4 +1,4 @@
-"""Takes in feeds that other hosts hand over."""
+"""Adoption of feeds that other hosts hand over to this host."""
 
 from __future__ import annotations
 
@@ -23,7 +23,12 @@
 
 
 class Adoption:
-    """The new home's part of a hand-over."""
+    """Implements the hand-over of feeds on the side of the new home.
+
+    A planned hand-over takes two messages. The first one prepares: the new
+    home opens the feed and holds its answers back. The second one commits: it
+    says what the former home has sent.
+    """
 
     def __init__(
         self,
@@ -44,13 +49,13 @@
     async def accept_feed(
         self, sender: ids.HostId, message: feeds.FeedAdopt
     ) -> feed_module.Feed | None:
-        """Takes in a feed, or what the former home says of one.
+        """Accepts a feed, or the commit of a feed that was prepared.
 
-        Two hosts may hand over the same feed, or one may do so twice: the
-        feed that is there is kept.
+        Two hosts may hand over the same feed, or one host may do so twice. The
+        feed that this host already has is kept unless it is outdated.
 
         Returns:
-            The feed once an upstream serves it; None if it is not taken.
+            The feed once an upstream serves it; None if it is not accepted.
         """
         opened = message.feed
         flow = open_messages.read_flow(opened)
@@ -73,13 +78,17 @@
     def _is_outdated(
         self, feed: feed_module.Feed, message: feeds.FeedAdopt
     ) -> bool:
-        """Tells whether the sender knows more of a feed than this host.
+        """Returns whether the sender's state of a feed is newer than here.
+
+        This covers three cases:
 
-        Guards against a former home that dies between its two messages: its
-        keeper has all that the caller may not have been sent. Guards also
-        against a home that was paused and looks for the keeper of a feed that
-        others have served since, and against a keeper that offers what it has
-        held since the former home opened the feed elsewhere.
+        - A former home died between its two messages. Its keeper has all
+          events that the caller may not have been sent.
+        - This host was paused and searches for the keeper of a feed that
+          other hosts have served since.
+        - An earlier keeper offers events that it has buffered since the
+          former home opened the feed at another upstream. The offer of the
+          later keeper is newer and wins, whichever arrives first.
         """
         opened = message.feed
         if feed.reply is not feed_module.Reply.DONE:
@@ -93,8 +102,8 @@
     ) -> feed_module.Feed | None:
         opened = message.feed
         call_class = self._classify(opened)
-        most = self._context.settings.flows.most_flows
-        if call_class is None or len(self._context.table) >= most:
+        max_feeds = self._context.settings.flows.most_flows
+        if call_class is None or len(self._context.table) >= max_feeds:
             return None
         now = trio.current_time()
         interval_s = self._context.settings.flows.feed_confirm_s
@@ -123,7 +132,12 @@
     def _find_former_choice(
         self, sender: ids.HostId, opened: feeds.FeedOpen
     ) -> port.Choice | None:
-        """Returns where a keeper that hands a feed over has it open."""
+        """Returns the upstream of a feed that its keeper hands over.
+
+        Returns:
+            The upstream, with the sender as its keeper; None if the sender is
+            not the keeper or is unknown.
+        """
         entry = self._context.contracts.get(opened.service)
         keeper = self._context.view.get(sender)
         if entry is None or keeper is None:
@@ -147,7 +161,11 @@
     async def _is_served(self, feed: feed_module.Feed) -> bool:
         """Waits until an upstream serves a feed.
 
-        One that was made for the sender is dropped if none does.
+        A feed that was created for the sender is removed if no upstream
+        serves it in time.
+
+        Returns:
+            True if an upstream serves the feed.
         """
         if feed.served is None and feed.source is None:
             return False
@@ -157,7 +175,7 @@
         if feed.closed:
             return False
         if feed.served is not None and not feed.served.is_set():
-            # The sender keeps the feed and asks again.
+            # The sender keeps the feed and retries the hand-over.
             self._remove_feed(feed)
             return False
         feed.served = None
@@ -166,10 +184,10 @@
     def _expect_commit(
         self, feed: feed_module.Feed, former: ids.HostId
     ) -> None:
-        """Goes on without the former home if that says no more.
+        """Schedules the release of the feed in case no commit arrives.
 
-        Guards against a former home that dies between its two messages: no
-        one else may know of the feed, and the caller would wait for good.
+        If the former home dies between its two messages, no other host may
+        know of the feed, and the caller would wait for events forever.
         """
         expire = functools.partial(
             self._handle_missing_commit, feed, feed.outbox, former
@@ -190,50 +208,55 @@
         if home in (former, self._context.view.me):
             self._release_uncommitted(feed, outbox)
             return
-        # Its keeper may have given it to the home of this moment.
+        # The keeper may have handed the feed over to its present home.
         self._check_home(feed)
-        go_on = functools.partial(self._release_uncommitted, feed, outbox)
+        release = functools.partial(self._release_uncommitted, feed, outbox)
         self._context.timers.call_after(
-            limits.UNCOMMITTED_RELEASE_DELAY_S, go_on
+            limits.UNCOMMITTED_RELEASE_DELAY_S, release
         )
 
     def _release_uncommitted(
         self, feed: feed_module.Feed, outbox: list[event_module.Event] | None
     ) -> None:
-        """Sends what was held back, unless another home has the feed."""
+        """Sends the held answers, unless another home has the feed."""
         if feed.closed or feed.outbox is not outbox:
             return
         self._callers.release_answers(feed)
         self._report(feed)
 
     def _commit(self, feed: feed_module.Feed, sent: bytes) -> None:
-        """Sends what the former home has not; `sent` are its digests."""
+        """Sends the held answers that the former home has not sent.
+
+        Args:
+            feed: Feed whose hand-over is committed.
+            sent: Digests of the answers that the former home has sent.
+        """
         feed.prepared = False
         outbox = feed.outbox or []
-        rest = outbox[_count_sent(outbox, sent) :]
-        known = feed.recent
+        unsent = outbox[_count_sent(outbox, sent) :]
+        old_digests = feed.recent
         feed.recent = sent
-        for event in rest:
+        for event in unsent:
             feed.recent = digests.append(feed.recent, event.digest)
         if feed.source is not None:
-            _update_replay_position(feed.source, known, feed.recent)
-        feed.outbox = rest
+            _update_replay_position(feed.source, old_digests, feed.recent)
+        feed.outbox = unsent
         self._callers.release_answers(feed)
         self._report(feed)
 
 
 def _is_from_keeper(opened: feeds.FeedOpen) -> bool:
-    """Tells whether a keeper hands a feed over, and not its former home."""
+    """Returns whether the sender of a feed is a keeper, not a former home."""
     return bool(opened.upstream)
 
 
 def _find_highest_sequence(
     feed: feed_module.Feed, opened: feeds.FeedOpen
 ) -> int:
-    """Returns the highest number that another home may have sent.
+    """Returns the highest sequence number that another home may have used.
 
-    What a keeper gave before the feed was open elsewhere is below the numbers
-    that it has had there.
+    If a keeper's events are not newer than those confirmed here, their numbers
+    are below the numbers of this feed, and the result is 0.
     """
     if not _is_from_keeper(opened):
         return opened.last_sequence
@@ -243,7 +266,7 @@
 
 
 def _count_sent(outbox: list[event_module.Event], sent: bytes) -> int:
-    """Returns how many events up to the newest one that was sent."""
+    """Returns the number of events up to and including the last sent one."""
     for place in range(len(outbox), 0, -1):
         if digests.find(sent, outbox[place - 1].digest) >= 0:
             return place
@@ -253,12 +276,12 @@
 def _update_replay_position(
     source: source_module.Source, old_digests: bytes, new_digests: bytes
 ) -> None:
-    """Finds where an upstream stands among other recent answers.
+    """Updates the replay position of a stream for new recent answers.
 
     Args:
-        source: Its stream.
-        known: The recent answers that it was compared with.
-        recent: Those that it is to be compared with from now on.
+        source: Stream of the upstream.
+        old_digests: Recent answers that the replay position refers to.
+        new_digests: Recent answers that it has to refer to.
     """
     if source.replay_position == -1:
         return
--- a/persimmonhinge/flows/feeds/broken_links.py
+++ b/persimmonhinge/flows/feeds/broken_links.py
@@ -1,4 +1,4 @@
-"""Feeds whose link to their keeper broke: where they are opened next."""
+"""Recovery of feeds whose link to their keeper broke."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class BrokenLinks:
-    """Has feeds go back to the keeper that holds what came meanwhile."""
+    """Reopens feeds at the keeper that buffers their events."""
 
     def __init__(self, context: feed_context.FeedContext) -> None:
         self._context = context
 
     def record_loss(self, source: source_module.Source) -> None:
-        """Takes in that the stream which served a feed is gone.
+        """Records that the stream which served a feed has ended.
 
-        Guards against a gap where the feed was just moving: what its keeper
-        holds is missing at the other upstream, which may be ahead. An attempt
-        there ends.
+        If the feed was moving, the attempt at the other upstream is
+        cancelled. That upstream may be ahead of the events that the keeper
+        buffers, and the caller would miss them.
         """
         feed = source.feed
         feed.lost_source = None if source.end else source
@@ -36,9 +36,10 @@
     def prefer_keeper(
         self, feed: feed_module.Feed, search: search_module.Search
     ) -> None:
-        """Has a feed opened where it was, once in a search.
+        """Makes a search try the keeper of the broken link first, once.
 
-        Its keeper holds what came meanwhile, also if the feed has to move.
+        That keeper buffers the events since the link broke, even if the feed
+        then has to move.
         """
         lost = feed.lost_source
         if (
@@ -56,15 +57,16 @@
     def should_retry_keeper(
         self, source: source_module.Source, search: search_module.Search
     ) -> bool:
-        """Tells whether the keeper that had the feed is to be asked again.
+        """Returns whether to retry the keeper that served the feed.
 
-        Guards against two homes of one feed: a host that was paused learns
-        late that it was given up, and its keepers may have found other homes.
-        Only they can tell, once they take its links again.
+        This guards against two homes of one feed. A host that was paused
+        learns late that other hosts declared it dead, and its keepers may have
+        handed its feeds to other homes. Only the keepers know this, and they
+        answer once they accept links from this host again.
 
         Args:
-            source: An attempt that failed.
-            search: The search that it belongs to.
+            source: Stream of the attempt that failed.
+            search: Search that the attempt belongs to.
         """
         now = trio.current_time()
         if source.declared_dead and not search.retry_keeper_until:
@@ -77,10 +79,11 @@
         return True
 
     def notify_former_keeper(self, feed: feed_module.Feed) -> None:
-        """Tells the keeper of a broken link that the feed is open elsewhere.
+        """Notifies the keeper of a broken link that the feed has moved.
 
-        Guards against a keeper that gives another home what it holds, after
-        this one has sent it from elsewhere and died.
+        Otherwise, if this host dies, that keeper could hand the feed to
+        another home with buffered events that the caller has received from
+        another upstream.
         """
         lost, feed.lost_source = feed.lost_source, None
         source = feed.source
--- a/persimmonhinge/flows/feeds/caller_side.py
+++ b/persimmonhinge/flows/feeds/caller_side.py
@@ -1,4 +1,4 @@
-"""The side of feeds that callers see: answers and notifications."""
+"""Answers and notifications that feeds send to callers."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class CallerSide:
-    """Sends callers what they asked for, numbered without a step back.
+    """Sends answers and notifications with increasing Observe numbers.
 
     Attributes:
-        confirmations: Messages that wait for an acknowledgement.
+        confirmations: Confirmable messages that await an acknowledgement.
     """
 
     def __init__(
@@ -36,18 +36,24 @@
     def record_request(
         self, feed: feed_module.Feed, message: codec.Message
     ) -> None:
-        """Notes a request whose answer the feed now owes."""
+        """Records a request that the feed has to answer.
+
+        A confirmable request is acknowledged by an empty message if no answer
+        is ready in time.
+        """
         feed.request_id = message.mid
         feed.confirmable = message.mtype is aiocoap.CON
         feed.reply = feed_module.Reply.OWED
         if feed.confirmable:
-            remind = functools.partial(self._acknowledge, feed, message.mid)
+            acknowledge = functools.partial(
+                self._acknowledge, feed, message.mid
+            )
             self._context.timers.call_after(
-                limits.MAX_PIGGYBACK_DELAY_S, remind
+                limits.MAX_PIGGYBACK_DELAY_S, acknowledge
             )
 
     def repeat_reply(self, feed: feed_module.Feed) -> None:
-        """Answers a request that came once more under its message id."""
+        """Repeats the reply to a request received again with the same id."""
         if not feed.confirmable or feed.reply is feed_module.Reply.OWED:
             return
         if (
@@ -56,13 +62,17 @@
         ):
             self._send_empty_ack(feed)
             return
-        # The newest state rather than the first one: if the first reply was
-        # lost this is what the caller wants, else it ignores a duplicate.
+        # The repeated reply has the newest state, not the state of the first
+        # reply: if the first reply was lost, the caller wants the newest
+        # state; otherwise the caller ignores the duplicate.
         message = _make_notification(feed, read_current(feed))
         self._send_ack(feed, message)
 
     def send(self, feed: feed_module.Feed, event: event_module.Event) -> None:
-        """Sends an answer that the caller has not had."""
+        """Sends an answer that the caller has not received yet.
+
+        The answer is put into the outbox while answers are held back.
+        """
         feed.recent = digests.append(feed.recent, event.digest)
         feed.newest_answer = event.answer
         feed.sent_at = trio.current_time()
@@ -72,7 +82,7 @@
         self._transmit(feed, event)
 
     def send_current(self, feed: feed_module.Feed) -> None:
-        """Answers a request with the newest answer under a new number."""
+        """Replies to a request with the newest answer and a new number."""
         feed.sequence += 1
         feed.sent_at = trio.current_time()
         self._reply(feed, _make_notification(feed, read_current(feed)))
@@ -80,19 +90,19 @@
     def record_current(
         self, feed: feed_module.Feed, event: event_module.Event
     ) -> None:
-        """Takes in an answer that a former home sent to the caller."""
+        """Stores an answer that a former home has sent to the caller."""
         feed.newest_answer = event.answer
         feed.sent_at = trio.current_time()
         if feed.reply is not feed_module.Reply.DONE and feed.outbox is None:
             self.send_current(feed)
 
     def hold_answers(self, feed: feed_module.Feed) -> None:
-        """Holds back what is to be sent, while the home may move."""
+        """Starts to hold answers back during a change of the home."""
         if feed.outbox is None:
             feed.outbox = []
 
     def release_answers(self, feed: feed_module.Feed) -> None:
-        """Sends what was held back and holds no more."""
+        """Sends the answers held back and stops holding answers back."""
         held = feed.outbox or []
         feed.outbox = None
         for event in held:
@@ -103,7 +113,7 @@
             self.send_current(feed)
 
     def send_final(self, feed: feed_module.Feed, answer: codec.Message) -> None:
-        """Sends the last message of a feed; it carries no Observe."""
+        """Sends the last message of a feed, without the Observe option."""
         answer.opt.observe = None
         answer.token = feed.token
         _truncate_to_block(answer)
@@ -145,7 +155,7 @@
     def _is_confirm_due(self, feed: feed_module.Feed) -> bool:
         if trio.current_time() < feed.confirm_at:
             return False
-        # Away from the home of the flow no acknowledgement arrives.
+        # Acknowledgements arrive only at the home of the flow.
         return self._context.find_home(feed.flow) == self._context.view.me
 
     def _compute_next_confirm(self) -> float:
@@ -166,7 +176,7 @@
         self._context.answers.send(feed.flow, message)
 
     def _acknowledge(self, feed: feed_module.Feed, request_id: int) -> None:
-        """Acknowledges a request whose answer takes long."""
+        """Acknowledges a request whose answer is not ready yet."""
         if feed.closed or feed.request_id != request_id:
             return
         if feed.reply is feed_module.Reply.OWED:
@@ -180,7 +190,7 @@
 def send_empty_ack(
     answers: port.CallerSender, flow: port.Flow, message_id: int
 ) -> None:
-    """Acknowledges a message without an answer."""
+    """Acknowledges a message by an empty message."""
     message = codec.Message(code=aiocoap.EMPTY)
     message.mtype = aiocoap.ACK
     message.mid = message_id
@@ -198,7 +208,7 @@
 def _make_notification(
     feed: feed_module.Feed, message: codec.Message
 ) -> codec.Message:
-    """Makes an answer a notification of a feed."""
+    """Turns an answer into a notification of a feed, in place."""
     message.opt.observe = feed.sequence & limits.SEQUENCE_MASK
     message.token = feed.token
     _add_etag(message)
@@ -207,16 +217,16 @@
 
 
 def _add_etag(message: codec.Message) -> None:
-    """Gives an answer that goes out in blocks an ETag, if it has none.
+    """Adds an ETag to an answer that is sent in blocks and has none.
 
-    A caller sees by it when the state changes between two blocks.
+    The ETag shows a caller that the state has changed between two blocks.
     """
     if len(message.payload) > limits.BLOCK_OCTETS and not message.opt.etag:
         message.opt.etag = digests.compute(message)
 
 
 def _truncate_to_block(message: codec.Message) -> None:
-    """Leaves the first block of a large body (RFC 7959, 2.6)."""
+    """Truncates a large body to its first block (RFC 7959, 2.6)."""
     if len(message.payload) <= limits.BLOCK_OCTETS:
         return
     message.opt.block2 = (0, True, limits.BLOCK_SIZE_EXPONENT)
--- a/persimmonhinge/flows/feeds/confirmations.py
+++ b/persimmonhinge/flows/feeds/confirmations.py
@@ -18,9 +18,10 @@
 class Confirmations:
     """Sends confirmable messages until the caller acknowledges them.
 
-    A caller has at most one for each feed. News that come meanwhile go out
-    at once as non-confirmable messages, so that one lost datagram stalls no
-    feed, and replace what the retransmissions carry.
+    At most one confirmable message per feed awaits an acknowledgement. Newer
+    notifications are sent at once as non-confirmable messages, so that one
+    lost datagram doesn't delay a feed. They also replace the content of the
+    retransmissions.
     """
 
     def __init__(
@@ -33,7 +34,7 @@
         self._by_id: dict[tuple[port.Flow, int], exchange_module.Exchange] = {}
 
     def send(self, feed: feed_module.Feed, message: codec.Message) -> None:
-        """Sends a message as confirmable; its message id is set here."""
+        """Sends a message as confirmable and assigns its message id."""
         self.end_exchange(feed)
         spread = self._context.random.uniform(
             1.0, transmission.ACK_RANDOM_FACTOR
@@ -48,14 +49,18 @@
     def replace_message(
         self, feed: feed_module.Feed, message: codec.Message
     ) -> None:
-        """Replaces what the next retransmission carries."""
+        """Replaces the content of the next retransmission."""
         if feed.exchange is None:
             return
         feed.exchange.message = message
         feed.exchange.replaced = True
 
     def acknowledge(self, flow: port.Flow, message_id: int) -> bool:
-        """Ends the exchange of a message; False if there is none."""
+        """Ends the exchange of a message that the caller acknowledged.
+
+        Returns:
+            False if no exchange uses this message id.
+        """
         exchange = self._by_id.get((flow, message_id))
         if exchange is None:
             return False
@@ -65,7 +70,7 @@
     def find_feed(
         self, flow: port.Flow, message_id: int
     ) -> feed_module.Feed | None:
-        """Returns the feed of a message that waits, None if none does."""
+        """Returns the feed whose exchange uses a message id, if any."""
         exchange = self._by_id.get((flow, message_id))
         return exchange.feed if exchange else None
 
@@ -78,7 +83,7 @@
         feed.exchange = None
 
     def _transmit_with_new_id(self, exchange: exchange_module.Exchange) -> None:
-        """Sends under a new message id: the content is new to the caller."""
+        """Sends the message under a new id, because its content is new."""
         flow = exchange.feed.flow
         message_id = self._context.answers.next_message_id(flow)
         exchange.message_ids.append(message_id)
@@ -90,8 +95,8 @@
     def _schedule_retransmission(
         self, exchange: exchange_module.Exchange
     ) -> None:
-        repeat = functools.partial(self._retransmit, exchange)
-        self._context.timers.call_after(exchange.timeout_s, repeat)
+        retransmit = functools.partial(self._retransmit, exchange)
+        self._context.timers.call_after(exchange.timeout_s, retransmit)
 
     def _retransmit(self, exchange: exchange_module.Exchange) -> None:
         feed = exchange.feed
@@ -112,9 +117,9 @@
     def _give_up(self, feed: feed_module.Feed) -> None:
         self.end_exchange(feed)
         if self._context.find_home(feed.flow) != self._context.view.me:
-            # Other hosts bring the caller's acknowledgements to its home.
-            # While a feed waits to be handed over there, none arrives here,
-            # and a caller that is well would seem gone.
+            # The caller's acknowledgements are relayed to the home of its
+            # flow. While a feed waits for its hand-over to that host, none
+            # arrive here, and a reachable caller would be treated as gone.
             return
         self._context.counts.add("feeds_closed_total", cause="caller-gone")
         self._remove_feed(feed)
--- a/persimmonhinge/flows/feeds/event.py
+++ b/persimmonhinge/flows/feeds/event.py
@@ -1,4 +1,4 @@
-"""One notification on its way from an upstream to a caller."""
+"""Notifications of upstreams, decoded for delivery to callers."""
 
 from __future__ import annotations
 
@@ -12,14 +12,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """A notification, read.
+    """A decoded notification.
 
     Attributes:
-        sequence: Number that the keeper gave it.
-        resumed: True if a former stream of the feed may have brought it.
-        answer: CoAP message with code, options and whole body.
+        sequence: Sequence number that the keeper assigned.
+        resumed: True if an earlier stream of the feed may have delivered the
+            same event.
+        answer: Encoded CoAP message with code, options and whole body.
         digest: Digest of the answer.
-        message: The same, read; for the one time that it is sent.
+        message: Decoded `answer`. It is modified when it is sent, so it can
+            be sent only once.
     """
 
     sequence: int
@@ -30,10 +32,10 @@
 
 
 def read_event(message: feeds.FeedEvent, peer: str) -> Event:
-    """Reads a notification.
+    """Decodes a notification that a keeper sent.
 
     Raises:
-        MalformedDatagramError: Its answer is not a CoAP message.
+        MalformedDatagramError: The answer is not a valid CoAP message.
     """
     answer = read_answer(message.answer, peer)
     digest = digests.compute(answer)
@@ -43,16 +45,16 @@
 
 
 def read_answer(data: bytes, peer: str) -> codec.Message:
-    """Reads an answer with its whole body, which no datagram need hold.
+    """Decodes an answer with its whole body, which may exceed one datagram.
 
     Raises:
-        MalformedDatagramError: It is not a CoAP message.
+        MalformedDatagramError: The answer is not a valid CoAP message.
     """
     try:
         return codec.Message.decode(data)
     except Exception as error:
-        # aiocoap raises errors of many kinds for malformed octets. One bad
-        # answer of a newer or faulty peer must not end the task.
+        # aiocoap raises many types of exception for malformed input. One
+        # malformed answer from a newer or faulty peer must not end the task.
         raise errors.MalformedDatagramError(
-            repr(error), step="read answer of a feed", peer=peer
+            repr(error), step="decode answer of a feed", peer=peer
         ) from error
--- a/persimmonhinge/flows/feeds/exchange.py
+++ b/persimmonhinge/flows/feeds/exchange.py
@@ -1,4 +1,4 @@
-"""A confirmable message to a caller that waits for its acknowledgement."""
+"""Confirmable messages that await the caller's acknowledgement."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Exchange:
-    """A confirmable message.
+    """A confirmable message and the state of its retransmission.
 
     Attributes:
-        feed: The feed that it belongs to.
-        message: What the next transmission carries.
-        ids: Message ids that it was sent under.
-        timeout_s: Time from the last transmission to the next.
-        renewed: True if `message` was replaced since it was last sent.
-        retransmissions: How often it was sent again.
+        feed: Feed that the message belongs to.
+        message: Message that the next transmission sends.
+        message_ids: Message ids under which it has been sent.
+        timeout_s: Seconds from the last transmission to the next one.
+        replaced: True if `message` was replaced after the last transmission.
+        retransmissions: Number of retransmissions.
     """
 
     feed: feed_module.Feed
--- a/persimmonhinge/flows/feeds/feed.py
+++ b/persimmonhinge/flows/feeds/feed.py
@@ -1,4 +1,4 @@
-"""One feed of a caller: a row of the home's table."""
+"""State of one feed in the table of its home."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class Reply(enum.Enum):
-    """What the caller's request still waits for.
+    """State of the reply to the caller's newest request.
 
-    OWED: Its answer.
-    SEPARATE: Its answer, in a message of its own: the request itself has
-        been acknowledged (RFC 7252, 5.2.2).
-    DONE: Nothing.
+    OWED: The request has been neither acknowledged nor answered.
+    SEPARATE: The request has been acknowledged by an empty message. Its
+        answer follows in a separate message (RFC 7252, 5.2.2).
+    DONE: The request has been answered.
     """
 
     OWED = "owed"
@@ -30,38 +30,47 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Feed:
-    """A feed.
+    """A feed and the state of its delivery to the caller.
 
     Attributes:
-        flow: The caller and the service.
-        token: The caller's token.
-        request: The request as keepers get it.
-        call_class: Its class in the contract.
-        sequence: Observe number of the newest answer sent; more than 24 bits.
-        confirmed: Number of the newest event that was sent or passed over.
-        floor: Highest number that a keeper gave an event.
-        lost_at: Since when no upstream serves it, trio's time.
-        reply: What the newest request still waits for.
+        flow: Flow of the caller and the service.
+        token: CoAP token of the caller's registration.
+        request: Encoded request that is sent to keepers.
+        call_class: Call class of the request in the contract.
+        sequence: Observe number of the newest answer sent, not truncated to
+            24 bits.
+        unserved_since: Time since which no upstream has served the feed, by
+            trio's clock.
+        confirmed: Sequence number of the newest event that was sent to the
+            caller or skipped as a duplicate.
+        floor: Highest sequence number that a keeper has assigned to an event.
+        reply: State of the reply to the newest request.
         request_id: Message id of the newest request.
         confirmable: True if the newest request was confirmable.
-        recent: Digests of the newest answers; see `digests`.
-        current: The newest answer; empty before the first.
-        sent_at: When that was sent, trio's time.
-        reported: `sequence`, or `confirmed` if that is higher, as the keeper
-            knows it.
-        source: The upstream that serves it.
-        candidate: The upstream that it moves to.
-        lost: Where it was open when the link broke, until it is open again.
+        recent: Digests of the newest answers; see the module `digests`.
+        newest_answer: Newest answer as an encoded CoAP message with its whole
+            body; empty before the first answer.
+        sent_at: Time at which the newest answer was sent, by trio's clock.
+        reported: Highest of `sequence` and `confirmed` in the newest report
+            to the keeper.
+        source: Stream that serves the feed.
+        candidate: Stream of the upstream that the feed is moving to.
+        lost_source: Stream that served the feed when its link broke; None
+            once another stream serves the feed.
         searching: True while a task looks for an upstream.
-        outbox: Answers held back while its home moves; None to send at once.
-        prepared: True while its former home is to say what it has sent.
-        unsure: True if the newest of `recent` may not have reached the
-            caller, as after the death of its former home.
-        opened: Set when it is first served, while someone waits for that.
-        confirm_at: When the next notification is confirmable, trio's time.
+        outbox: Answers held back during a change of the home; None if answers
+            are sent at once.
+        prepared: True while this host waits for the former home to say which
+            answers it has sent.
+        is_newest_unconfirmed: True if the newest answer of `recent` may not
+            have reached the caller, for example because its former home died.
+        served: Event that is set when an upstream first serves the feed; None
+            if no task waits for it.
+        confirm_at: Time from which the next notification is sent as a
+            confirmable message, by trio's clock.
         message_id: Message id of the newest notification.
-        exchange: The confirmable message that waits for the caller.
-        closed: True once it has left the table.
+        exchange: Confirmable message that awaits the caller's acknowledgement.
+        closed: True once the feed has been removed from the table.
     """
 
     flow: port.Flow
--- a/persimmonhinge/flows/feeds/feed_context.py
+++ b/persimmonhinge/flows/feeds/feed_context.py
@@ -1,4 +1,4 @@
-"""What the parts of feeds share."""
+"""Context that the components of feeds share."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FeedContext:
-    """The parts of the host around the feeds, and what feeds share.
+    """Components of the host that feeds use, and shared state of feeds.
 
     Attributes:
         settings: Settings of the host.
-        view: The hosts.
-        placement: Homes of flows.
-        contracts: The contracts in force.
-        network: Calls to other hosts.
-        answers: Sends datagrams to callers.
-        chooser: Chooses upstreams.
-        counts: Counters.
-        random: Jitter.
-        table: The feeds.
-        timers: Callbacks at a time.
+        view: View of the hosts.
+        placement: Placement of homes and keepers.
+        contracts: Store of the contracts in force.
+        network: Network for calls to other hosts.
+        answers: Sender of datagrams to callers.
+        chooser: Chooser of upstreams.
+        counts: Counters of the host.
+        random: Source of randomness for jitter.
+        table: Table of the feeds of this host.
+        timers: Timers of feeds.
     """
 
     settings: entry.EntrySettings
@@ -49,6 +49,6 @@
     timers: timers.Timers = dataclasses.field(default_factory=timers.Timers)
 
     def find_home(self, flow: port.Flow) -> str:
-        """Returns the host that is to be home of a flow, empty for none."""
+        """Returns the host that should be home of a flow, empty if none."""
         ranked = self.placement.rank_homes(flow.service, flow.caller)
         return ranked[0].host if ranked else ""
--- a/persimmonhinge/flows/feeds/handover.py
+++ b/persimmonhinge/flows/feeds/handover.py
@@ -1,4 +1,4 @@
-"""Moves feeds between homes, without gap or repeat for the caller."""
+"""Hand-over of feeds between homes without lost or repeated events."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Handover:
-    """Hands feeds to their home when that is another host."""
+    """Hands feeds over to the hosts that should be their homes."""
 
     def __init__(
         self,
@@ -51,10 +51,11 @@
         self._leaving = False
 
     def check_home(self, feed: feed_module.Feed) -> None:
-        """Looks whether a feed that opens here belongs elsewhere.
+        """Queues a feed for hand-over if another host should be its home.
 
-        A caller's ticket leads to the host that made it also after the home
-        has moved, and a home that can't be reached is passed over.
+        A feed can open at this host although another host should be its home:
+        a caller's ticket leads to the host that issued it even after the home
+        has moved, and callers skip a home that is unreachable.
         """
         if self._find_homes(feed):
             self._misplaced[feed] = None
@@ -63,20 +64,21 @@
     async def handle_adopt(
         self, caller: network_module.Caller, message: feeds.FeedAdopt
     ) -> feeds.Adopted:
-        """Answers a host that hands a feed over."""
+        """Handles the request of a host that hands a feed over."""
         if self._leaving or not self._context.view.self_member.takes_roles:
             return feeds.Adopted(False)
         feed = await self._adoption.accept_feed(caller.host, message)
         if feed is None:
             return feeds.Adopted(False)
-        # A host whose view differs hands over to this one what this one
-        # would hand back: that waits for the next change of the view.
+        # If the views of the two hosts differ, this host would hand the feed
+        # straight back to the sender. It instead keeps the feed until its
+        # view changes again.
         if caller.host not in self._find_homes(feed):
             self.check_home(feed)
         return feeds.Adopted(True)
 
     async def run(self) -> None:
-        """Follows the view until it is cancelled."""
+        """Hands misplaced feeds over until the task is cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follow_view)
             while True:
@@ -88,7 +90,7 @@
                     await trio.sleep(self._retry_delay())
 
     async def leave(self) -> None:
-        """Hands all feeds over, and sends away what no host takes."""
+        """Hands all feeds over and ends those that no host accepts in time."""
         self._leaving = True
         limit_s = self._context.settings.stop_limit_s * limits.LEAVE_FRACTION
         with trio.move_on_after(limit_s):
@@ -121,22 +123,23 @@
             await self._check_all_homes()
 
     async def _wait_until_settled(self) -> int:
-        """Waits until the view rests.
+        """Waits until the view has stopped changing, within a time limit.
 
-        Guards against a view that flaps, as when a host is suspected and
-        refutes it: each flap would move a part of all feeds to and fro.
+        A view can flap, for example when a host is suspected and refutes the
+        suspicion. Without the wait, each flap would move a part of all feeds
+        away and back.
 
         Returns:
-            Version of the view that is to be followed.
+            Version of the view to act on.
         """
         changed = self._context.view.changed
         version = changed.version
         with trio.move_on_after(limits.MAX_SETTLE_S):
             while True:
                 version = changed.version
-                with trio.move_on_after(limits.SETTLE_S) as rest:
+                with trio.move_on_after(limits.SETTLE_S) as quiet_period:
                     await changed.wait_beyond(version)
-                if rest.cancelled_caught:
+                if quiet_period.cancelled_caught:
                     break
         return version
 
@@ -147,7 +150,7 @@
             self.check_home(feed)
 
     def _find_homes(self, feed: feed_module.Feed) -> list[ids.HostId]:
-        """Returns the hosts that are to have a feed; none if it stays."""
+        """Returns the hosts to hand a feed over to; empty if it stays here."""
         flow = feed.flow
         ranked = self._context.placement.rank_homes(flow.service, flow.caller)
         me = self._context.view.me
@@ -185,7 +188,8 @@
         failed: set[ids.HostId],
     ) -> bool:
         if feed.source is None or feed.prepared:
-            # It has yet to be opened here, or is itself being handed over.
+            # No upstream serves the feed here yet, or the former home is
+            # still handing it over to this host.
             return False
         for home in homes:
             if home in failed:
@@ -195,7 +199,9 @@
                     return True
             except errors.PeerError as error:
                 failed.add(home)
-                logger.info("Feeds stay here for now: %s.", error)
+                logger.info(
+                    "Hand-over of feeds failed; will be retried: %s.", error
+                )
         return False
 
     async def _hand_over(
@@ -204,7 +210,8 @@
         if not await self._send_adopt(feed, home, prepares=True):
             return False
         if feed.closed:
-            # Its keeper gave it to another home meanwhile, or to this one.
+            # The keeper has meanwhile handed the feed over to another home,
+            # or to this host.
             return False
         self._callers.hold_answers(feed)
         accepted = False
--- a/persimmonhinge/flows/feeds/open_messages.py
+++ b/persimmonhinge/flows/feeds/open_messages.py
@@ -1,4 +1,4 @@
-"""What keepers and adopting homes are told of a feed."""
+"""Messages that describe a feed to a keeper or to a new home."""
 
 from __future__ import annotations
 
@@ -15,8 +15,9 @@
 from persimmonhinge.peers.messages import feeds
 
 _Option = optionnumbers.OptionNumber
-# Options between the caller and its home alone. The ticket in Echo above all
-# must not reach an upstream.
+# Options that concern only the caller and its home. They are removed from
+# requests to upstreams; the ticket in the Echo option in particular must not
+# reach an upstream.
 _CALLER_SIDE_OPTIONS = (
     _Option.OBSERVE,
     _Option.ECHO,
@@ -28,11 +29,11 @@
 
 
 def make_request(message: codec.Message) -> bytes:
-    """Returns a caller's request as keepers get it.
+    """Returns the encoded request that is sent to keepers for a caller.
 
-    Two registrations for the same state give the same octets.
+    Two registrations for the same resource give the same octets.
     """
-    # Not `Message.copy`, whose deep copy is slow.
+    # `Message.copy` is not used, because its deep copy is slow.
     request = codec.Message(code=message.code)
     request.mtype, request.mid, request.token = aiocoap.NON, 0, b""
     for option in message.opt.option_list():
@@ -48,9 +49,10 @@
     *,
     resumes: bool = False,
 ) -> feeds.FeedOpen:
-    """Returns a feed as it stands now.
+    """Returns a message that describes the present state of a feed.
 
-    The floor leaves room for events of the keeper that serves it now.
+    The floor leaves a margin of sequence numbers for further events of the
+    keeper that serves the feed now.
     """
     floor = max(feed.floor, feed.sequence)
     if feed.recent:
@@ -72,13 +74,13 @@
 
 
 def find_newest_accepted(feed: feed_module.Feed) -> int:
-    """Returns the number of the newest event that needs not come again."""
+    """Returns the number of the newest event that need not be sent again."""
     if not feed.outbox:
         return feed.confirmed
     return max(feed.confirmed, feed.outbox[-1].sequence)
 
 
 def read_flow(opened: feeds.FeedOpen) -> port.Flow:
-    """Returns the flow of a feed that another host describes."""
+    """Returns the flow of a feed that another host has described."""
     caller = (opened.caller_host, opened.caller_port)
     return port.Flow(opened.service, caller)
--- a/persimmonhinge/flows/feeds/refusal.py
+++ b/persimmonhinge/flows/feeds/refusal.py
@@ -1,4 +1,4 @@
-"""What a caller is told when no upstream takes its feed."""
+"""Answers to callers whose feed no upstream accepts."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def record_failure(
     search: search_module.Search, source: source_module.Source
 ) -> None:
-    """Notes an upstream that did not take the feed."""
+    """Records in a search that an upstream did not accept the feed."""
     search.tried |= {ids.UpstreamId(source.upstream.id)}
     end = source.end
     if end is None or end.cause is not feeds.FeedEndCause.REFUSED:
@@ -34,10 +34,11 @@
 
 
 def is_final(answer: bytes) -> bool:
-    """Tells whether a refusal would be the same at every upstream.
+    """Returns whether every upstream would answer in the same way.
 
-    So is an error of the request itself, but for 4.29, and a plain answer
-    of a resource that can't be observed (RFC 7641, 4.1).
+    This holds for client errors except 4.29 (Too Many Requests), and for
+    successful answers without Observe, because the resource can't be observed
+    (RFC 7641, 4.1).
     """
     if not answer:
         return False
@@ -56,9 +57,10 @@
     """Returns the last message of a feed.
 
     Args:
-        answer: What the upstreams answered, passed on if it is final.
-        retry_after_s: When the upstreams say to come back.
-        randomness: Spreads the callers that are sent away together.
+        answer: Encoded answer of the upstreams; sent to the caller if it is
+            final.
+        retry_after_s: Retry delay that the upstreams requested, in seconds.
+        randomness: Spreads the retries of callers whose feeds end together.
     """
     if is_final(answer):
         return event.read_answer(answer, "")
--- a/persimmonhinge/flows/feeds/reports.py
+++ b/persimmonhinge/flows/feeds/reports.py
@@ -1,4 +1,7 @@
-"""Tells keepers what callers were sent, for the case that this home dies."""
+"""Reports to keepers which events callers were sent.
+
+If this home dies, the keeper hands the feed and this state to the next home.
+"""
 
 from __future__ import annotations
 
@@ -14,13 +17,16 @@
 
 
 class Reports:
-    """Sends `FeedAck` messages, by count and by time."""
+    """Sends `FeedAck` messages, by number of events and by time."""
 
     def __init__(self) -> None:
         self._due: dict[feed_module.Feed, None] = {}
 
     async def report_by_count(self, feed: feed_module.Feed) -> None:
-        """Reports after each `ACK_EVENTS` events; else notes the feed."""
+        """Reports after each `EVENTS_PER_ACK` events.
+
+        With fewer events, the feed is queued for `run`.
+        """
         ahead = max(feed.sequence, feed.confirmed) - feed.reported
         if ahead == 0:
             return
@@ -30,15 +36,16 @@
         await self._push(feed)
 
     async def report(self, feed: feed_module.Feed) -> None:
-        """Reports at once, as after a move: the keeper knows nothing yet."""
+        """Reports at once, for example to a new keeper after a move."""
         await self._push_within_limit(feed)
 
     async def run(self) -> None:
-        """Reports what `report_by_count` leaves, the oldest first.
+        """Reports the feeds that `report_by_count` queued, oldest first.
 
-        Feeds with many events are reported by count, which takes a small
-        part of their own traffic. This loop is for slow feeds, and its
-        ceiling keeps it flat as feeds grow.
+        Feeds with many events are reported by count, which adds little to
+        their own traffic. This loop is for feeds with few events. It sends at
+        most `MAX_ACKS_PER_INTERVAL` reports per interval, so that its traffic
+        stays constant when the number of feeds grows.
         """
         while True:
             await trio.sleep(limits.ACK_INTERVAL_S)
@@ -48,12 +55,12 @@
                 await self._push_within_limit(feed)
 
     async def _push_within_limit(self, feed: feed_module.Feed) -> None:
-        # A link that is stuck must not hold up the reports of all others.
+        # A blocked link must not delay the reports of other feeds.
         with trio.move_on_after(_PUSH_LIMIT_S):
             try:
                 await self._push(feed)
             except errors.PeerLinkLostError:
-                # The task that reads this stream sees it too and acts.
+                # The task that reads this stream handles the lost link.
                 pass
 
     async def _push(self, feed: feed_module.Feed) -> None:
@@ -62,7 +69,7 @@
         if feed.closed or source is None or source.stream is None:
             return
         if feed.outbox is not None:
-            # What is held back is among the digests, and was not sent.
+            # The digests include answers that are held back, not yet sent.
             return
         recent = digests.split(feed.recent)
         feed.reported = max(feed.sequence, feed.confirmed)
--- a/persimmonhinge/flows/feeds/search.py
+++ b/persimmonhinge/flows/feeds/search.py
@@ -1,4 +1,4 @@
-"""The search of one feed for an upstream that takes it."""
+"""State of the search for an upstream that accepts a feed."""
 
 from __future__ import annotations
 
@@ -14,28 +14,32 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Search:
-    """What one task knows while it looks for an upstream.
+    """State of one task's search for an upstream.
 
     Attributes:
-        preferred: Where the feed was before; tried first. A keeper that has
-            lost the link to a home keeps the feed open for a while, and what
-            came meanwhile is not lost.
-        tried: Upstreams that are passed over in this round.
-        once: True to give up after the first round, as for a rebalance.
-        first: True while the caller has had no answer on this feed.
-        unreachable: True if a keeper or upstream gave no answer in this
-            round, so that another round may end otherwise.
-        answer: What an upstream answered when it refused.
-        retry_after_s: When refusing upstreams say to come back.
-        delay_s: Wait before the next round.
-        asked: The stream with a broken link whose keeper was asked last.
-        patient_until: Until when its keeper is asked again, trio's time.
-        permit: What was acquired for the attempt that runs.
+        preferred: Upstream and keeper that served the feed before; tried
+            first. A keeper that loses the link to a home keeps the feed open
+            for a while and buffers its events.
+        tried: Upstreams that are excluded in this round.
+        single_round: True to stop after the first round, as for a rebalance.
+        awaits_first_answer: True if the caller has received no answer on this
+            feed yet.
+        unreachable: True if a keeper or upstream sent no answer in this
+            round, so that another round may succeed.
+        answer: Encoded answer of an upstream that refused the feed.
+        retry_after_s: Longest retry delay that a refusing upstream requested,
+            in seconds.
+        delay_s: Delay before the next round, in seconds.
+        last_queried: Stream with a broken link whose keeper was last tried
+            again.
+        retry_keeper_until: Time until which that keeper is retried, by trio's
+            clock; 0 if no keeper has declared this host dead.
+        permit: Semaphore acquired for the attempt in progress.
     """
 
     preferred: port.Choice | None = None
-    # Most searches try one upstream and stay in memory with their feed: an
-    # empty set of its own would take 216 octets.
+    # Most searches try one upstream and stay in memory as long as their feed.
+    # A separate empty `set` would take 216 octets.
     tried: frozenset[ids.UpstreamId] = frozenset()
     single_round: bool = False
     awaits_first_answer: bool = False
@@ -48,18 +52,18 @@
     permit: trio.Semaphore | None = None
 
     def start_round(self) -> None:
-        """Lets all upstreams be tried again."""
+        """Starts a round in which all upstreams are tried again."""
         self.tried = frozenset()
         self.unreachable = False
         self.delay_s = min(self.delay_s * 2, limits.MAX_ROUND_DELAY_S)
 
     async def acquire_permit(self, permits: trio.Semaphore) -> None:
-        """Waits for a permit to make an attempt."""
+        """Waits for a permit to start an attempt."""
         await permits.acquire()
         self.permit = permits
 
     def release_permit(self) -> None:
-        """Gives the permit back, if there is one."""
+        """Releases the permit if one was acquired."""
         if self.permit is not None:
             self.permit.release()
             self.permit = None
--- a/persimmonhinge/flows/feeds/service.py
+++ b/persimmonhinge/flows/feeds/service.py
@@ -1,4 +1,4 @@
-"""Feeds of callers, as the home and the application use them."""
+"""Interface of feeds for the home of a flow and for the application."""
 
 from __future__ import annotations
 
@@ -34,7 +34,10 @@
 
 
 class Feeds:
-    """All feeds that this host is home of; see docs/design/flows.md."""
+    """Manages the feeds that this host is home of.
+
+    The design is described in docs/design/flows.md.
+    """
 
     def __init__(
         self,
@@ -75,7 +78,7 @@
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Carries feeds until it is cancelled."""
+        """Serves feeds until the task is cancelled."""
         async with trio.open_nursery() as nursery:
             self._upstreams = upstream_side.UpstreamSide(
                 self._context,
@@ -105,10 +108,11 @@
         entry: store.ContractEntry,
         call_class: contract.CallClass,
     ) -> None:
-        """Takes a caller's GET with Observe 0.
+        """Processes a caller's GET with Observe 0.
 
-        The same token again is a registration of the same feed (RFC 7641,
-        3.3.1); it is answered with the newest state.
+        A request with the token of an open feed refreshes the registration of
+        that feed (RFC 7641, 3.3.1) and is answered with the newest state. If
+        it is for another resource, it replaces that feed.
         """
         request = open_messages.make_request(message)
         feed = self._context.table.get(flow, message.token)
@@ -120,10 +124,12 @@
             self._open_new(feed, flow, message, request, call_class)
 
     def close(self, flow: port.Flow, message: codec.Message) -> bool:
-        """Takes a caller's GET with Observe 1; the home answers it.
+        """Processes a caller's GET with Observe 1, which ends its feed.
+
+        The home answers the request.
 
         Returns:
-            False if there is no such feed.
+            False if the caller has no feed with this token.
         """
         feed = self._context.table.get(flow, message.token)
         if feed is None:
@@ -133,14 +139,18 @@
         return True
 
     def acknowledge(self, flow: port.Flow, message_id: int) -> bool:
-        """Takes an empty acknowledgement; False if no feed waits for it."""
+        """Processes an empty acknowledgement.
+
+        Returns:
+            False if no feed awaits an acknowledgement of this message id.
+        """
         return self._callers.confirmations.acknowledge(flow, message_id)
 
     def reset(self, flow: port.Flow, message_id: int) -> bool:
-        """Takes a reset: the caller does not want the feed.
+        """Processes a reset, with which the caller rejects a feed.
 
         Returns:
-            False if no feed has sent this message lately.
+            False if no feed has recently sent a message with this id.
         """
         feed = self._callers.confirmations.find_feed(flow, message_id)
         for candidate in self._context.table.get_flow_feeds(flow):
@@ -157,11 +167,12 @@
     ) -> codec.Message | None:
         """Returns the newest answer of an open feed, with its whole body.
 
-        For a caller that fetches the later blocks of a notification by a
-        GET of the same resource (RFC 7959, 2.6).
+        A caller fetches the later blocks of a notification by a GET of the
+        same resource (RFC 7959, 2.6).
 
         Returns:
-            None if the flow has no feed of this resource with an answer.
+            The answer; None if the flow has no feed of this resource or the
+            feed has no answer yet.
         """
         request = open_messages.make_request(message)
         for feed in self._context.table.get_flow_feeds(flow):
@@ -178,25 +189,28 @@
     async def move(
         self, service: ids.ServiceName, upstream: ids.UpstreamId, count: int
     ) -> int:
-        """Moves feeds from an upstream for a better balance.
+        """Moves feeds from an upstream to rebalance the load.
 
-        A feed stays where it is if no other upstream takes it now.
+        A feed stays at the upstream if no other upstream accepts it now.
 
         Returns:
-            Number of feeds that begin to move, at most `count`.
+            Number of feeds that start to move, at most `count`.
         """
-        begun = 0
+        started = 0
         for feed in watches.find_feeds_at(
             iter(self._context.table), service, upstream
         ):
-            if begun >= count:
+            if started >= count:
                 break
-            begun += self._upstreams.move(feed, single_round=True)
+            started += self._upstreams.move(feed, single_round=True)
         await trio.lowlevel.checkpoint()
-        return begun
+        return started
 
     async def leave(self) -> None:
-        """Hands all feeds over to their new homes, within the stop limit."""
+        """Hands all feeds over to their new homes before a planned stop.
+
+        Feeds that no host accepts within the time limit are ended.
+        """
         await self._handover.leave()
 
     def count(self) -> int:
@@ -224,7 +238,8 @@
     ) -> None:
         sequence = start_sequence()
         if former is not None:
-            # The token was given to another resource; the numbers go on.
+            # The caller uses the token for another resource. The Observe
+            # numbers continue, so that the caller accepts the next one.
             sequence = max(sequence, former.sequence)
             self._remove_feed(former)
         feed = feed_module.Feed(
@@ -250,7 +265,7 @@
     def _adopt(
         self, feed: feed_module.Feed, preferred: port.Choice | None
     ) -> None:
-        """Opens a feed that another host hands over."""
+        """Adds and opens a feed that another host hands over."""
         self._context.table.add(feed)
         self._context.counts.add("feeds_adopted_total")
         self._upstreams.open(feed, preferred)
@@ -259,7 +274,7 @@
         self._upstreams.report_soon(feed)
 
     def _remove_feed(self, feed: feed_module.Feed) -> None:
-        """Closes a feed without a word to its caller."""
+        """Closes a feed and sends nothing to its caller."""
         feed.closed = True
         self._context.table.remove(feed)
         self._callers.confirmations.end_exchange(feed)
@@ -270,7 +285,7 @@
     def _end_feed(
         self, feed: feed_module.Feed, answer: bytes, retry_after_s: int
     ) -> None:
-        """Closes a feed and tells its caller so."""
+        """Closes a feed and sends its caller a final answer."""
         if feed.closed:
             return
         self._remove_feed(feed)
@@ -286,6 +301,6 @@
 
 
 def start_sequence() -> int:
-    """Returns the observe number that a new feed goes on from."""
-    unit = int(time.time() * limits.SEQUENCES_PER_S)
-    return unit & limits.SEQUENCE_MASK
+    """Returns the initial Observe number of a new feed."""
+    sequence = int(time.time() * limits.SEQUENCES_PER_S)
+    return sequence & limits.SEQUENCE_MASK
--- a/persimmonhinge/flows/feeds/source.py
+++ b/persimmonhinge/flows/feeds/source.py
@@ -1,4 +1,4 @@
-"""One stream of a feed from the keeper of its upstream."""
+"""State of one stream of a feed from the keeper of an upstream."""
 
 from __future__ import annotations
 
@@ -19,25 +19,30 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Source:
-    """A feed at one upstream; a feed has two while it moves.
+    """A stream of a feed at one upstream; a moving feed has two of them.
 
     Attributes:
-        feed: The feed.
-        upstream: The upstream.
-        keeper: Host that keeps it.
-        keeper_ref: The incarnation of that host.
-        scope: Ends the stream when it is cancelled.
-        resumes: True if its keeper may hold the feed for this host.
-        stream: The open stream.
-        started: True once its first event has come.
-        taken: True once the feed has used it.
-        cause: Why its keeper wants the feed to move, if it does.
-        end: How its keeper ended it, if it did.
-        newest: Number of the newest event that was taken from it.
-        given_up: True if its keeper has given up this host.
-        position: While it repeats what the caller was sent by the former
-            upstream: place of its newest event among the recent answers.
-        held: Events that wait for the former upstream to come level.
+        feed: Feed that the stream belongs to.
+        upstream: Upstream that publishes the events.
+        keeper: Keeper of the upstream.
+        keeper_ref: Host ref, including the incarnation, of the keeper.
+        scope: Cancel scope of the task that reads the stream.
+        resumes: True if the keeper may still hold the feed open for this host.
+        stream: Open stream to the keeper, None if it is not open.
+        started: True once the first event has arrived.
+        used: True once the feed has switched to this stream.
+        move_cause: Cause for which the keeper requested a move of the feed,
+            if it did.
+        end: Message with which the keeper ended the stream, if it did.
+        newest_sequence: Sequence number of the newest event that the feed has
+            processed from this stream.
+        declared_dead: True if the keeper has declared this host dead.
+        replay_position: Position of the newest event of this stream among the
+            recent answers, while the stream repeats events that the caller
+            received from the former upstream; -1 before its first event; None
+            once it repeats no more events.
+        held_events: Events held back until the former upstream has published
+            the same state.
     """
 
     feed: feed_module.Feed
--- a/persimmonhinge/flows/feeds/switchover.py
+++ b/persimmonhinge/flows/feeds/switchover.py
@@ -1,4 +1,4 @@
-"""The change from one upstream to another, without gap or repeat."""
+"""Switchover of a feed between upstreams without lost or repeated events."""
 
 from __future__ import annotations
 
@@ -21,15 +21,19 @@
 
 
 class Switchover:
-    """Decides which events of which upstream a caller gets.
-
-    The former upstream serves until the new one has shown where it stands.
-    A new one that is level or behind is taken at once, and what the caller
-    has had already is dropped until it has caught up. A new one that starts
-    with a state unknown here is ahead, and its first event would leave a
-    gap; or it is behind, at a state that the caller missed, and that event
-    would step back. It waits for a short time, until the former one comes
-    level with it, or it comes level with what the caller has had.
+    """Decides which events of which upstream are sent to a caller.
+
+    The former upstream serves the feed until the first event of the new one
+    arrives. If the state of that event is among the recent answers, the new
+    upstream is level or behind. The feed switches to it at once and drops the
+    events that the caller has received.
+
+    If the state is not among the recent answers, the new upstream is either
+    ahead, and its event would leave a gap, or it is behind, at a state that
+    the caller missed, and its event would be older than what the caller has.
+    Its events are therefore held back for a limited time, until the former
+    upstream publishes one of the held states or the new upstream publishes a
+    state that the caller has received.
     """
 
     def __init__(
@@ -45,7 +49,7 @@
     def process_event(
         self, source: source_module.Source, event: event_module.Event
     ) -> None:
-        """Takes an event of the present, the next or a former upstream."""
+        """Processes an event of the present, next or a former upstream."""
         feed = source.feed
         if event.resumed:
             self._process_resumed(source, event)
@@ -54,10 +58,10 @@
             self._check_candidate(feed, event)
         elif feed.candidate is source:
             self._process_from_candidate(source, event)
-        # Else it is a late event of a former upstream, which is passed over.
+        # Late events of a former upstream are dropped.
 
     def record_end(self, source: source_module.Source) -> None:
-        """Notes that an upstream serves its feed no more."""
+        """Records that the stream of an upstream has ended."""
         feed = source.feed
         if feed.candidate is source:
             feed.candidate = None
@@ -71,11 +75,12 @@
     def _process_resumed(
         self, source: source_module.Source, event: event_module.Event
     ) -> None:
-        """Takes an event of a keeper that goes on with the same feed.
+        """Processes an event of a keeper that resumes the same feed.
 
-        Its numbers tell what the caller has had; a digest would not, where a
-        state has come back to an earlier one. Only if no home has confirmed
-        an event of that keeper, digests of those of the former one tell it.
+        The sequence numbers show which events the caller has received. Digests
+        can't show this if a state has returned to an earlier value. Only if no
+        home has confirmed an event of this keeper, the events are compared
+        with the digests of events of the former keeper.
         """
         feed = source.feed
         if feed.candidate is source:
@@ -93,7 +98,7 @@
     ) -> None:
         feed = source.feed
         if not feed.recent or digests.find(feed.recent, event.digest) >= 0:
-            # What it held, if anything, is older than this one.
+            # Any held events are older than this event and are dropped.
             self._switch(source)
             self._forward(source, event)
             return
@@ -119,7 +124,7 @@
     def _check_candidate(
         self, feed: feed_module.Feed, event: event_module.Event
     ) -> None:
-        """Changes over if the former upstream has come level."""
+        """Switches if the former upstream has published a held state."""
         source = feed.candidate
         if source is None or not source.held_events:
             return
@@ -130,7 +135,7 @@
                 return
 
     def _finish_wait(self, source: source_module.Source) -> None:
-        """Changes over to a candidate that waited."""
+        """Switches to a candidate and forwards its held events."""
         feed = source.feed
         if feed.candidate is not source or source.held_events is None:
             return
@@ -169,29 +174,30 @@
     def _is_duplicate(
         self, source: source_module.Source, event: event_module.Event
     ) -> bool:
-        """Tells whether the caller has had the state of an event."""
+        """Returns whether the caller has received the state of an event."""
         feed = source.feed
         if source.replay_position is None:
             return self._is_fresh_repeat(feed, event)
-        # The upstream publishes in order, so each event that the caller has
-        # had stands behind the one before it.
+        # The upstream publishes in order, so each repeated event is found
+        # after the position of the previous one.
         found = digests.find(
             feed.recent, event.digest, source.replay_position + 1
         )
         is_newest = found == digests.count(feed.recent) - 1
         source.replay_position = None if found < 0 or is_newest else found
-        # A former home may have died before it sent the newest one: the
-        # caller would miss it until the state changes again.
+        # A former home may have died before it sent the newest event. If that
+        # event were dropped, the caller would miss it until the next change.
         return found >= 0 and not (is_newest and feed.is_newest_unconfirmed)
 
     def _is_fresh_repeat(
         self, feed: feed_module.Feed, event: event_module.Event
     ) -> bool:
-        """Tells whether an event repeats the newest one and adds nothing.
+        """Returns whether an event only repeats a fresh newest answer.
 
-        Only the newest one counts: a price that goes up and down again is
-        news although it was sent before. A repeat is passed on once the
-        caller's copy is about to become stale (RFC 7641, 1.3).
+        The event is compared with the newest answer only: a price that goes
+        up and down again is a change although the same state was sent before.
+        A repeat is forwarded when half of Max-Age has passed, before the
+        caller's copy becomes stale (RFC 7641, 1.3).
         """
         if event.digest != digests.last(feed.recent) or not feed.newest_answer:
             return False
--- a/persimmonhinge/flows/feeds/table.py
+++ b/persimmonhinge/flows/feeds/table.py
@@ -1,4 +1,4 @@
-"""The feeds of a home, by flow and token."""
+"""Table of the feeds of a home, by flow and token."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class FeedTable:
-    """All feeds that this host is home of.
+    """Table of all feeds that this host is home of.
 
-    Keyed by flow alone, since most flows have one feed: a key of flow and
-    token would cost another object for each feed.
+    The key is the flow alone, because most flows have one feed and a key of
+    flow and token would take another object per feed.
     """
 
     def __init__(self) -> None:
@@ -23,16 +23,16 @@
         return self._count
 
     def __iter__(self) -> Iterator[feed_module.Feed]:
-        """Returns the feeds as they are now; the table may change."""
-        for of_flow in tuple(self._by_flow.values()):
-            yield from of_flow
+        """Iterates over a copy, so that the table may change meanwhile."""
+        for flow_feeds in tuple(self._by_flow.values()):
+            yield from flow_feeds
 
     def get_flow_feeds(self, flow: port.Flow) -> tuple[feed_module.Feed, ...]:
         """Returns the feeds of one flow."""
         return self._by_flow.get(flow, ())
 
     def get(self, flow: port.Flow, token: bytes) -> feed_module.Feed | None:
-        """Returns a feed, None if there is none."""
+        """Returns the feed of a flow and token, None if there is none."""
         for feed in self._by_flow.get(flow, ()):
             if feed.token == token:
                 return feed
@@ -44,13 +44,17 @@
         self._count += 1
 
     def remove(self, feed: feed_module.Feed) -> bool:
-        """Removes a feed; False if it was not there."""
-        of_flow = self.get_flow_feeds(feed.flow)
-        rest = tuple(other for other in of_flow if other is not feed)
-        if len(rest) == len(of_flow):
+        """Removes a feed.
+
+        Returns:
+            False if the feed was not in the table.
+        """
+        flow_feeds = self.get_flow_feeds(feed.flow)
+        remaining = tuple(other for other in flow_feeds if other is not feed)
+        if len(remaining) == len(flow_feeds):
             return False
-        if rest:
-            self._by_flow[feed.flow] = rest
+        if remaining:
+            self._by_flow[feed.flow] = remaining
         else:
             del self._by_flow[feed.flow]
         self._count -= 1
--- a/persimmonhinge/flows/feeds/timers.py
+++ b/persimmonhinge/flows/feeds/timers.py
@@ -1,4 +1,4 @@
-"""Callbacks at a time, by one task for all feeds."""
+"""Timers of all feeds, served by one task."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Timers:
-    """Runs callbacks when their time has come.
+    """Runs callbacks when they are due.
 
-    One task serves all feeds: a sleeping task for each confirmable message
-    in flight would cost about 2 kB each.
+    One task serves all feeds, because a sleeping task per confirmable message
+    in flight would take about 2 kB each.
     """
 
     def __init__(self) -> None:
@@ -23,14 +23,14 @@
         self._earlier_due = trio.Event()
 
     def call_after(self, delay_s: float, callback: Callable[[], None]) -> None:
-        """Has a callback run after a time, which must not raise."""
+        """Schedules a callback after a delay. The callback must not raise."""
         due = trio.current_time() + delay_s
         if not self._heap or due < self._heap[0][0]:
             self._earlier_due.set()
         heapq.heappush(self._heap, (due, next(self._order), callback))
 
     async def run(self) -> None:
-        """Runs callbacks until it is cancelled."""
+        """Runs due callbacks until the task is cancelled."""
         while True:
             self._earlier_due = trio.Event()
             due = self._heap[0][0] if self._heap else math.inf
--- a/persimmonhinge/flows/feeds/upstream_selector.py
+++ b/persimmonhinge/flows/feeds/upstream_selector.py
@@ -1,4 +1,4 @@
-"""Which upstream a feed is opened at, and which one it has to leave."""
+"""Selection of the upstream that a feed is opened at or moved from."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class UpstreamSelector:
-    """Judges upstreams by contracts, view and chooser."""
+    """Selects upstreams for feeds by the contracts and the chooser."""
 
     def __init__(self, context: feed_context.FeedContext) -> None:
         self._context = context
 
     def must_move(self, source: source_module.Source) -> bool:
-        """Tells whether the upstream of a stream is to be left."""
+        """Returns whether the feed has to move from a stream's upstream."""
         if source.move_cause is not None:
             return True
         entry = self._context.contracts.get(source.feed.flow.service)
@@ -35,7 +35,7 @@
     def choose(
         self, feed: feed_module.Feed, search: search_module.Search
     ) -> port.Choice | None:
-        """Returns where a feed is to be opened next, None if nowhere."""
+        """Returns the upstream to try next, None if no upstream is left."""
         entry = self._context.contracts.get(feed.flow.service)
         if entry is None:
             return None
@@ -49,7 +49,10 @@
     def is_within_deadline(
         self, feed: feed_module.Feed, delay_s: float
     ) -> bool:
-        """Tells whether a feed may go without an upstream so much longer."""
+        """Returns whether a feed is within its deadline after a delay.
+
+        The deadline limits how long a feed may be without an upstream.
+        """
         if self._context.contracts.get(feed.flow.service) is None:
             return False
         deadline = feed.unserved_since + feed.call_class.deadline_s
--- a/persimmonhinge/flows/feeds/upstream_side.py
+++ b/persimmonhinge/flows/feeds/upstream_side.py
@@ -1,4 +1,4 @@
-"""The side of feeds that faces keepers: opening, reading and moving."""
+"""Opening, reading and moving of feeds at upstreams."""
 
 from __future__ import annotations
 
@@ -33,7 +33,8 @@
 
 logger = logging.getLogger(__name__)
 
-# Causes after which the old stream goes on until the feed has moved.
+# Causes after which the present stream still delivers events until the feed
+# has moved.
 _MOVE_CAUSES = (
     feeds.FeedEndCause.DRAINING,
     feeds.FeedEndCause.MOVED,
@@ -46,13 +47,13 @@
 class UpstreamSide:
     """Keeps each feed open at an upstream.
 
-    One task carries a feed: it looks for an upstream, reads its events, and
-    looks for another when it is lost. A move from an upstream that still
-    serves is made by a second task; the first one ends when the feed has
-    changed over.
+    One task runs a feed: it searches for an upstream, reads the events, and
+    searches for another upstream when the stream ends. A move from an
+    upstream that still serves the feed is made by a second task; the first
+    task ends once the feed has switched to the new upstream.
 
     Attributes:
-        choices: Judges upstreams.
+        selector: Selects the upstreams.
     """
 
     def __init__(
@@ -79,11 +80,12 @@
     def open(
         self, feed: feed_module.Feed, preferred: port.Choice | None = None
     ) -> None:
-        """Looks for the first upstream of a feed.
+        """Starts the search for the first upstream of a feed.
 
         Args:
-            feed: The feed.
-            preferred: Where it was open at its former home, if anywhere.
+            feed: Feed to open.
+            preferred: Upstream and keeper that served the feed at its former
+                home, if known.
         """
         first = feed.reply is not feed_module.Reply.DONE
         self._start(
@@ -93,14 +95,16 @@
     def move(
         self, feed: feed_module.Feed, *, single_round: bool = False
     ) -> bool:
-        """Moves a feed from an upstream that still serves it.
+        """Starts to move a feed from an upstream that still serves it.
 
         Args:
-            feed: The feed.
-            once: True to keep the upstream if no other takes the feed now.
+            feed: Feed to move.
+            single_round: True to keep the upstream if no other upstream
+                accepts the feed in one round of attempts.
 
         Returns:
-            False if it moves already or no upstream serves it.
+            False if the feed is already moving, is closed, or no upstream
+            serves it.
         """
         if feed.searching or feed.source is None or feed.closed:
             return False
@@ -111,7 +115,7 @@
         return True
 
     def report_soon(self, feed: feed_module.Feed) -> None:
-        """Tells the keeper what the caller was sent, without waiting."""
+        """Reports to the keeper in a task which events the caller was sent."""
         self._nursery.start_soon(self._reports.report, feed)
 
     def _start(
@@ -145,7 +149,8 @@
             self._broken_links.record_loss(source)
             if feed.searching:
                 return
-            # The upstream that served is gone and no one looks for another.
+            # The stream that served the feed has ended, and no other task
+            # searches for another upstream.
             feed.searching = True
             tried = frozenset({ids.UpstreamId(source.upstream.id)})
             search = search_module.Search(tried=tried)
@@ -169,7 +174,11 @@
         search: search_module.Search,
         source: source_module.Source,
     ) -> bool:
-        """Notes a failed attempt; False if the caller has its answer."""
+        """Records a failed attempt.
+
+        Returns:
+            False if the search has ended with a final answer to the caller.
+        """
         refusal.record_failure(search, source)
         if not search.awaits_first_answer or not refusal.is_final(
             search.answer
@@ -184,14 +193,15 @@
         """Waits until all upstreams may be tried again.
 
         Returns:
-            False if the search is over.
+            False if the search has ended.
         """
         if feed.source is not None:
             if search.single_round or not self.selector.must_move(feed.source):
                 feed.searching = False
                 return False
         elif search.awaits_first_answer and not search.unreachable:
-            # All refuse: a final answer is never held back.
+            # All upstreams refused the feed. The caller awaits its first
+            # answer and gets it without a further round.
             self._end_search(feed, search)
             return False
         delay_s = search.delay_s * self._context.random.uniform(0.5, 1.0)
@@ -213,12 +223,13 @@
     async def _read(
         self, source: source_module.Source, search: search_module.Search
     ) -> None:
-        """Opens one stream and reads it to its end."""
+        """Opens one stream and reads it until it ends."""
         service = source.feed.flow.service
         upstream = ids.UpstreamId(source.upstream.id)
         kind = contract.CallKind.FEED
         if source.feed.source is not None:
-            # Moves that no caller waits for go on a few at a time.
+            # No caller waits for this move, so a semaphore limits the number
+            # of concurrent moves.
             await search.acquire_permit(self._permits)
         self._context.chooser.record_start(service, upstream, kind)
         try:
@@ -228,7 +239,7 @@
             source.declared_dead = isinstance(
                 error, errors_module.PeerGaveUpError
             )
-            logger.debug("A feed's stream ended: %s.", error)
+            logger.debug("Stream of a feed to its keeper ended: %s.", error)
         finally:
             search.release_permit()
             self._context.chooser.record_end(service, upstream, kind)
@@ -267,7 +278,11 @@
     def _process_message(
         self, source: source_module.Source, message: base.Message
     ) -> bool:
-        """Takes a message of a keeper; True if it was the last."""
+        """Processes a message of a keeper.
+
+        Returns:
+            True if it is the last message of the stream.
+        """
         if isinstance(message, feeds.FeedEvent):
             self._process_event(source, message)
             return False
@@ -285,7 +300,7 @@
         try:
             event = event_module.read_event(message, source.keeper)
         except errors.MalformedDatagramError as error:
-            logger.warning("Event passed over: %s.", error)
+            logger.warning("Dropped a malformed event of a feed: %s.", error)
             self._context.counts.add("feed_events_malformed_total")
             return
         source.started = True
@@ -314,6 +329,7 @@
             feed.served.set()
         if feed.recent:
             self.report_soon(feed)
-        # Its keeper may have asked for a move while it was a candidate.
+        # The keeper may have requested a move while its stream was still the
+        # candidate.
         if feed.source is not None and self.selector.must_move(feed.source):
             self.move(feed)
--- a/persimmonhinge/flows/feeds/watches.py
+++ b/persimmonhinge/flows/feeds/watches.py
@@ -1,4 +1,4 @@
-"""Watches contracts and hosts for feeds that have to move."""
+"""Watches contracts and hosts for changes that require feeds to move."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from persimmonhinge.flows.feeds import feed_context
 from persimmonhinge.flows.feeds import upstream_side
 
-# Feeds looked at before other tasks get their turn.
+# Number of feeds processed between two checkpoints, which let other tasks run.
 FEEDS_PER_CHECKPOINT = 256
 
 
 class Watches:
-    """Moves feeds when a contract or the view of hosts changes."""
+    """Moves feeds when a contract or the host's view changes."""
 
     def __init__(
         self,
@@ -32,7 +32,10 @@
         self._entries: dict[ids.ServiceName, store.ContractEntry] = {}
 
     async def watch_contracts(self) -> None:
-        """Moves feeds from upstreams that drain or that a contract drops."""
+        """Moves feeds from draining or removed upstreams.
+
+        Closes the feeds of services whose contract was deleted.
+        """
         changed = self._context.contracts.changed
         version = -1
         while True:
@@ -43,24 +46,28 @@
             await self._move_from_upstreams(services)
 
     async def watch_keepers(self) -> None:
-        """Moves feeds whose keeper died.
+        """Cancels streams whose keeper died, so that their feeds move.
 
-        Guards against a link that stays silent although its other end is
-        gone: the caller would see a feed that stands still. The stream is
-        given up as soon as membership counts the keeper's incarnation out.
+        A link can stay open and silent although its peer has died; the caller
+        would receive no further events. The stream is therefore cancelled as
+        soon as membership no longer lists the incarnation of the keeper as
+        answering.
         """
         view = self._context.view
-        known: set[ids.HostRef] = set()
+        previous: set[ids.HostRef] = set()
         version = -1
         while True:
             version = await view.changed.wait_beyond(version)
             present = {m.ref for m in view.all() if m.answers}
-            if known - present:
-                await self._cancel_streams_of(known - present)
-            known = present
+            if previous - present:
+                await self._cancel_streams_of(previous - present)
+            previous = present
 
     def _find_changed(self) -> set[ids.ServiceName]:
-        """Returns the services whose contract or evacuations changed."""
+        """Returns the services whose entry in the contract store changed.
+
+        An entry changes with the contract and with evacuations.
+        """
         entries = {
             ids.ServiceName(e.contract.service): e
             for e in self._context.contracts.entries()
@@ -102,7 +109,7 @@
     service: ids.ServiceName,
     upstream: ids.UpstreamId,
 ) -> Iterator[feed_module.Feed]:
-    """Returns the feeds that one upstream serves."""
+    """Yields the feeds of a service that one upstream serves."""
     for feed in candidates:
         source = feed.source
         if feed.flow.service != service or source is None:
