--- a/tests/test_flows/feeds_caller.py
+++ b/tests/test_flows/feeds_caller.py
@@ -1,4 +1,4 @@
-"""A caller that checks the order of what it sees."""
+"""A fake caller that discards notifications that arrive out of order."""
 
 from __future__ import annotations
 
@@ -19,7 +19,15 @@
 
 
 class FakeCaller:
-    """A caller that acknowledges, and notes what it sees in order."""
+    """A caller that records messages and acknowledges confirmable ones.
+
+    Attributes:
+        world: World that the caller belongs to.
+        messages: All messages received.
+        ticks: States accepted as newer than the previous ones, in order.
+        senders: Names of the hosts that sent `messages`.
+        acknowledges: False to send no acknowledgements.
+    """
 
     def __init__(self, world: feeds_world.World) -> None:
         self.world = world
@@ -36,7 +44,7 @@
         return self._ids
 
     def receive(self, host: feeds_hosts.Host, message: codec.Message) -> None:
-        """Takes a message that a host sends."""
+        """Processes a message that a host sends."""
         self.messages.append(codec.decode(codec.encode(message)))
         self.senders.append(host.name)
         if message.mtype is aiocoap.CON and self.acknowledges:
@@ -47,7 +55,7 @@
             self.ticks.append(json.loads(message.payload)["tick"])
 
     def get_last_message(self) -> codec.Message:
-        """Returns the newest message."""
+        """Returns the last message received."""
         return self.messages[-1]
 
     def make_get(
--- a/tests/test_flows/feeds_chooser.py
+++ b/tests/test_flows/feeds_chooser.py
@@ -1,4 +1,4 @@
-"""A random choice of upstreams."""
+"""A fake chooser that chooses upstreams at random."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FakeChooser:
-    """Chooses at random, and notes what is open."""
+    """Chooses upstreams at random and counts the open streams."""
 
     def __init__(self, world: feeds_world.World) -> None:
         self._world = world
@@ -30,15 +30,15 @@
         exclude: frozenset[ids.UpstreamId] = frozenset(),
         keeper_refs: frozenset[ids.HostRef] | None = None,
     ) -> port.Choice | None:
-        """Chooses among the active upstreams."""
-        fit = [
+        """Chooses one of the active upstreams that are not excluded."""
+        candidates = [
             u
             for u in entry.contract.upstreams
             if u.id not in exclude and u.state is contract.UpstreamState.ACTIVE
         ]
-        if not fit:
+        if not candidates:
             return None
-        upstream = self._world.random.choice(fit)
+        upstream = self._world.random.choice(candidates)
         keeper = ids.HostId(self._world.upstreams[upstream.id].keeper)
         ref = member.compute_ref(keeper, ids.Incarnation(1))
         return port.Choice(upstream, keeper, ref)
@@ -53,9 +53,9 @@
         """Is not used by feeds."""
 
     def record_start(self, *args: Any) -> None:
-        """Counts a stream."""
+        """Counts a stream that opens."""
         self.open_count += 1
 
     def record_end(self, *args: Any) -> None:
-        """Counts a stream no more."""
+        """Counts a stream that ends."""
         self.open_count -= 1
--- a/tests/test_flows/feeds_fakes.py
+++ b/tests/test_flows/feeds_fakes.py
@@ -1,4 +1,4 @@
-"""Runs upstreams, hosts and a caller, small enough to be checked."""
+"""Runs fake upstreams, hosts and a caller for tests of feeds."""
 
 from __future__ import annotations
 
@@ -15,7 +15,12 @@
 async def run_world(
     *names: str, seed: int = 1
 ) -> AsyncIterator[feeds_world.World]:
-    """Runs hosts with a contract in force, until the test leaves."""
+    """Runs hosts with a contract in force until the context exits.
+
+    Args:
+        *names: Names of the hosts; one host by default.
+        seed: Seed of the random choices.
+    """
     world = feeds_world.World(seed)
     async with trio.open_nursery() as nursery:
         for name in names or ("h1",):
--- a/tests/test_flows/feeds_hosts.py
+++ b/tests/test_flows/feeds_hosts.py
@@ -1,4 +1,4 @@
-"""One host with the product's feeds between fakes."""
+"""A fake host with real feeds and fakes of its other components."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Host:
-    """One host with the product's feeds between fakes."""
+    """A host with real feeds and fakes of its other components."""
 
     def __init__(
         self, world: feeds_world.World, name: str, names: tuple[str, ...]
@@ -49,7 +49,7 @@
         world.hosts[name] = self
 
     def is_home(self) -> bool:
-        """Tells whether this host is home of the flow in its view."""
+        """Returns whether this host is home of the flow in its own view."""
         ranked = self.placement.rank_homes(
             feeds_values.FLOW.service, feeds_values.FLOW.caller
         )
@@ -61,12 +61,12 @@
             await self.feeds.run(task_status)
 
     def crash(self) -> None:
-        """Dies: its streams close, and it sends no more."""
+        """Crashes the host: its streams close and it sends no more."""
         self.world.down_hosts.add(self.name)
         self.scope.cancel()
 
     def register(self, message: codec.Message | None = None) -> None:
-        """Takes a request for the feed, a new one by default."""
+        """Registers the feed by a request, a new one by default."""
         entry = self.contracts.get(feeds_values.SERVICE)
         assert entry is not None
         message = message or self.world.caller.make_get()
@@ -76,7 +76,7 @@
 
 
 class FakeAnswers:
-    """Sends what a host answers to the fake caller."""
+    """Sends the answers of a host to the fake caller."""
 
     def __init__(self, host: Host) -> None:
         self._host = host
@@ -86,6 +86,6 @@
         return self._host.world.caller.next_id()
 
     def send(self, flow: port.Flow, message: codec.Message) -> None:
-        """Hands a message to the caller."""
+        """Delivers a message to the caller unless the host has crashed."""
         if self._host.name not in self._host.world.down_hosts:
             self._host.world.caller.receive(self._host, message)
--- a/tests/test_flows/feeds_network.py
+++ b/tests/test_flows/feeds_network.py
@@ -1,4 +1,4 @@
-"""Calls between fake hosts, and streams to fake upstreams."""
+"""A fake network for calls between hosts and streams to upstreams."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FakeNetwork:
-    """Calls between fake hosts, and streams to fake upstreams."""
+    """Network of one host: calls to hosts, streams to fake upstreams."""
 
     def __init__(self, host: feeds_hosts.Host) -> None:
         self._host = host
@@ -29,11 +29,11 @@
         self.handlers: dict[type[base.Message], Any] = {}
 
     def handle(self, message_type: type[Any], handler: Any) -> None:
-        """Notes a handler."""
+        """Registers the handler of a message type."""
         self.handlers[message_type] = handler
 
     def send(self, host: ids.HostId, message: base.Message) -> bool:
-        """Takes what keepers are told, and does nothing."""
+        """Accepts notifications to keepers and discards them."""
         assert isinstance(message, feeds.FeedLeft)
         return True
 
--- a/tests/test_flows/feeds_upstreams.py
+++ b/tests/test_flows/feeds_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that publish states on the streams of homes."""
+"""Fake upstreams that publish states on the streams of homes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass
 class FakePeer:
-    """The side that called."""
+    """The calling host of a call."""
 
     host: ids.HostId
 
@@ -38,7 +38,8 @@
         self.recent = digests.join(opened.recent)
         self.acks: list[feeds.FeedAck] = []
         self.closed = False
-        # True for a message that is on its way although its reader stops.
+        # If true, one message in flight is delivered after the reader has
+        # been cancelled.
         self.delivers_after_cancel = False
         self._sender, self._receiver = trio.open_memory_channel[base.Message](
             1000
@@ -57,7 +58,7 @@
         return received
 
     async def push(self, message: base.Message) -> None:
-        """Notes an acknowledgement."""
+        """Records an acknowledgement."""
         if self.closed:
             raise errors.PeerLinkLostError("cut", step="push")
         assert isinstance(message, feeds.FeedAck)
@@ -82,7 +83,7 @@
     async def hand_over(
         self, home: feeds_hosts.Host, *, prepares: bool = False
     ) -> bool:
-        """Hands the feed to another home, as after the death of its own."""
+        """Hands the feed to another home, as a keeper does if a home died."""
         opened = msgspec.structs.replace(
             self.opened,
             last_sequence=self.sequence,
@@ -95,24 +96,25 @@
         return reply.accepted
 
     def cut(self) -> None:
-        """Closes the link."""
+        """Breaks the link of this stream."""
         self.closed = True
         self._sender.close()
 
 
 @dataclasses.dataclass(eq=False)
 class FakeUpstream:
-    """An upstream behind its keeper.
+    """An upstream together with its keeper.
 
     Attributes:
-        keeper: feeds_hosts.Host that keeps it.
-        tick: The state that it has published.
-        end: Given instead of a first event, if set.
-        mute: True to give nothing at all on new streams.
-        streams: Those that the homes opened.
-        lag_s: Time from a new state to its publication here.
-        late: True if its streams give one more message once they end.
-        waiting: States that are yet to be published here.
+        keeper: Name of the keeper's host.
+        tick: Newest state published.
+        end: Message sent instead of a first event, if set.
+        sends_nothing: True to send no first event on new streams.
+        streams: All streams that homes have opened.
+        lag_s: Delay from a new state to its publication here, in seconds.
+        delivers_after_cancel: True if new streams deliver one message after
+            their reader was cancelled.
+        unpublished: States to be published here after the lag.
     """
 
     keeper: str
@@ -133,7 +135,7 @@
         return next(iter(self.open_streams()), None)
 
     def accept(self, stream: FakeStream) -> None:
-        """Takes a stream that a home opens."""
+        """Accepts a stream that a home opens."""
         self.streams.append(stream)
         stream.delivers_after_cancel = self.delivers_after_cancel
         if self.sends_nothing:
@@ -144,23 +146,23 @@
             stream.send_tick(self.tick)
 
     def publish(self, tick: int) -> None:
-        """Gives a new state to all open streams."""
+        """Sends a new state on all open streams."""
         self.tick = tick
         for stream in self.open_streams():
             stream.send_tick(tick)
 
     async def publish_late(self) -> None:
-        """Gives the next state that waits, after the lag."""
+        """Publishes the next unpublished state after the lag."""
         await trio.sleep(self.lag_s)
         if self.unpublished:
             self.publish(self.unpublished.pop(0))
 
     def send_end(self, cause: feeds.FeedEndCause) -> None:
-        """Has the keeper ask all homes to move."""
+        """Sends the keeper's end of the feed, with a cause, to all homes."""
         for stream in self.open_streams():
             stream.send(feeds.FeedEnd(cause))
 
     def cut(self) -> None:
-        """Closes the links of all open streams."""
+        """Breaks the links of all open streams."""
         for stream in self.open_streams():
             stream.cut()
--- a/tests/test_flows/feeds_values.py
+++ b/tests/test_flows/feeds_values.py
@@ -1,4 +1,4 @@
-"""Names, contracts and messages that the fakes for feeds share."""
+"""Names, contracts and messages shared by the fakes for tests of feeds."""
 
 from __future__ import annotations
 
--- a/tests/test_flows/feeds_world.py
+++ b/tests/test_flows/feeds_world.py
@@ -1,4 +1,4 @@
-"""All hosts and upstreams of a test of feeds."""
+"""The hosts, upstreams and caller of one test of feeds."""
 
 from __future__ import annotations
 
@@ -19,7 +19,16 @@
 
 
 class World:
-    """All hosts and upstreams of a test, and what the caller sees."""
+    """The hosts, upstreams and caller of one test.
+
+    Attributes:
+        random: Source of the random choices of the test.
+        upstreams: Upstreams by name.
+        hosts: Hosts by name.
+        down_hosts: Names of the hosts that have crashed.
+        caller: The caller.
+        revision: Revision of the newest contract.
+    """
 
     def __init__(self, seed: int = 1) -> None:
         self.random = random.Random(seed)
@@ -33,25 +42,25 @@
         self.revision = 0
 
     def publish(self, tick: int) -> None:
-        """Gives a new state at all upstreams at once."""
+        """Publishes a new state at all upstreams at once."""
         for upstream in self.upstreams.values():
             upstream.publish(tick)
 
     async def publish_with_lags(self, tick: int) -> None:
-        """Gives a new state at each upstream after that one's lag."""
+        """Publishes a new state at each upstream after its lag."""
         async with trio.open_nursery() as nursery:
             for upstream in self.upstreams.values():
                 upstream.unpublished.append(tick)
                 nursery.start_soon(upstream.publish_late)
 
     async def spread_member(self, host: str, state: feeds_values.State) -> None:
-        """Lets all hosts learn the state of a host, each at its own time."""
+        """Updates the state of a host in all views, after random delays."""
         for other in self.list_live_hosts():
             other.view.put(feeds_values.make_member(host, state))
             await trio.sleep(self.random.uniform(0, 0.2))
 
     def set_contract(self, *draining: str) -> None:
-        """Puts a contract in force, with upstreams that drain."""
+        """Puts a contract in force in which the named upstreams drain."""
         self.revision += 1
         body = json.dumps(
             feeds_values.make_contract(frozenset(draining))
@@ -72,19 +81,19 @@
             host.contracts.offer(record)
 
     def count_feeds(self) -> int:
-        """Returns the feeds in the tables of all hosts."""
+        """Returns the number of feeds in the tables of all live hosts."""
         return sum(host.feeds.count() for host in self.list_live_hosts())
 
     def list_live_hosts(self) -> list[feeds_hosts.Host]:
-        """Returns the hosts that have not died."""
+        """Returns the hosts that have not crashed."""
         return [h for h in self.hosts.values() if h.name not in self.down_hosts]
 
     def count_streams(self) -> int:
-        """Returns the streams open at all upstreams."""
+        """Returns the number of streams open at all upstreams."""
         return sum(len(u.open_streams()) for u in self.upstreams.values())
 
     def is_unreachable(self, host: str) -> bool:
-        """Tells whether a host is unknown or dead."""
+        """Returns whether a host is unknown or has crashed."""
         keepers = {u.keeper for u in self.upstreams.values()}
         return host in self.down_hosts or host not in {*self.hosts, *keepers}
 
--- a/tests/test_flows/rescue_board.py
+++ b/tests/test_flows/rescue_board.py
@@ -1,4 +1,4 @@
-"""A price board that hosts observe, each on its own socket."""
+"""A fake upstream with a price board that keepers observe."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class Board(fake_upstream.FakeUpstream):
-    """Publishes states to all that observe it.
+    """An upstream that publishes states to all observers.
 
     Attributes:
-        state: The newest state.
+        state: Newest state.
         ends: True to end each observation with the next state.
     """
 
--- a/tests/test_flows/rescue_caller.py
+++ b/tests/test_flows/rescue_caller.py
@@ -1,4 +1,4 @@
-"""A caller that follows RFC 7252 and RFC 7641 to the letter."""
+"""A fake caller that conforms to RFC 7252 and RFC 7641."""
 
 from __future__ import annotations
 
@@ -19,15 +19,18 @@
 
 
 class RescueCaller:
-    """Keeps one feed open and notes the states that it takes for news.
+    """A caller with one feed that records the states it accepts.
+
+    It ignores duplicates and notifications that are older than the newest one
+    by the rules of RFC 7641.
 
     Attributes:
-        flow: Its flow.
-        states: What it took, in order.
-        seen_at: When it took each, trio's time.
-        numbers: Their Observe numbers.
-        acknowledges: False to acknowledge nothing.
-        hosts: Names of the hosts that sent them.
+        flow: Flow of the caller.
+        states: Accepted states, in order.
+        seen_at: Time at which each state was accepted, by trio's clock.
+        sequences: Observe numbers of the accepted states.
+        hosts: Names of the hosts that sent the accepted states.
+        acknowledges: False to send no acknowledgements.
     """
 
     def __init__(self, flow: port.Flow) -> None:
@@ -47,7 +50,7 @@
         return self._id
 
     def receive(self, host: rescue_host.RescueHost, data: bytes) -> None:
-        """Takes a datagram of a host."""
+        """Processes a datagram of a host."""
         message = codec.decode(data)
         if message.mtype is aiocoap.CON and self.acknowledges:
             host.feeds.acknowledge(self.flow, message.mid)
--- a/tests/test_flows/rescue_host.py
+++ b/tests/test_flows/rescue_host.py
@@ -1,4 +1,4 @@
-"""One host with the product's feeds and keepers between fakes."""
+"""A fake host with real feeds and keepers on a fake network."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class RescueHost:
-    """One host with the product's feeds and keepers between fakes.
+    """A host that runs the real feeds and keepers on a fake network.
 
     Attributes:
-        wire: What it sends to the caller.
+        wire: Wire from this host to the caller.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         )
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Runs the parts until the host dies."""
+        """Runs feeds and keepers until the host is killed."""
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
             await nursery.start(self.keepers.run)
@@ -81,7 +81,7 @@
             await trio.sleep_forever()
 
     def register(self, message: codec.Message | None = None) -> None:
-        """Takes a registration of the caller."""
+        """Registers the caller's feed, by a new request by default."""
         entry = self.contracts.get(feeds_values.SERVICE)
         assert entry is not None
         self.feeds.open(
@@ -102,13 +102,13 @@
             self.wire.send(lambda: self._world.caller.receive(self, data))
 
     def update_member(self, member: member_module.Member) -> None:
-        """Takes in what is believed of a host; links to a dead one break."""
+        """Updates a host in the view; breaks the links to a dead host."""
         self.view.put(member)
         if not member.answers and member.host != self.name:
             self.network.break_links(member.host)
 
     def start_new_incarnation(self) -> member_module.Member:
-        """Becomes a new incarnation, as a host that was given up does."""
+        """Starts a new incarnation, as a host that was declared dead does."""
         former = self.view.self_member
         present = dataclasses.replace(
             former, incarnation=ids.Incarnation(former.incarnation + 1)
@@ -132,7 +132,7 @@
         exclude: frozenset[ids.UpstreamId] = frozenset(),
         keeper_refs: frozenset[ids.HostRef] | None = None,
     ) -> port.Choice | None:
-        """Chooses among the active upstreams whose keeper answers."""
+        """Chooses the first active upstream that has a keeper in the view."""
         for upstream in entry.contract.upstreams:
             if upstream.state is not contract.UpstreamState.ACTIVE:
                 continue
@@ -151,10 +151,10 @@
         return ()
 
     def record_load(self, *args: Any) -> None:
-        """Takes no account of loads."""
+        """Ignores loads."""
 
     def record_start(self, *args: Any) -> None:
-        """Takes no account of loads."""
+        """Ignores loads."""
 
     def record_end(self, *args: Any) -> None:
-        """Takes no account of loads."""
+        """Ignores loads."""
--- a/tests/test_flows/rescue_links.py
+++ b/tests/test_flows/rescue_links.py
@@ -1,4 +1,4 @@
-"""Links between hosts in memory that can be held up, silenced and broken."""
+"""In-memory links between hosts that can delay or lose messages, or break."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class WireState(enum.Enum):
-    """What becomes of messages from one host to another.
+    """State of the delivery of messages from one host to another.
 
-    UP: They arrive at once.
-    HELD: They arrive once the wire is up again.
-    SILENT: They are lost, and nobody is told.
+    UP: Messages arrive at once.
+    HELD: Messages arrive once the wire is up again.
+    SILENT: Messages are lost without an error on either side.
     """
 
     UP = "up"
@@ -27,11 +27,11 @@
 
 
 class Wire:
-    """What one host sends to another one, in order.
+    """Ordered one-way transport of messages from one host to another.
 
     Attributes:
-        state: What becomes of it.
-        octets: Octets of the messages that were sent.
+        state: State of the delivery.
+        octets: Number of octets of the messages sent.
     """
 
     def __init__(self) -> None:
@@ -40,14 +40,14 @@
         self._waiting: list[Callable[[], object]] = []
 
     def send(self, deliver: Callable[[], object]) -> None:
-        """Sends something: it is called when it arrives."""
+        """Sends a message, whose callback is called when it arrives."""
         if self.state is WireState.UP:
             deliver()
         elif self.state is WireState.HELD:
             self._waiting.append(deliver)
 
     def release(self) -> None:
-        """Brings the wire up; what waited arrives now."""
+        """Sets the wire up and delivers the held messages."""
         self.state = WireState.UP
         waiting, self._waiting = self._waiting, []
         for arrive in waiting:
@@ -55,7 +55,7 @@
 
 
 class CallSide(calls.ServedCall):
-    """One side of a call between two hosts; both are of this class."""
+    """One side of a call between two hosts. Both sides use this class."""
 
     __slots__ = ("_other", "_wire")
 
@@ -65,7 +65,7 @@
         self._other: CallSide
 
     def connect(self, other: CallSide) -> None:
-        """Makes two sides one call."""
+        """Connects two sides to one call."""
         self._other = other
         other._other = self
 
@@ -76,7 +76,7 @@
         self._wire.send(lambda: self._other.deliver(message))
 
     async def finish(self, answer: base.Message | None) -> None:
-        """Ends the call with an answer, or without one."""
+        """Ends the call, with an answer if there is one."""
         if answer is not None:
             self._wire.send(lambda: self._other.deliver(answer))
         self._close_both("the handler ended the call")
@@ -86,11 +86,11 @@
         self._close_both(f"{cause.value}: {text}")
 
     def close_by_caller(self) -> None:
-        """Ends the call as the side that opened it."""
+        """Ends the call from the side that opened it."""
         self._close_both(calls.CLOSED_BY_CALLER)
 
     def break_link(self) -> None:
-        """Ends the call as the loss of its link does; tells the other side."""
+        """Ends the call as if its link broke, on both sides."""
         self._close_both(_LINK_LOST_CAUSE)
 
     def _close_both(self, cause: str) -> None:
--- a/tests/test_flows/rescue_network.py
+++ b/tests/test_flows/rescue_network.py
@@ -1,4 +1,4 @@
-"""Calls between the hosts of a world, over wires that a test disturbs."""
+"""A fake network between the hosts of a test, over controllable wires."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class WorldNetwork:
-    """Implements `PeerNetwork` for one host of a world."""
+    """Implements `PeerNetwork` for one host of a test."""
 
     def __init__(self, world: rescue_world.RescueWorld, me: ids.HostId) -> None:
         self._world = world
@@ -33,7 +33,7 @@
         self.sides: dict[ids.HostId, set[rescue_links.CallSide]] = {}
 
     def handle(self, message_type: type[Any], handler: Any) -> None:
-        """Sets a handler."""
+        """Registers the handler of a message type."""
         self._handlers[message_type] = handler
 
     def send(self, host: ids.HostId, message: base.Message) -> bool:
@@ -58,7 +58,7 @@
     async def open(
         self, host: ids.HostId, message: base.Message, timeout_s: float
     ) -> AsyncIterator[network.PeerStream]:
-        """Opens a stream to another host, or to this one."""
+        """Opens a stream to another host or to this host itself."""
         await trio.sleep(_LINK_DELAY_S)
         await self._check_reachable(host, timeout_s)
         other = self._world.hosts[host].network
@@ -87,7 +87,7 @@
             host.nursery.start_soon(self._serve, side, message)
 
     def break_links(self, host: ids.HostId) -> None:
-        """Breaks the link to a host from this side."""
+        """Breaks all open calls with a host, from this side."""
         for side in self.sides.pop(host, set()):
             side.break_link()
 
@@ -102,8 +102,8 @@
     async def _check_reachable(
         self, host: ids.HostId, timeout_s: float
     ) -> None:
-        known = self._world.hosts[self._me].view.get(host)
-        if known is None or not known.answers:
+        peer = self._world.hosts[self._me].view.get(host)
+        if peer is None or not peer.answers:
             raise self._make_unreachable(host)
         wires = (
             self._world.get_wire(self._me, host),
@@ -120,11 +120,11 @@
 
     def _check_accepted(self, host: ids.HostId) -> None:
         me = self._world.hosts[self._me].view.self_member
-        there = self._world.hosts[host].view.get(self._me)
-        assert there is not None
-        if there.state is not member.MemberState.DEAD:
+        seen_by_peer = self._world.hosts[host].view.get(self._me)
+        assert seen_by_peer is not None
+        if seen_by_peer.state is not member.MemberState.DEAD:
             return
-        if there.incarnation == me.incarnation:
+        if seen_by_peer.incarnation == me.incarnation:
             raise errors_module.PeerGaveUpError("dead", step="open", peer=host)
 
     def _make_unreachable(self, host: ids.HostId) -> errors.PeerError:
--- a/tests/test_flows/rescue_world.py
+++ b/tests/test_flows/rescue_world.py
@@ -1,4 +1,4 @@
-"""Homes and keepers of the product, wired up, and one caller."""
+"""Real homes and keepers on a fake network, with one caller."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 
 
 class RescueWorld:
-    """Three hosts that are homes, two that keep an upstream each.
+    """Three hosts that may be homes and two that keep one upstream each.
 
     Attributes:
-        random: Draws what a test leaves open.
-        hosts: The hosts, by name.
-        boards: The upstreams, by name.
-        lags_s: How late each upstream publishes a state.
-        caller: The caller; its home is not a keeper.
+        random: Source of the random choices of the test.
+        hosts: Hosts by name.
+        boards: Upstreams by name.
+        lags_s: Publication delay of each upstream, in seconds.
+        caller: The caller. Its home is not a keeper.
     """
 
     def __init__(self, seed: int) -> None:
@@ -71,7 +71,7 @@
         self.set_contract()
 
     async def add_host(self, member: member_module.Member) -> None:
-        """Starts a host that all others know."""
+        """Starts a host and adds it to the views of all other hosts."""
         host = rescue_host.RescueHost(self, member)
         for other in self.hosts.values():
             host.view.put(other.view.self_member)
@@ -80,7 +80,10 @@
         await self.nursery.start(host.run)
 
     async def move_role(self, upstream: str) -> None:
-        """Adds hosts to the domain of an upstream until one keeps it."""
+        """Makes another host the keeper of an upstream.
+
+        Adds a host whose name the placement ranks before the present keeper.
+        """
         domain, keeper = _UPSTREAM_PLACEMENT[upstream]
         key = ids.UpstreamId(f"{feeds_values.SERVICE}/{upstream}")
         for number in range(100):
@@ -92,10 +95,10 @@
                 await self.add_host(member)
                 self._offer(self.hosts[member.host])
                 return
-        raise AssertionError("no name is placed before the keeper")
+        raise AssertionError("no host name is ranked before the keeper")
 
     def get_wire(self, sender: str, receiver: str) -> rescue_links.Wire:
-        """Returns what carries messages from one host to another."""
+        """Returns the wire from one host to another."""
         return self._wires.setdefault((sender, receiver), rescue_links.Wire())
 
     def open_socket(
@@ -105,14 +108,19 @@
         return self.boards[f"u{address.port - 9000}"].open(address)
 
     def set_contract(self, *draining: str) -> None:
-        """Puts a contract in force, with upstreams that drain."""
+        """Puts a contract in force in which the named upstreams drain."""
         self._revision += 1
         self._contract = json.dumps(_make_contract(draining)).encode()
         for host in self.hosts.values():
             self._offer(host)
 
     def publish(self, state: bytes = b"", *, padding: int = 0) -> None:
-        """Publishes a state at all upstreams, the next tick by default."""
+        """Publishes a state at all upstreams, the next tick by default.
+
+        Args:
+            state: State to publish; empty for the next tick.
+            padding: Length to which the state is padded, in octets.
+        """
         self._tick += 1
         state = state or str(self._tick).encode()
         state = state.ljust(padding, b".")
@@ -125,7 +133,7 @@
     async def publish_for(
         self, seconds: float, interval_s: float = 0.2
     ) -> None:
-        """Publishes ticks for a while."""
+        """Publishes ticks at an interval for a number of seconds."""
         until = trio.current_time() + seconds
         while trio.current_time() < until:
             self.publish()
@@ -139,21 +147,21 @@
         return self.hosts[ranked[0].host]
 
     def kill(self, name: str) -> None:
-        """Ends a host; its links break at once."""
+        """Kills a host, whose links break at once."""
         self.hosts[name].is_up = False
         for other in self.hosts.values():
             other.network.break_links(ids.HostId(name))
         self.hosts[name].nursery.cancel_scope.cancel()
 
     def set_wires(self, name: str, state: rescue_links.WireState) -> None:
-        """Sets what becomes of all that a host sends and gets."""
+        """Sets the state of all wires from and to a host."""
         self.hosts[name].wire.state = state
         for other in self.hosts:
             self.get_wire(name, other).state = state
             self.get_wire(other, name).state = state
 
     def resume(self, name: str) -> None:
-        """Lets a host that was held up take what waited, and send."""
+        """Resumes a paused host: delivers the held messages from and to it."""
         for other in self.hosts:
             self.get_wire(other, name).release()
         self.hosts[name].wire.release()
@@ -161,7 +169,7 @@
             self.get_wire(name, other).release()
 
     def declare_dead(self, name: str) -> None:
-        """Lets all other hosts count a host as dead."""
+        """Makes all other hosts treat a host as dead."""
         member = self.hosts[name].view.self_member
         dead = dataclasses.replace(member, state=State.DEAD)
         for other in self.hosts.values():
@@ -169,37 +177,38 @@
                 other.update_member(dead)
 
     def end_silent_host(self, name: str) -> None:
-        """Ends a silent host; all others count it as dead from now on."""
+        """Stops a silent host and makes all others treat it as dead."""
         self.hosts[name].is_up = False
         self.declare_dead(name)
 
     def readmit(self, name: str) -> None:
-        """Lets a host that was given up come back as a new incarnation."""
+        """Readmits a host that was declared dead, as a new incarnation."""
         present = self.hosts[name].start_new_incarnation()
         for other in self.hosts.values():
             other.update_member(present)
 
     def keeps_feed(self, name: str) -> bool:
-        """Tells whether a host is keeper of a feed."""
+        """Returns whether a host is keeper of a feed."""
         return any(load.feeds for load in self.hosts[name].keepers.loads())
 
     def count_feeds(self) -> int:
-        """Returns the feeds that live hosts are home of."""
+        """Returns the number of feeds that live hosts are home of."""
         return sum(h.feeds.count() for h in self.hosts.values() if h.is_up)
 
     def count_observers(self) -> int:
-        """Returns the observations at all upstreams."""
+        """Returns the number of observations at all upstreams."""
         return sum(board.count() for board in self.boards.values())
 
     def list_ticks(self) -> list[int]:
-        """Returns the ticks that the caller saw."""
+        """Returns the ticks that the caller accepted."""
         return [int(state) for state in self.caller.states]
 
     def check_all_ticks_seen(self) -> None:
-        """Judges that the caller saw each tick once and in order.
+        """Checks that the caller received each tick once and in order.
 
         Raises:
-            AssertionError: It did not, or the feed stands still.
+            AssertionError: A tick is missing, repeated or out of order, or
+                there is not exactly one feed with one observation.
         """
         ticks = self.list_ticks()
         assert ticks == list(range(self._tick + 1)), ticks
@@ -221,11 +230,12 @@
 async def run_world(
     seed: int = 1, *, first: int | None = None
 ) -> AsyncIterator[RescueWorld]:
-    """Runs a world whose caller has its feed open.
+    """Runs a world in which the caller has an open feed.
 
     Args:
-        seed: Seed of what is drawn.
-        first: Observe number that the feed begins at; by the clock if None.
+        seed: Seed of the random choices.
+        first: Initial Observe number of the feed; taken from the clock if
+            None.
     """
     world = RescueWorld(seed)
     start = first if first is not None else service.start_sequence()
@@ -240,7 +250,7 @@
 
 
 def make_leaving(member: member_module.Member) -> member_module.Member:
-    """Returns a host as it says that it leaves."""
+    """Returns a host's member entry with the state LEAVING."""
     return dataclasses.replace(member, state=State.LEAVING)
 
 
@@ -265,7 +275,7 @@
 
 
 def _find_flow(known: list[member_module.Member]) -> port.Flow:
-    """Returns a flow whose home and the next one are no keepers."""
+    """Returns a flow whose first two homes are not keepers."""
     view = view_module.View(known[0])
     for member in known:
         view.put(member)
--- a/tests/test_flows/test_flows_feeds.py
+++ b/tests/test_flows/test_flows_feeds.py
@@ -1,4 +1,4 @@
-"""Tests of feeds towards a caller: opening, events, closing."""
+"""Tests of opening, events, moves and closing of feeds of one caller."""
 
 from __future__ import annotations
 
@@ -67,10 +67,12 @@
 
 @trios.clock_test
 async def test_feeds_move_when_the_keeper_ends_them() -> None:
-    """An upstream drains; its keeper says so, and its events go on.
+    """Guards against lost or repeated events when a keeper ends a feed.
 
-    The caller would see a gap or a repeat if the feed were closed first, or
-    if the first state of the new upstream were passed on unseen.
+    An upstream drains; its keeper reports this and continues to send events.
+    The caller would miss an event if the feed were closed before the move, and
+    receive one twice if the first state of the new upstream were forwarded
+    without a comparison.
     """
     for cause in feeds.FeedEndCause:
         if cause is feeds.FeedEndCause.REFUSED:
@@ -92,10 +94,11 @@
 
 @trios.clock_test
 async def test_feeds_pass_over_a_late_event_of_the_former_upstream() -> None:
-    """A message was taken off the link when its feed changed over.
+    """Guards against an older state after a newer one.
 
-    The caller has had newer states from the new upstream: passed on, the
-    late one would step back.
+    A message of the former upstream is received while the feed switches to the
+    new upstream. The caller has already received newer states from the new
+    upstream, so the late message must be dropped.
     """
     async with feeds_fakes.run_world() as world:
         for upstream in world.upstreams.values():
--- a/tests/test_flows/test_flows_feeds_callers.py
+++ b/tests/test_flows/test_flows_feeds_callers.py
@@ -1,4 +1,4 @@
-"""Tests of what callers of feeds are told, and of callers that go away."""
+"""Tests of the messages that feeds send, and of callers that disappear."""
 
 from __future__ import annotations
 
@@ -25,11 +25,12 @@
 
 @trios.clock_test
 async def test_feeds_remove_a_caller_that_acknowledges_nothing() -> None:
-    """A buyer's device loses power; nothing tells the home.
+    """Guards against a feed that stays open after its caller disappeared.
 
-    Its feed would hold a connection of an upstream for good. The first
-    notification asks for an acknowledgement; four repetitions, with the
-    newest price, get none (RFC 7641, 4.5).
+    A caller's device loses power without a message to the home, and its feed
+    would occupy a connection of an upstream forever. The first notification is
+    confirmable. Its four retransmissions, which carry the newest state, stay
+    unacknowledged, and the feed is removed (RFC 7641, 4.5).
     """
     async with feeds_fakes.run_world() as world:
         world.caller.acknowledges = False
@@ -78,10 +79,11 @@
 
 @trios.clock_test
 async def test_feeds_pass_on_a_price_that_comes_back() -> None:
-    """A price goes up and down again.
+    """Guards against dropping a state that returns to an earlier value.
 
-    Its digest is among the recent ones: dropped as a repeat, it would leave
-    the buyer with the wrong price until the next change.
+    A price goes up and down again. Its digest is among the recent ones. If the
+    event were dropped as a repeat, the caller would have the wrong price until
+    the next change.
     """
     async with feeds_fakes.run_world() as world:
         world.find_home().register()
@@ -93,7 +95,9 @@
         await trio.sleep(31)
         world.publish(1)
         await trio.sleep(_QUICK_S)
-        assert world.caller.ticks[-2:] == [1, 1], "would become stale"
+        assert world.caller.ticks[-2:] == [1, 1], (
+            "no repeat before the copy is stale"
+        )
 
 
 @trios.clock_test
@@ -113,10 +117,12 @@
 
 @trios.clock_test
 async def test_feeds_tell_the_caller_when_no_upstream_is_left() -> None:
-    """All upstreams of a service go away, for less and for more than 8 s.
+    """Guards against a feed that stays open without events.
 
-    Within the deadline of the call class the feed goes on by itself; after
-    it the buyer is told, rather than left with a feed that stands still.
+    All upstreams of a service are unreachable for less and for more than 8 s,
+    the deadline of the call class. Within the deadline the feed resumes
+    without an action of the caller; after it the caller receives a final
+    answer.
     """
     for outage_s in (6, 10):
         async with feeds_fakes.run_world() as world:
--- a/tests/test_flows/test_flows_feeds_homes.py
+++ b/tests/test_flows/test_flows_feeds_homes.py
@@ -1,4 +1,4 @@
-"""Tests of feeds whose home or keeper changes."""
+"""Tests of feeds whose home or keeper changes or fails."""
 
 from __future__ import annotations
 
@@ -54,18 +54,19 @@
 
 @trios.clock_test
 async def test_feeds_go_on_when_the_former_home_dies_half_way() -> None:
-    """A home dies between the two messages of a hand-over.
+    """Guards against a feed that stops when a hand-over is not completed.
 
-    Its successor has the feed open but sends nothing, waiting for the second
-    message; the buyer would see a feed that stands still for good.
+    A home dies between the two messages of a hand-over. The new home has the
+    feed open but holds all answers back until the second message arrives, so
+    the caller would never receive another event.
     """
     async with feeds_fakes.run_world(*_HOSTS) as world:
         home = await _open(world)
         (stream,) = [
             s for u in world.upstreams.values() for s in u.open_streams()
         ]
-        heir = next(h for h in world.list_live_hosts() if h is not home)
-        assert await stream.hand_over(heir, prepares=True)
+        new_home = next(h for h in world.list_live_hosts() if h is not home)
+        assert await stream.hand_over(new_home, prepares=True)
         home.crash()
         world.publish(1)
         await trio.sleep(limits.COMMIT_TIMEOUT_S / 2)
@@ -76,10 +77,11 @@
 
 @trios.clock_test
 async def test_feeds_say_the_newest_state_again_after_a_home_died() -> None:
-    """A keeper pushed a price, and the home died before it sent it.
+    """Guards against a lost event when a home dies before it sends it.
 
-    For the keeper the buyer has had it; taken at its word, the new home
-    would leave the buyer with the older price until the next change.
+    A keeper has sent a state to the home and lists it as delivered. If the new
+    home relied on that, the caller would have the older state until the next
+    change.
     """
     async with feeds_fakes.run_world(*_HOSTS) as world:
         home = await _open(world)
@@ -89,26 +91,28 @@
         home.crash()
         stream.closed = False
         world.publish(1)
-        heir = next(h for h in world.list_live_hosts() if h is not home)
-        assert await stream.hand_over(heir)
+        new_home = next(h for h in world.list_live_hosts() if h is not home)
+        assert await stream.hand_over(new_home)
         await trio.sleep(_QUICK_S)
         assert world.caller.ticks == [0, 1]
 
 
 @trios.clock_test
 async def test_feeds_of_two_homes_become_one() -> None:
-    """A keeper takes a home for dead that lives, as in a one-way cut.
+    """Guards against events accepted twice and against two permanent homes.
 
-    The buyer gets prices from two hosts. Numbers only grow, so that each
-    price is taken once, and when views agree one home is left.
+    A keeper treats a live home as dead, as after a network failure in one
+    direction, and the caller receives states from two hosts. The Observe
+    numbers only increase, so the caller accepts each new state once, and only
+    one home remains once the views agree.
     """
     async with feeds_fakes.run_world(*_HOSTS) as world:
         home = await _open(world)
         (stream,) = [
             s for u in world.upstreams.values() for s in u.open_streams()
         ]
-        heir = next(h for h in world.list_live_hosts() if h is not home)
-        assert await stream.hand_over(heir)
+        new_home = next(h for h in world.list_live_hosts() if h is not home)
+        assert await stream.hand_over(new_home)
         world.publish(1)
         await trio.sleep(_QUICK_S)
         assert world.caller.ticks == [0, 0, 1]
@@ -121,15 +125,16 @@
 
 @trios.clock_test
 async def test_feeds_move_when_their_keeper_is_dead_in_the_view() -> None:
-    """A keeper dies, and its link stays open without a word.
+    """Guards against a feed that stops when a dead keeper's link stays open.
 
-    Nothing arrives and nothing fails; the buyer would see a feed that
-    stands still. The death in the view ends the stream.
+    A keeper dies, and its link neither delivers messages nor fails. The caller
+    would receive no further events. The stream has to end when the keeper is
+    dead in the view.
     """
     async with feeds_fakes.run_world() as world:
         home = await _open(world)
         for upstream in world.upstreams.values():
-            # In the view, but not a host that may be home.
+            # A leaving host is in the view but can't be home.
             keeper = feeds_values.make_member(upstream.keeper, State.LEAVING)
             home.view.put(keeper)
         await trio.sleep(_QUICK_S)
@@ -146,10 +151,11 @@
 
 @trios.clock_test
 async def test_feeds_come_back_to_the_keeper_that_holds_them() -> None:
-    """A link to a keeper is cut, or a home dies; the keeper lives.
+    """Guards against lost events when a feed is reopened.
 
-    It keeps the feed and what comes meanwhile. Opened at another upstream,
-    the buyer would miss the prices in between.
+    The link to a keeper breaks, or a home dies, and the keeper stays alive. It
+    keeps the feed open and buffers its events. If the feed were opened at
+    another upstream, the caller would miss these events.
     """
     for seed in range(6):
         dies = seed % 2 == 1
@@ -161,8 +167,10 @@
                 host.view.put(keeper)
             if dies:
                 home.crash()
-                heir = next(h for h in world.list_live_hosts() if h is not home)
-                assert await old.streams[0].hand_over(heir)
+                new_home = next(
+                    h for h in world.list_live_hosts() if h is not home
+                )
+                assert await old.streams[0].hand_over(new_home)
             else:
                 old.cut()
             await trio.sleep(_QUICK_S)
@@ -171,10 +179,11 @@
 
 @trios.clock_test
 async def test_feeds_away_from_home_ask_for_no_acknowledgement() -> None:
-    """The home of a flow moves to a host that this one can't reach.
+    """Guards against removing the feed of a reachable caller.
 
-    Other hosts bring the caller's acknowledgements there. The buyer, who is
-    well and acknowledges all, would be taken for gone.
+    The home of a flow moves to a host that is unreachable from this host. The
+    caller's acknowledgements are relayed to the new home. This host would
+    treat the caller as gone although it acknowledges all messages.
     """
     async with feeds_fakes.run_world() as world:
         home = await _open(world)
@@ -196,9 +205,11 @@
 
 @trios.clock_test
 async def test_feeds_stay_where_a_view_only_flaps() -> None:
-    """A host is suspected dead and refutes it within a second.
+    """Guards against needless hand-overs when a view flaps.
 
-    Without a time to settle its feeds would move to and fro.
+    A host leaves the view for less than a second, as a host does that refutes
+    a suspicion. If views were followed at once, its feeds would move away and
+    back.
     """
     async with feeds_fakes.run_world(*_HOSTS) as world:
         home = await _open(world)
--- a/tests/test_flows/test_flows_feeds_rescue.py
+++ b/tests/test_flows/test_flows_feeds_rescue.py
@@ -1,4 +1,7 @@
-"""Tests of feeds whose home is lost with events that it had not sent."""
+"""Tests of feeds whose home fails with events that it has not sent yet.
+
+The keepers stay alive, so the caller must not miss an event.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from tests.test_flows import rescue_links
 from tests.test_flows import rescue_world
 
-# Hosts take so long to find that one is dead.
+# Time in which hosts detect that another host has died.
 _DETECTION_S = 2.0
 _STABILIZATION_S = 8.0
 _TICK_S = 0.2
@@ -19,7 +22,7 @@
 
 
 async def _publish_until_stable(world: World, seconds: float = 3.0) -> None:
-    """Publishes for a while more, and lets what moves come to rest."""
+    """Publishes more ticks, waits until no feed moves, publishes again."""
     await world.publish_for(seconds)
     await trio.sleep(_STABILIZATION_S)
     await world.publish_for(1.0)
@@ -27,7 +30,7 @@
 
 
 async def _lose_power(world: World, home: str) -> None:
-    """Publishes while a host is silent, until others find it dead."""
+    """Silences a host and publishes ticks until others detect its death."""
     world.set_wires(home, WireState.SILENT)
     await world.publish_for(_DETECTION_S)
     world.end_silent_host(home)
@@ -35,7 +38,7 @@
 
 @trios.clock_test
 async def test_feed_misses_nothing_when_its_home_is_killed() -> None:
-    """A tick that a home was just given dies with it."""
+    """Guards against losing a tick that was sent to a home just killed."""
     async with rescue_world.run_world() as world:
         await world.publish_for(1.0)
         home = world.find_home().name
@@ -50,7 +53,10 @@
 
 @trios.clock_test
 async def test_feed_misses_nothing_when_its_home_loses_power() -> None:
-    """Ten ticks are given to a host that is gone before it is found dead."""
+    """Guards against losing ticks sent to a failed home before detection.
+
+    Ten ticks are sent to the failed host before other hosts detect its death.
+    """
     async with rescue_world.run_world() as world:
         await world.publish_for(1.0)
         home = world.find_home().name
@@ -61,7 +67,11 @@
 
 @trios.clock_test
 async def test_feed_is_whole_when_a_paused_home_comes_back() -> None:
-    """A home that was given up opens its feed beside the one that has it."""
+    """Guards against two homes of one feed after a pause.
+
+    A paused home was declared dead. When it resumes, it would open its feed
+    again although another home has taken it over.
+    """
     async with rescue_world.run_world() as world:
         await world.publish_for(1.0)
         home = world.find_home().name
@@ -79,7 +89,10 @@
 
 @trios.clock_test
 async def test_feed_is_whole_when_two_homes_send_for_a_while() -> None:
-    """A keeper takes a home for dead that still reaches its caller."""
+    """Guards against lost and repeated ticks while two homes send.
+
+    A keeper treats a home as dead that can still reach the caller.
+    """
     async with rescue_world.run_world() as world:
         await world.publish_for(1.0)
         home = world.find_home().name
@@ -92,7 +105,7 @@
 
 @trios.clock_test
 async def test_feed_goes_on_at_its_keeper_when_a_link_breaks() -> None:
-    """Ticks that are on their way when a link breaks are lost with it."""
+    """Guards against losing ticks in flight on a link that breaks."""
     async with rescue_world.run_world() as world:
         await world.publish_for(1.0)
         home = world.find_home().name
@@ -108,9 +121,10 @@
 
 @trios.clock_test
 async def test_registrations_before_a_death_use_no_number_of_an_event() -> None:
-    """A home answers registrations under numbers that the next ticks get.
+    """Guards against Observe numbers that are used twice.
 
-    The caller would take those ticks for old ones.
+    A home answers repeated registrations and uses up numbers for it. If the
+    next ticks got the same numbers, the caller would drop them as outdated.
     """
     async with rescue_world.run_world() as world:
         await world.publish_for(1.0)
@@ -127,9 +141,10 @@
 
 @trios.clock_test
 async def test_registration_at_the_next_home_is_answered() -> None:
-    """A caller registers again at a home that has sent nothing yet.
+    """Guards against a registration that stays unanswered.
 
-    It would wait for the next change of a quiet board.
+    A caller registers again at a new home that has not sent an answer yet. On
+    a board that rarely changes it would wait long for its answer.
     """
     async with rescue_world.run_world() as world:
         await world.publish_for(1.0)
@@ -150,7 +165,10 @@
 async def test_feed_is_whole_when_its_upstream_drains_at_the_same_moment() -> (
     None
 ):
-    """A home dies while it moves its feed to another upstream."""
+    """Guards against lost ticks if a home dies while its feed moves.
+
+    The feed is moving to another upstream, because the present one drains.
+    """
     for number in range(12):
         async with rescue_world.run_world(number) as world:
             await world.publish_for(1.0)
@@ -164,10 +182,12 @@
 
 @trios.clock_test
 async def test_feed_that_just_moved_is_given_on_under_free_numbers() -> None:
-    """A home dies after a move that its new keeper heard nothing of.
+    """Guards against reuse of numbers that the former keeper assigned.
 
-    The former keeper went on meanwhile. The caller drops what the new one
-    gives the next home, if that has numbers which the former one used.
+    A home dies after a move, before its reports reach the new keeper. The
+    former keeper has assigned further numbers meanwhile. If the new keeper
+    sent events with these numbers to the next home, the caller would drop them
+    as outdated.
     """
     async with rescue_world.run_world() as world:
         await world.publish_for(1.5)
@@ -177,7 +197,7 @@
         await trio.sleep(_TICK_S)
         home = world.find_home().name
         world.get_wire(home, "k2").state = WireState.SILENT
-        # They come almost at one moment at the former upstream.
+        # The former upstream publishes these states almost simultaneously.
         for lag_s in (0.801, 0.602, 0.403, 0.204):
             world.lags_s["u1"] = lag_s
             world.publish()
@@ -192,7 +212,11 @@
 async def test_keeper_of_a_broken_link_is_told_that_its_feed_is_elsewhere() -> (
     None
 ):
-    """A feed stays open at an upstream that serves it no more."""
+    """Guards against an observation that stays open after a feed has moved.
+
+    The link to the keeper breaks and the feed moves to another upstream. The
+    keeper has to be notified, or it would keep its observation open.
+    """
     async with rescue_world.run_world() as world:
         home = world.find_home()
         world.get_wire(home.name, "k1").state = WireState.HELD
@@ -207,10 +231,11 @@
 
 @trios.clock_test
 async def test_later_keeper_goes_on_where_an_earlier_one_offers_too() -> None:
-    """A keeper that was cut off from a home still holds its feed.
+    """Guards against resuming a feed from outdated events.
 
-    The home opened it elsewhere and died. What the earlier keeper offers has
-    numbers that the caller takes for old ones.
+    A keeper that lost the link to a home still buffers its feed. The home
+    opened the feed at another upstream and died. The caller drops the events
+    of the earlier keeper as outdated by their numbers.
     """
     for seed in range(6):
         async with rescue_world.run_world(seed) as world:
@@ -232,9 +257,10 @@
 
 @trios.clock_test
 async def test_feed_that_moves_goes_back_when_its_link_breaks() -> None:
-    """A link breaks while its feed waits to move to an upstream ahead.
+    """Guards against lost ticks when a link breaks during a move.
 
-    What the former keeper has yet to give is missing at the new one.
+    The feed waits to move to an upstream that is ahead. The events that the
+    former keeper has not sent yet are not available from the new one.
     """
     async with rescue_world.run_world() as world:
         world.lags_s["u1"] = 0.5
@@ -250,9 +276,11 @@
 
 @trios.clock_test
 async def test_feed_is_whole_when_the_role_of_its_keeper_moves() -> None:
-    """A home dies, and its keeper hands its role on before that is found.
+    """Guards against lost ticks when a home dies and its keeper changes.
 
-    The keeper would refuse the next home, and what it holds is lost.
+    A home dies, and its keeper hands over its role before the death is
+    detected. The keeper would refuse the next home, and the events that it
+    buffers would be lost.
     """
     async with rescue_world.run_world() as world:
         await world.publish_for(1.0)
@@ -269,9 +297,11 @@
 
 @trios.clock_test
 async def test_feed_moves_though_the_home_that_was_asked_died() -> None:
-    """A home is told that an upstream leaves and dies; nobody moves the feed.
+    """Guards against a feed that stays at a draining upstream.
 
-    The word is not given to the next home again.
+    A home is notified that the upstream drains, and dies. The keeper does not
+    repeat the notification to the next home, so the next home has to move the
+    feed itself.
     """
     async with rescue_world.run_world() as world:
         await world.publish_for(1.0)
@@ -288,7 +318,10 @@
 
 @trios.clock_test
 async def test_feed_is_whole_when_its_home_dies_during_a_planned_move() -> None:
-    """A home dies between the messages by which it hands its feed over."""
+    """Guards against lost ticks if a home dies during a hand-over.
+
+    The home dies between the messages by which it hands its feed over.
+    """
     for number in range(12):
         async with rescue_world.run_world(number) as world:
             await world.publish_for(1.0)
@@ -305,9 +338,10 @@
 
 @trios.clock_test
 async def test_states_that_come_back_are_given_again() -> None:
-    """A price goes up and comes back while its home is dead.
+    """Guards against dropping a state that returns to an earlier value.
 
-    A digest would tell that the caller has had it.
+    A price goes up and down again while the home is dead. By its digest alone,
+    the state would be treated as already received.
     """
     async with rescue_world.run_world() as world:
         for state in (b"10", b"11", b"10"):
@@ -326,7 +360,11 @@
 
 @trios.clock_test
 async def test_numbers_come_round_while_a_home_dies() -> None:
-    """Observe numbers have 24 bits; a caller drops what seems to be older."""
+    """Guards against lost ticks when Observe numbers wrap around.
+
+    Observe numbers have 24 bits, and a caller drops a notification whose
+    number appears older.
+    """
     for number in range(4):
         async with rescue_world.run_world(
             first=limits.SEQUENCE_MASK - 16 * (5 + 4 * number)
@@ -341,7 +379,10 @@
 
 @trios.clock_test
 async def test_bodies_in_blocks_are_given_again() -> None:
-    """A link breaks while a keeper fetches the rest of a large state."""
+    """Guards against lost large states.
+
+    A link breaks while a keeper fetches the later blocks of a large state.
+    """
     for number in range(6):
         async with rescue_world.run_world(number) as world:
             home = world.find_home().name
@@ -365,7 +406,11 @@
 
 @trios.clock_test
 async def test_feed_goes_on_while_a_confirmable_message_waits() -> None:
-    """A home dies that waits for an acknowledgement of its caller."""
+    """Guards against lost ticks if a home dies that awaits an acknowledgement.
+
+    The home has sent a confirmable message that the caller has not
+    acknowledged.
+    """
     async with rescue_world.run_world() as world:
         world.caller.acknowledges = False
         home = world.find_home()
@@ -381,9 +426,10 @@
 
 @trios.clock_test
 async def test_feed_that_ends_with_its_home_is_opened_again() -> None:
-    """An upstream ends an observation, and the home dies before it hears.
+    """Guards against a feed that ends without a home.
 
-    No home would know of the feed any more.
+    An upstream ends an observation, and the home dies before the keeper's
+    message arrives. No other home would have the feed.
     """
     async with rescue_world.run_world() as world:
         await world.publish_for(1.0)
--- a/tests/test_flows/test_flows_feeds_rescue_scenarios.py
+++ b/tests/test_flows/test_flows_feeds_rescue_scenarios.py
@@ -1,4 +1,4 @@
-"""Property of feeds whose home is lost while other things change."""
+"""Property test of feeds whose home fails while other changes happen."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 from tests.test_flows import rescue_links
 from tests.test_flows import rescue_world
 
-# Hosts take so long to find that one is dead.
+# Time in which hosts detect that another host has died.
 _DETECTION_S = 2.0
 _STABILIZATION_S = 8.0
 _INTERVALS_S = (0.02, 0.2)
 _PAUSES_S = (0.0, 0.001, 0.002, 0.01, 0.3, 1.2)
-# A course takes too long to be tried again a thousand times: no shrinking.
+# A scenario takes too long for the many repetitions of shrinking, which is
+# therefore disabled.
 _SETTINGS = hypothesis.settings(
     deadline=None,
     derandomize=True,
@@ -31,14 +32,14 @@
 
 
 async def _kill(world: World, home: str) -> None:
-    """Kills a host; others find out later."""
+    """Kills a host; other hosts detect its death later."""
     world.kill(home)
     await trio.sleep(_DETECTION_S)
     world.declare_dead(home)
 
 
 async def _lose_power(world: World, home: str) -> None:
-    """Silences a host for good."""
+    """Silences a host permanently; other hosts detect its death later."""
     world.set_wires(home, WireState.SILENT)
     world.hosts[home].is_up = False
     await trio.sleep(_DETECTION_S)
@@ -46,7 +47,7 @@
 
 
 async def _pause(world: World, home: str) -> None:
-    """Holds a host up until it is given up; then it goes on."""
+    """Pauses a host until it is declared dead, and then resumes it."""
     world.set_wires(home, WireState.HELD)
     await trio.sleep(_DETECTION_S)
     world.declare_dead(home)
@@ -67,7 +68,7 @@
 
 
 async def _move_role(world: World, home: str) -> None:
-    """Has another host keep the upstream that is chosen first."""
+    """Makes another host the keeper of the upstream that is chosen first."""
     await world.move_role("u1")
 
 
@@ -78,7 +79,7 @@
 
 
 async def _stop(world: World, home: str) -> None:
-    """Begins a planned stop of the home's host."""
+    """Starts a planned stop of the home's host."""
     host = world.hosts[home]
     leaving = rescue_world.make_leaving(host.view.self_member)
     for other in world.hosts.values():
@@ -96,7 +97,8 @@
 )
 
 
-# Steps, deaths, interval of ticks and seed of courses that broke feeds.
+# Scenarios in which the caller once missed events: steps with pauses in
+# seconds, failures of homes, interval between ticks in seconds, and seed.
 _REGRESSIONS: tuple[
     tuple[list[tuple[Step, float]], list[Step], float, int], ...
 ] = (
@@ -208,9 +210,10 @@
     interval_s: float,
     seed: int,
 ) -> None:
-    """Homes are lost while upstreams drain, roles move or links break.
+    """Guards against lost, repeated or reordered ticks when homes fail.
 
-    The keepers live, so no tick may be missed, seen twice or out of order.
+    Homes fail while upstreams drain, keeper roles move or links break. The
+    keepers stay alive, so the caller must receive each tick once and in order.
     """
 
     @trios.clock_test
@@ -221,7 +224,7 @@
 
 
 def test_scenarios_that_once_lost_events_deliver_every_event() -> None:
-    """A fault that a course has found comes back."""
+    """Guards against the return of faults that scenarios have found."""
     for steps, deaths, interval_s, seed in _REGRESSIONS:
 
         @trios.clock_test
--- a/tests/test_flows/test_flows_feeds_switchover.py
+++ b/tests/test_flows/test_flows_feeds_switchover.py
@@ -1,4 +1,4 @@
-"""Properties of feeds while upstreams and homes change."""
+"""Property tests of feeds while upstreams and homes change."""
 
 from __future__ import annotations
 
@@ -23,11 +23,13 @@
 _DETECTION_S = 1.0
 _PAUSES_S = (0.0, 0.003, 0.05, 0.3)
 _INTERVALS_S = (0.01, 0.03, 0.1)
-# Homes move 1 s after the view has come to rest, or 5 s after a change.
+# Homes move 1 s after the last change of the view, and at the latest 5 s after
+# the first change.
 _HOME_MOVE_S = 2.5
-# A host that has to wait for its processor passes events on so late.
+# Delay with which a host that waits for CPU time forwards events.
 _SLOW_KEEPER_LAG_S = 0.9
-# A course takes too long to be tried again a thousand times: no shrinking.
+# A scenario takes too long for the many repetitions of shrinking, which is
+# therefore disabled.
 _SETTINGS = hypothesis.settings(
     deadline=None,
     derandomize=True,
@@ -42,7 +44,13 @@
 
 
 class Scenario:
-    """What happens to one feed, step by step."""
+    """A sequence of changes that affect one feed.
+
+    Attributes:
+        world: World of the scenario.
+        tick: Newest state published.
+        ended: True to stop publishing.
+    """
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -52,12 +60,12 @@
             upstream.lag_s = world.random.uniform(0, _SKEW_S)
 
     async def publish(self) -> None:
-        """Publishes a state, each upstream a little apart."""
+        """Publishes a state at each upstream after that upstream's lag."""
         self.tick += 1
         await self.world.publish_with_lags(self.tick)
 
     async def publish_steadily(self) -> None:
-        """Publishes states until the course ends."""
+        """Publishes states until the scenario ends."""
         interval_s = self.world.random.choice(_INTERVALS_S)
         async with trio.open_nursery() as nursery:
             while not self.ended:
@@ -65,47 +73,47 @@
                 await trio.sleep(interval_s)
 
     async def drain_by_keeper(self) -> None:
-        """Has a keeper ask for a move."""
+        """Lets the keeper request a move of the feed."""
         self._find_serving_upstream().send_end(Cause.DRAINING)
 
     async def move_keeper(self) -> None:
-        """Has a keeper hand its role on, told twice."""
+        """Lets the keeper report twice that its role has moved."""
         self._find_serving_upstream().send_end(Cause.MOVED)
         self._find_serving_upstream().send_end(Cause.MOVED)
 
     async def drain_by_contract(self) -> None:
-        """Drains one upstream and takes the others back."""
+        """Drains one upstream and undrains the others."""
         name = self.world.random.choice(feeds_values.UPSTREAMS)
         self.world.set_contract(name)
 
     async def rebalance(self) -> None:
-        """Asks for a gentle move."""
+        """Requests moves that keep the upstream if no other accepts."""
         for host in self.world.hosts.values():
             for name in feeds_values.UPSTREAMS:
                 upstream = ids.UpstreamId(name)
                 await host.feeds.move(feeds_values.SERVICE, upstream, 1)
 
     async def drain_home(self) -> None:
-        """Lets the home leave and one that left come back."""
+        """Sets the home to LEAVING and all other hosts to ALIVE."""
         home = self.world.caller.senders[-1]
         for host in self.world.list_live_hosts():
             state = State.LEAVING if host.name == home else State.ALIVE
             await self.world.spread_member(host.name, state)
 
     async def lose_keeper(self) -> None:
-        """Cuts the links to the keeper that serves."""
+        """Breaks the links to the keeper that serves the feed."""
         self._find_serving_upstream().cut()
 
     async def report_silent_upstream(self) -> None:
-        """Has a keeper find that its upstream went silent."""
+        """Lets the keeper report that its upstream has become silent."""
         self._find_serving_upstream().send_end(Cause.SILENT)
 
     async def lose_observation(self) -> None:
-        """Has an upstream end the observation."""
+        """Lets the keeper report that the upstream ended the observation."""
         self._find_serving_upstream().send_end(Cause.LOST)
 
     async def kill_home(self) -> None:
-        """Kills the home; its keeper hands the feed over, and does so twice."""
+        """Kills the home; its keeper hands the feed over twice."""
         home = self.world.hosts[self.world.caller.senders[-1]]
         stream = self._find_serving_upstream().find_stream()
         others = [h for h in self.world.list_live_hosts() if h is not home]
@@ -114,8 +122,10 @@
         home.crash()
         await trio.sleep(_DETECTION_S)
         await self.world.spread_member(home.name, State.DEAD)
-        for heir in others:
-            if await stream.hand_over(heir) and await stream.hand_over(heir):
+        for new_home in others:
+            if await stream.hand_over(new_home) and await stream.hand_over(
+                new_home
+            ):
                 return
 
     def _find_serving_upstream(self) -> feeds_upstreams.FakeUpstream:
@@ -149,21 +159,21 @@
 
 async def _run_scenario(steps: Steps, seed: int) -> World:
     async with feeds_fakes.run_world(*_HOSTS, seed=seed) as world:
-        course = Scenario(world)
+        scenario = Scenario(world)
         world.find_home().register()
         await trio.sleep(0.1)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(course.publish_steadily)
+            nursery.start_soon(scenario.publish_steadily)
             for step, pause_s in steps:
-                nursery.start_soon(step, course)
+                nursery.start_soon(step, scenario)
                 await trio.sleep(pause_s)
             await trio.sleep(_HOME_MOVE_S)
-            course.ended = True
+            scenario.ended = True
         for _ in range(2):
             await trio.sleep(_STABILIZATION_S)
-            await course.publish()
+            await scenario.publish()
         await trio.sleep(_STABILIZATION_S)
-        assert world.caller.ticks[-1] == course.tick, "stands still"
+        assert world.caller.ticks[-1] == scenario.tick, "feed has stopped"
         assert world.count_feeds() == 1
         assert world.count_streams() == 1
         assert sum(h.chooser.open_count for h in world.list_live_hosts()) == 1
@@ -172,32 +182,33 @@
 
 @trios.clock_test
 async def test_feeds_wait_for_a_keeper_that_is_slow() -> None:
-    """A buyer misses a price while an operator replaces a host.
+    """Guards against a lost event in a planned move from a slow keeper.
 
-    A feed moves as planned. Its former keeper lives, but gets its processor
-    0.9 s late, and the new one already shows the state after the next.
-    Cause: a home that takes the new one for the only one after half a second.
+    A feed moves because an operator replaces a host. The former keeper is
+    alive but gets CPU time 0.9 s late, while the new keeper is already ahead
+    by more than one state. A home that switches to the new keeper after half a
+    second loses the states in between.
     """
     async with feeds_fakes.run_world(*_HOSTS) as world:
-        course = Scenario(world)
+        scenario = Scenario(world)
         for upstream in world.upstreams.values():
             upstream.lag_s = 0.0
         world.find_home().register()
         await trio.sleep(0.1)
-        former = course._find_serving_upstream()
+        former = scenario._find_serving_upstream()
         former.lag_s = _SLOW_KEEPER_LAG_S
         async with trio.open_nursery() as nursery:
             for _ in range(3):
-                nursery.start_soon(course.publish)
+                nursery.start_soon(scenario.publish)
                 await trio.sleep(0.2)
-            await course.drain_by_keeper()
+            await scenario.drain_by_keeper()
             for _ in range(12):
-                nursery.start_soon(course.publish)
+                nursery.start_soon(scenario.publish)
                 await trio.sleep(0.2)
         await trio.sleep(_STABILIZATION_S)
         assert former.find_stream() is None
         ticks = world.caller.ticks
-        assert ticks == list(range(course.tick + 1)), ticks
+        assert ticks == list(range(scenario.tick + 1)), ticks
 
 
 @_SETTINGS
@@ -207,11 +218,11 @@
 def test_feeds_lose_and_repeat_nothing_at_planned_changes(
     steps: Steps, seed: int
 ) -> None:
-    """A buyer watches prices while upstreams and hosts are replaced.
+    """Guards against lost, repeated or reordered events at planned changes.
 
-    Drains, undrains, rebalances and home moves come at any moment and
-    overlap; upstreams publish up to 50 ms apart, and views change unevenly.
-    The buyer would see a price twice, an older one again, or miss one.
+    Drains, undrains, rebalances and moves of the home happen at any time and
+    overlap. Upstreams publish a state up to 50 ms apart, and the views of the
+    hosts change at different times.
     """
 
     @trios.clock_test
@@ -230,12 +241,13 @@
 def test_feeds_never_step_back_and_live_on_through_failures(
     steps: Steps, seed: int
 ) -> None:
-    """A keeper or home dies, or an upstream goes silent.
+    """Guards against older states after newer ones, and against feeds that stop.
 
-    States published while no upstream serves are lost, but the buyer never
-    sees an older price after a newer one, and sees the newest in the end. A
-    home that adopts a feed says the newest price once more: the former one
-    may have died before it did.
+    A keeper or home dies, or an upstream becomes silent. States published
+    while no upstream serves the feed are lost, but the caller must not receive
+    an older state after a newer one and must receive the newest state in the
+    end. A home that adopts a feed sends the newest state again, because the
+    former home may have died before it sent it.
     """
 
     @trios.clock_test
