--- a/benchmarks/feeds.py
+++ b/benchmarks/feeds.py
@@ -237,7 +237,7 @@
         contract.call_classes[0],
         1,
         trio.current_time(),
-        recent=b"1234",
+        recent_digests=b"1234",
         newest_answer=make_answer(),
     )
     upstream = contract.upstreams[number % _UPSTREAMS]
--- a/persimmonhinge/flows/feeds/adoption.py
+++ b/persimmonhinge/flows/feeds/adoption.py
@@ -117,7 +117,7 @@
             confirmed=opened.confirmed if _is_from_keeper(opened) else 0,
             floor=opened.floor,
             reported=opened.last_sequence,
-            recent=digests.join(opened.recent),
+            recent_digests=digests.join(opened.recent),
             is_newest_unconfirmed=not message.prepares,
             served=trio.Event(),
             confirm_at=now + self._context.random.uniform(0, interval_s),
@@ -234,12 +234,16 @@
         feed.prepared = False
         outbox = feed.outbox or []
         unsent = outbox[_count_sent(outbox, sent) :]
-        old_digests = feed.recent
-        feed.recent = sent
+        old_digests = feed.recent_digests
+        feed.recent_digests = sent
         for event in unsent:
-            feed.recent = digests.append(feed.recent, event.digest)
+            feed.recent_digests = digests.append(
+                feed.recent_digests, event.digest
+            )
         if feed.source is not None:
-            _update_replay_position(feed.source, old_digests, feed.recent)
+            _update_replay_position(
+                feed.source, old_digests, feed.recent_digests
+            )
         feed.outbox = unsent
         self._callers.release_answers(feed)
         self._report(feed)
--- a/persimmonhinge/flows/feeds/caller_side.py
+++ b/persimmonhinge/flows/feeds/caller_side.py
@@ -73,7 +73,7 @@
 
         The answer is put into the outbox while answers are held back.
         """
-        feed.recent = digests.append(feed.recent, event.digest)
+        feed.recent_digests = digests.append(feed.recent_digests, event.digest)
         feed.newest_answer = event.answer
         feed.sent_at = trio.current_time()
         if feed.outbox is not None:
--- a/persimmonhinge/flows/feeds/feed.py
+++ b/persimmonhinge/flows/feeds/feed.py
@@ -47,7 +47,8 @@
         reply: State of the reply to the newest request.
         request_id: Message id of the newest request.
         confirmable: True if the newest request was confirmable.
-        recent: Digests of the newest answers; see the module `digests`.
+        recent_digests: Digests of the newest answers, as the module `digests`
+            stores them.
         newest_answer: Newest answer as an encoded CoAP message with its whole
             body; empty before the first answer.
         sent_at: Time at which the newest answer was sent, by trio's clock.
@@ -62,8 +63,9 @@
             are sent at once.
         prepared: True while this host waits for the former home to say which
             answers it has sent.
-        is_newest_unconfirmed: True if the newest answer of `recent` may not
-            have reached the caller, for example because its former home died.
+        is_newest_unconfirmed: True if the newest answer of `recent_digests`
+            may not have reached the caller, for example because its former
+            home died.
         served: Event that is set when an upstream first serves the feed; None
             if no task waits for it.
         confirm_at: Time from which the next notification is sent as a
@@ -84,7 +86,7 @@
     reply: Reply = Reply.DONE
     request_id: int = -1
     confirmable: bool = False
-    recent: bytes = b""
+    recent_digests: bytes = b""
     newest_answer: bytes = b""
     sent_at: float = 0.0
     reported: int = 0
--- a/persimmonhinge/flows/feeds/handover.py
+++ b/persimmonhinge/flows/feeds/handover.py
@@ -23,7 +23,7 @@
 
 logger = logging.getLogger(__name__)
 
-_LEAVE_RETRY_S = 0.2
+_LEAVE_RETRY_INTERVAL_S = 0.2
 
 
 class Handover:
@@ -104,7 +104,7 @@
             for feed in self._context.table:
                 self._misplaced[feed] = None
             await self._hand_over_all()
-            await trio.sleep(_LEAVE_RETRY_S)
+            await trio.sleep(_LEAVE_RETRY_INTERVAL_S)
 
     def _has_other_hosts(self) -> bool:
         view = self._context.view
--- a/persimmonhinge/flows/feeds/open_messages.py
+++ b/persimmonhinge/flows/feeds/open_messages.py
@@ -55,7 +55,7 @@
     keeper that serves the feed now.
     """
     floor = max(feed.floor, feed.sequence)
-    if feed.recent:
+    if feed.recent_digests:
         floor += limits.MOVE_SEQUENCE_MARGIN
     return feeds.FeedOpen(
         feed.flow.service,
@@ -66,7 +66,7 @@
         feed.flow.caller[1],
         feed.token,
         feed.sequence,
-        digests.split(feed.recent),
+        digests.split(feed.recent_digests),
         find_newest_accepted(feed),
         floor,
         resumes,
--- a/persimmonhinge/flows/feeds/reports.py
+++ b/persimmonhinge/flows/feeds/reports.py
@@ -13,7 +13,7 @@
 from persimmonhinge.flows.feeds import limits
 from persimmonhinge.peers.messages import feeds
 
-_PUSH_LIMIT_S = 0.5
+_PUSH_TIMEOUT_S = 0.5
 
 
 class Reports:
@@ -56,7 +56,7 @@
 
     async def _push_within_limit(self, feed: feed_module.Feed) -> None:
         # A blocked link must not delay the reports of other feeds.
-        with trio.move_on_after(_PUSH_LIMIT_S):
+        with trio.move_on_after(_PUSH_TIMEOUT_S):
             try:
                 await self._push(feed)
             except errors.PeerLinkLostError:
@@ -71,7 +71,7 @@
         if feed.outbox is not None:
             # The digests include answers that are held back, not yet sent.
             return
-        recent = digests.split(feed.recent)
+        recent = digests.split(feed.recent_digests)
         feed.reported = max(feed.sequence, feed.confirmed)
         await source.stream.push(
             feeds.FeedAck(feed.sequence, recent, feed.confirmed)
--- a/persimmonhinge/flows/feeds/switchover.py
+++ b/persimmonhinge/flows/feeds/switchover.py
@@ -97,7 +97,10 @@
         self, source: source_module.Source, event: event_module.Event
     ) -> None:
         feed = source.feed
-        if not feed.recent or digests.find(feed.recent, event.digest) >= 0:
+        if (
+            not feed.recent_digests
+            or digests.find(feed.recent_digests, event.digest) >= 0
+        ):
             # Any held events are older than this event and are dropped.
             self._switch(source)
             self._forward(source, event)
@@ -154,7 +157,7 @@
         source.held_events = None
         feed.searching = False
         source.used = True
-        source.replay_position = -1 if feed.recent else None
+        source.replay_position = -1 if feed.recent_digests else None
         if former is not None:
             former.scope.cancel()
             self._context.counts.add("feeds_moved_total")
@@ -181,9 +184,9 @@
         # The upstream publishes in order, so each repeated event is found
         # after the position of the previous one.
         found = digests.find(
-            feed.recent, event.digest, source.replay_position + 1
+            feed.recent_digests, event.digest, source.replay_position + 1
         )
-        is_newest = found == digests.count(feed.recent) - 1
+        is_newest = found == digests.count(feed.recent_digests) - 1
         source.replay_position = None if found < 0 or is_newest else found
         # A former home may have died before it sent the newest event. If that
         # event were dropped, the caller would miss it until the next change.
@@ -199,7 +202,10 @@
         A repeat is forwarded when half of Max-Age has passed, before the
         caller's copy becomes stale (RFC 7641, 1.3).
         """
-        if event.digest != digests.last(feed.recent) or not feed.newest_answer:
+        if (
+            event.digest != digests.last(feed.recent_digests)
+            or not feed.newest_answer
+        ):
             return False
         max_age = caller_side.read_current(feed).opt.max_age
         if max_age is None:
--- a/persimmonhinge/flows/feeds/upstream_side.py
+++ b/persimmonhinge/flows/feeds/upstream_side.py
@@ -327,7 +327,7 @@
         self._broken_links.notify_former_keeper(feed)
         if feed.served is not None:
             feed.served.set()
-        if feed.recent:
+        if feed.recent_digests:
             self.report_soon(feed)
         # The keeper may have requested a move while its stream was still the
         # candidate.
--- a/tests/test_flows/rescue_world.py
+++ b/tests/test_flows/rescue_world.py
@@ -79,7 +79,7 @@
         self.hosts[member.host] = host
         await self.nursery.start(host.run)
 
-    async def move_role(self, upstream: str) -> None:
+    async def move_keeper_role(self, upstream: str) -> None:
         """Makes another host the keeper of an upstream.
 
         Adds a host whose name the placement ranks before the present keeper.
@@ -187,7 +187,7 @@
         for other in self.hosts.values():
             other.update_member(present)
 
-    def keeps_feed(self, name: str) -> bool:
+    def is_keeper_of_feed(self, name: str) -> bool:
         """Returns whether a host is keeper of a feed."""
         return any(load.feeds for load in self.hosts[name].keepers.loads())
 
--- a/tests/test_flows/test_flows_feeds_rescue.py
+++ b/tests/test_flows/test_flows_feeds_rescue.py
@@ -287,7 +287,7 @@
         home = world.find_home().name
         world.set_wires(home, WireState.SILENT)
         await world.publish_for(1.0)
-        await world.move_role("u1")
+        await world.move_keeper_role("u1")
         await world.publish_for(1.0)
         world.end_silent_host(home)
         await _publish_until_stable(world)
--- a/tests/test_flows/test_flows_feeds_rescue_scenarios.py
+++ b/tests/test_flows/test_flows_feeds_rescue_scenarios.py
@@ -67,9 +67,9 @@
     world.set_contract()
 
 
-async def _move_role(world: World, home: str) -> None:
+async def _move_keeper_role(world: World, home: str) -> None:
     """Makes another host the keeper of the upstream that is chosen first."""
-    await world.move_role("u1")
+    await world.move_keeper_role("u1")
 
 
 async def _break_links(world: World, home: str) -> None:
@@ -78,7 +78,7 @@
         other.network.break_links(world.hosts[home].name)
 
 
-async def _stop(world: World, home: str) -> None:
+async def _start_planned_stop(world: World, home: str) -> None:
     """Starts a planned stop of the home's host."""
     host = world.hosts[home]
     leaving = rescue_world.make_leaving(host.view.self_member)
@@ -91,9 +91,9 @@
 _CHANGES: tuple[Step, ...] = (
     _drain_upstream,
     _undrain_upstreams,
-    _move_role,
+    _move_keeper_role,
     _break_links,
-    _stop,
+    _start_planned_stop,
 )
 
 
@@ -114,10 +114,10 @@
         44,
     ),
     ([(_break_links, 0.0)], [_pause], 0.2, 324),
-    ([(_move_role, 0.001), (_break_links, 0.3)], [_kill], 0.02, 369),
+    ([(_move_keeper_role, 0.001), (_break_links, 0.3)], [_kill], 0.02, 369),
     (
         [
-            (_move_role, 0.001),
+            (_move_keeper_role, 0.001),
             (_break_links, 1.2),
             (_undrain_upstreams, 1.2),
         ],
@@ -126,34 +126,65 @@
         480,
     ),
     (
-        [(_stop, 0.01), (_drain_upstream, 0.001), (_break_links, 0.002)],
+        [
+            (_start_planned_stop, 0.01),
+            (_drain_upstream, 0.001),
+            (_break_links, 0.002),
+        ],
         [_kill],
         0.02,
         44,
     ),
-    ([(_stop, 0.01), (_move_role, 0.002)], [_lose_power], 0.02, 135),
     (
-        [(_stop, 0.001), (_move_role, 0.0), (_drain_upstream, 0.001)],
+        [(_start_planned_stop, 0.01), (_move_keeper_role, 0.002)],
+        [_lose_power],
+        0.02,
+        135,
+    ),
+    (
+        [
+            (_start_planned_stop, 0.001),
+            (_move_keeper_role, 0.0),
+            (_drain_upstream, 0.001),
+        ],
         [_pause],
         0.2,
         504,
     ),
     (
-        [(_stop, 0.001), (_move_role, 0.0), (_break_links, 0.002)],
+        [
+            (_start_planned_stop, 0.001),
+            (_move_keeper_role, 0.0),
+            (_break_links, 0.002),
+        ],
         [_lose_power],
         0.2,
         643,
     ),
     (
-        [(_stop, 0.01), (_break_links, 0.002)],
+        [(_start_planned_stop, 0.01), (_break_links, 0.002)],
         [_pause, _pause],
         0.02,
         262,
     ),
-    ([(_break_links, 1.2), (_stop, 0.001)], [_kill, _kill], 0.2, 579),
-    ([(_stop, 0.002), (_move_role, 0.001)], [_pause, _kill], 0.02, 7065),
     (
-        [(_drain_upstream, 1.2), (_stop, 0.001), (_break_links, 0.002)],
+        [(_break_links, 1.2), (_start_planned_stop, 0.001)],
+        [_kill, _kill],
+        0.2,
+        579,
+    ),
+    (
+        [(_start_planned_stop, 0.002), (_move_keeper_role, 0.001)],
+        [_pause, _kill],
+        0.02,
+        7065,
+    ),
+    (
+        [
+            (_drain_upstream, 1.2),
+            (_start_planned_stop, 0.001),
+            (_break_links, 0.002),
+        ],
         [_pause, _kill],
         0.2,
         674,
@@ -177,7 +208,7 @@
                 await step(world, home)
                 await trio.sleep(pause_s)
             for death in deaths:
-                if not world.keeps_feed(home):
+                if not world.is_keeper_of_feed(home):
                     await death(world, home)
                 await trio.sleep(1.0)
                 home = world.find_home().name
--- a/tests/test_flows/test_flows_feeds_switchover.py
+++ b/tests/test_flows/test_flows_feeds_switchover.py
@@ -18,7 +18,7 @@
 from tests.test_flows import feeds_world
 
 _HOSTS = ("h1", "h2", "h3")
-_SKEW_S = 0.05
+_MAX_LAG_S = 0.05
 _STABILIZATION_S = 12.0
 _DETECTION_S = 1.0
 _PAUSES_S = (0.0, 0.003, 0.05, 0.3)
@@ -57,7 +57,7 @@
         self.tick = 0
         self.ended = False
         for upstream in world.upstreams.values():
-            upstream.lag_s = world.random.uniform(0, _SKEW_S)
+            upstream.lag_s = world.random.uniform(0, _MAX_LAG_S)
 
     async def publish(self) -> None:
         """Publishes a state at each upstream after that upstream's lag."""
@@ -241,7 +241,7 @@
 def test_feeds_never_step_back_and_live_on_through_failures(
     steps: Steps, seed: int
 ) -> None:
-    """Guards against older states after newer ones, and against feeds that stop.
+    """Guards against reordered events and stopped feeds after failures.
 
     A keeper or home dies, or an upstream becomes silent. States published
     while no upstream serves the feed are lost, but the caller must not receive
