--- a/persimmonhinge/flows/feeds/adoption.py
+++ b/persimmonhinge/flows/feeds/adoption.py
@@ -189,10 +189,10 @@
         If the former home dies between its two messages, no other host may
         know of the feed, and the caller would wait for events forever.
         """
-        expire = functools.partial(
+        handle_missing = functools.partial(
             self._handle_missing_commit, feed, feed.outbox, former
         )
-        self._context.timers.call_after(limits.COMMIT_TIMEOUT_S, expire)
+        self._context.timers.call_after(limits.COMMIT_TIMEOUT_S, handle_missing)
 
     def _handle_missing_commit(
         self,
@@ -259,8 +259,9 @@
 ) -> int:
     """Returns the highest sequence number that another home may have used.
 
-    If a keeper's events are not newer than those confirmed here, their numbers
-    are below the numbers of this feed, and the result is 0.
+    The numbers that a keeper assigned before the feed was opened at another
+    upstream are below the numbers that the feed has used there, so the result
+    is 0 for such a keeper.
     """
     if not _is_from_keeper(opened):
         return opened.last_sequence
--- a/persimmonhinge/flows/feeds/handover.py
+++ b/persimmonhinge/flows/feeds/handover.py
@@ -162,12 +162,12 @@
 
     async def _hand_over_all(self) -> None:
         async with self._lock:
-            work = iter(list(self._misplaced))
+            pending = iter(list(self._misplaced))
             failed: set[ids.HostId] = set()
             workers = min(limits.MAX_CONCURRENT_HANDOVERS, len(self._misplaced))
             async with trio.open_nursery() as nursery:
                 for _ in range(workers):
-                    nursery.start_soon(self._hand_over_each, work, failed)
+                    nursery.start_soon(self._hand_over_each, pending, failed)
 
     async def _hand_over_each(
         self, pending: Iterator[feed_module.Feed], failed: set[ids.HostId]
--- a/persimmonhinge/flows/feeds/limits.py
+++ b/persimmonhinge/flows/feeds/limits.py
@@ -79,9 +79,9 @@
 # it, the former home is assumed to have died between the two messages. The
 # time is longer than a slow second message takes.
 COMMIT_TIMEOUT_S = 5.0
-# Time for which the new home then tries to hand the feed over to the host that
-# the placement names, before it sends the held answers itself. It is longer
-# than hosts take to detect that a host has died.
+# Time after `COMMIT_TIMEOUT_S` for which a new home tries to hand the feed over
+# to the host that the placement names as home, before it sends the held answers
+# itself. It is longer than hosts take to detect that a host has died.
 UNCOMMITTED_RELEASE_DELAY_S = 2.4
 # Fraction of the time limit of a planned stop after which the remaining feeds
 # are ended.
--- a/persimmonhinge/flows/feeds/switchover.py
+++ b/persimmonhinge/flows/feeds/switchover.py
@@ -131,9 +131,9 @@
         source = feed.candidate
         if source is None or not source.held_events:
             return
-        for place, held in enumerate(source.held_events):
+        for position, held in enumerate(source.held_events):
             if held.digest == event.digest:
-                del source.held_events[: place + 1]
+                del source.held_events[: position + 1]
                 self._finish_wait(source)
                 return
 
