--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -126,7 +126,7 @@
     """Waits until each host believes that all live."""
     with trio.fail_after(_SETTLE_LIMIT_S):
         while not all(
-            len(host.view.role_takers()) == len(running) for host in running
+            len(host.view.role_candidates()) == len(running) for host in running
         ):
             await trio.sleep(0.05)
 
@@ -189,7 +189,7 @@
     view = make_view(count, _DESIGN_DOMAINS)
     table = tables.Table(3600.0, time.monotonic)
     for member in view.all():
-        table.offer(records.Record.from_member(member))
+        table.merge_record(records.Record.from_member(member))
     placement = placements.Placement(view)
     placement.rank_homes(ids.ServiceName("s"), ("10.0.0.1", 1))
     memory, _ = tracemalloc.get_traced_memory()
--- a/persimmonhinge/contracts/partners.py
+++ b/persimmonhinge/contracts/partners.py
@@ -107,7 +107,7 @@
         return [
             m.host
             for m in self._view.all()
-            if m.answers and m.host != self._view.me
+            if m.is_alive and m.host != self._view.me
         ]
 
     def _sample(self, hosts: list[ids.HostId], most: int) -> list[ids.HostId]:
--- a/persimmonhinge/flows/chooser.py
+++ b/persimmonhinge/flows/chooser.py
@@ -150,7 +150,7 @@
             polled: set[ids.HostId] = set()
             while True:
                 version = self._view.changed.version
-                for member in self._view.role_takers():
+                for member in self._view.role_candidates():
                     if member.host not in polled:
                         polled.add(member.host)
                         nursery.start_soon(
@@ -163,7 +163,7 @@
     ) -> None:
         while True:
             member = self._view.get(host)
-            if member is None or not member.answers:
+            if member is None or not member.is_alive:
                 polled.discard(host)
                 return
             await self._query_load(host)
--- a/persimmonhinge/flows/feeds/broken_links.py
+++ b/persimmonhinge/flows/feeds/broken_links.py
@@ -42,7 +42,7 @@
         if lost is None or feed.source is not None or search.asked is lost:
             return
         search.asked = lost
-        if self._around.view.find_ref(lost.keeper_ref) is not None:
+        if self._around.view.find_by_ref(lost.keeper_ref) is not None:
             search.preferred = port.Choice(
                 lost.upstream, lost.keeper, lost.keeper_ref
             )
--- a/persimmonhinge/flows/feeds/handover.py
+++ b/persimmonhinge/flows/feeds/handover.py
@@ -64,7 +64,7 @@
         self, caller: networks.Caller, message: messages.FeedAdopt
     ) -> messages.Adopted:
         """Answers a host that hands a feed over."""
-        if self._leaving or not self._around.view.self_member.takes_roles:
+        if self._leaving or not self._around.view.self_member.accepts_roles:
             return messages.Adopted(False)
         feed = await self._adoption.take(caller.host, message)
         if feed is None:
@@ -106,7 +106,7 @@
 
     def _has_other_hosts(self) -> bool:
         view = self._around.view
-        return any(m.host != view.me for m in view.role_takers())
+        return any(m.host != view.me for m in view.role_candidates())
 
     def _retry_delay(self) -> float:
         spread = self._around.random.uniform(0.5, 1.5)
--- a/persimmonhinge/flows/feeds/watches.py
+++ b/persimmonhinge/flows/feeds/watches.py
@@ -54,7 +54,7 @@
         version = -1
         while True:
             version = await view.changed.wait_beyond(version)
-            present = {m.ref for m in view.all() if m.answers}
+            present = {m.ref for m in view.all() if m.is_alive}
             if known - present:
                 await self._leave_keepers(known - present)
             known = present
--- a/persimmonhinge/flows/liveness.py
+++ b/persimmonhinge/flows/liveness.py
@@ -46,7 +46,7 @@
         for member in self._view.all():
             if member.ref != keeper:
                 continue
-            if member.answers:
+            if member.is_alive:
                 return Liveness.ALIVE
             if (
                 self._is_domain_unreachable(member.domain)
@@ -57,7 +57,7 @@
 
     def _is_domain_unreachable(self, domain: ids.DomainId) -> bool:
         return not any(
-            member.domain == domain and member.answers
+            member.domain == domain and member.is_alive
             for member in self._view.all()
         )
 
@@ -70,6 +70,6 @@
         own_domain = self._view.self_member.domain
         if all(member.domain == own_domain for member in self._view.all()):
             return False
-        return self._view.silence.is_recent(
+        return self._view.isolation.was_recently_isolated(
             trio.current_time(), PARTITION_RECOVERY_S
         )
--- a/persimmonhinge/flows/non_idempotent.py
+++ b/persimmonhinge/flows/non_idempotent.py
@@ -242,7 +242,7 @@
         """
         if self._mint.is_own(ticket.home):
             return None
-        if self._view.find_ref(ticket.home) is None:
+        if self._view.find_by_ref(ticket.home) is None:
             return None
         self._counts.add("home_elsewhere_total")
         return no_reply.NoReply()
--- a/persimmonhinge/flows/recovery.py
+++ b/persimmonhinge/flows/recovery.py
@@ -194,7 +194,7 @@
             None if no host answers for the keeper.
         """
         message = _build_query(request, keeper)
-        member = self._view.find_ref(keeper)
+        member = self._view.find_by_ref(keeper)
         if member is not None:
             result = await self._query_host(
                 member.host, message, request.deadline
--- a/persimmonhinge/flows/router.py
+++ b/persimmonhinge/flows/router.py
@@ -126,7 +126,7 @@
         if echo is None:
             return None
         ref = self._mint.read_home(echo, flow)
-        member = self._view.find_ref(ref) if ref is not None else None
+        member = self._view.find_by_ref(ref) if ref is not None else None
         return member.host if member else None
 
     def _make_relay(self, flow: port.Flow, data: bytes) -> relay.Relay:
--- a/persimmonhinge/membership/budgets.py
+++ b/persimmonhinge/membership/budgets.py
@@ -9,7 +9,7 @@
     """A token bucket: so many octets at once, and so many a second."""
 
     def __init__(
-        self, octets_per_s: float, most: float, now: Callable[[], float]
+        self, octets_per_s: float, max_octets: float, now: Callable[[], float]
     ) -> None:
         """Makes a full bucket.
 
@@ -19,18 +19,20 @@
             now: Returns the monotonic time, seconds.
         """
         self._octets_per_s = octets_per_s
-        self._most = most
+        self._max_octets = max_octets
         self._now = now
-        self._left = most
+        self._remaining_octets = max_octets
         self._filled_at = now()
 
-    def take(self, octets: int) -> bool:
+    def try_spend(self, octets: int) -> bool:
         """Takes octets out; False, and none taken, if there are too few."""
         now = self._now()
         added = (now - self._filled_at) * self._octets_per_s
-        self._left = min(self._most, self._left + added)
+        self._remaining_octets = min(
+            self._max_octets, self._remaining_octets + added
+        )
         self._filled_at = now
-        if self._left < octets:
+        if self._remaining_octets < octets:
             return False
-        self._left -= octets
+        self._remaining_octets -= octets
         return True
--- a/persimmonhinge/membership/channel.py
+++ b/persimmonhinge/membership/channel.py
@@ -6,9 +6,9 @@
 import logging
 
 from persimmonhinge import ids
-from persimmonhinge.membership import codec as codecs
-from persimmonhinge.membership import roster as rosters
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.membership import codec as codec_module
+from persimmonhinge.membership import roster as roster_module
+from persimmonhinge.metrics import counts as counts_module
 from persimmonhinge.peers import network
 from persimmonhinge.peers.messages import base
 
@@ -21,9 +21,9 @@
     def __init__(
         self,
         datagrams: network.Datagrams,
-        codec: codecs.DatagramCodec,
-        roster: rosters.Roster,
-        counts: host_counts.Counts,
+        codec: codec_module.DatagramCodec,
+        roster: roster_module.Roster,
+        counts: counts_module.Counts,
     ) -> None:
         """Takes over a datagram port."""
         self._datagrams = datagrams
@@ -36,7 +36,7 @@
         message: base.Message,
         address: tuple[str, int],
         *,
-        about: ids.HostId | None = None,
+        recipient: ids.HostId | None = None,
     ) -> None:
         """Sends a message with the own record and some news.
 
@@ -48,9 +48,11 @@
             address: Where to.
             about: The host that is there, if known.
         """
-        rumors = self._roster.gossip.take(about=about)
+        rumors = self._roster.gossip.choose_records(recipient=recipient)
         sender = self._roster.identity.record
-        data = self._codec.encode(codecs.Letter(sender, rumors, message))
+        data = self._codec.encode(
+            codec_module.Heartbeat(sender, rumors, message)
+        )
         try:
             await self._datagrams.send(data, address)
         except OSError as error:
@@ -62,14 +64,14 @@
 
     async def receive(
         self,
-    ) -> AsyncIterator[tuple[codecs.Letter, tuple[str, int]]]:
+    ) -> AsyncIterator[tuple[codec_module.Heartbeat, tuple[str, int]]]:
         """Yields the letters that arrive; refused ones are counted."""
         async for data, source in self._datagrams:
             self._counts.add("heartbeat_datagrams_received_total")
             self._counts.add("heartbeat_octets_received_total", len(data))
             try:
                 letter = self._codec.decode(data)
-            except codecs.RefusedDatagramError as error:
+            except codec_module.RefusedDatagramError as error:
                 self._counts.add(
                     "heartbeat_datagrams_refused_total", cause=error.cause.value
                 )
--- a/persimmonhinge/membership/codec.py
+++ b/persimmonhinge/membership/codec.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from persimmonhinge import errors
-from persimmonhinge.membership import messages as _messages  # Registers kinds.
-from persimmonhinge.membership import record as records
+from persimmonhinge.membership import messages  # Registers kinds.
+from persimmonhinge.membership import record as record_module
 from persimmonhinge.peers.messages import base
 
 MAX_DATAGRAM_OCTETS = 1400
@@ -19,7 +19,7 @@
 _SIGNED = b"\x02"
 _TAG_OCTETS = 16
 
-assert _messages is not None
+assert messages is not None
 
 
 class RefusalCause(enum.Enum):
@@ -51,13 +51,13 @@
 
 class _Envelope(msgspec.Struct, array_like=True, frozen=True):
     kind: str
-    sender: records.Record
-    rumors: tuple[records.Record, ...]
+    sender: record_module.Record
+    other_records: tuple[record_module.Record, ...]
     body: msgspec.Raw
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Letter:
+class Heartbeat:
     """One datagram, read.
 
     Attributes:
@@ -66,8 +66,8 @@
         message: The message; None if its kind is of a newer version.
     """
 
-    sender: records.Record
-    rumors: tuple[records.Record, ...]
+    sender: record_module.Record
+    other_records: tuple[record_module.Record, ...]
     message: base.Message | None
 
 
@@ -78,23 +78,23 @@
         """Takes the secret; None for open heartbeats."""
         self._secret = secret
         self._encoder = msgspec.msgpack.Encoder()
-        self._envelopes = msgspec.msgpack.Decoder(_Envelope)
+        self._envelope_decoder = msgspec.msgpack.Decoder(_Envelope)
 
-    def encode(self, letter: Letter) -> bytes:
+    def encode(self, heartbeat: Heartbeat) -> bytes:
         """Returns a datagram; its message is not None."""
-        assert letter.message is not None
+        assert heartbeat.message is not None
         envelope = _Envelope(
-            base.get_kind(letter.message),
-            letter.sender,
-            letter.rumors,
-            msgspec.Raw(self._encoder.encode(letter.message)),
+            base.get_kind(heartbeat.message),
+            heartbeat.sender,
+            heartbeat.other_records,
+            msgspec.Raw(self._encoder.encode(heartbeat.message)),
         )
         payload = self._encoder.encode(envelope)
         if self._secret is None:
             return _PLAIN + payload
         return _SIGNED + self._sign(payload) + payload
 
-    def decode(self, data: bytes) -> Letter:
+    def decode(self, data: bytes) -> Heartbeat:
         """Returns what a datagram holds.
 
         Raises:
@@ -102,9 +102,9 @@
         """
         if len(data) > MAX_DATAGRAM_OCTETS:
             raise RefusedDatagramError(RefusalCause.TOO_LONG)
-        payload = self._open(data)
+        payload = self._verify_payload(data)
         try:
-            envelope = self._envelopes.decode(payload)
+            envelope = self._envelope_decoder.decode(payload)
             message_type = base.find_type(envelope.kind)
             message = None
             if message_type is not None:
@@ -113,13 +113,13 @@
                 )
         except (msgspec.MsgspecError, RecursionError) as error:
             raise RefusedDatagramError(RefusalCause.MALFORMED) from error
-        return Letter(envelope.sender, envelope.rumors, message)
+        return Heartbeat(envelope.sender, envelope.other_records, message)
 
-    def measure(self, record: records.Record) -> int:
+    def measure(self, record: record_module.Record) -> int:
         """Returns the octets that a record takes in a datagram."""
         return len(self._encoder.encode(record))
 
-    def _open(self, data: bytes) -> bytes:
+    def _verify_payload(self, data: bytes) -> bytes:
         if self._secret is None:
             if data[:1] != _PLAIN:
                 raise RefusedDatagramError(RefusalCause.MALFORMED)
--- a/persimmonhinge/membership/contacts.py
+++ b/persimmonhinge/membership/contacts.py
@@ -10,15 +10,15 @@
 import trio
 
 from persimmonhinge import ids
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import roster as rosters
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.membership import member as member_module
+from persimmonhinge.membership import roster as roster_module
+from persimmonhinge.settings import entry
 
-PlatformHosts = Callable[[], Iterable[settings_entry.SeedHost]]
+PlatformHosts = Callable[[], Iterable[entry.SeedHost]]
 
-_MAX_AT_ONCE = 3
-_MAX_WAIT_S = 10.0
-_REFRESH_S = 1.0
+_MAX_CONTACTS_PER_CALL = 3
+_MAX_RETRY_WAIT_S = 10.0
+_REFRESH_INTERVAL_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Retry:
-    due: float
+    due_at: float
     wait_s: float
 
 
@@ -51,8 +51,8 @@
 
     def __init__(
         self,
-        settings: settings_entry.EntrySettings,
-        roster: rosters.Roster,
+        settings: entry.EntrySettings,
+        roster: roster_module.Roster,
         platform_hosts: PlatformHosts,
         randomness: random.Random,
     ) -> None:
@@ -70,31 +70,33 @@
         self._platform_hosts = platform_hosts
         self._randomness = randomness
         self._retries: dict[Contact, _Retry] = {}
-        self._refresh_due = 0.0
+        self._refresh_due_at = 0.0
 
-    def take_due(self) -> list[Contact]:
+    def select_due(self) -> list[Contact]:
         """Returns a few contacts to ping now."""
         now = trio.current_time()
-        if now >= self._refresh_due:
-            self._refresh_due = now + _REFRESH_S
+        if now >= self._refresh_due_at:
+            self._refresh_due_at = now + _REFRESH_INTERVAL_S
             self._refresh()
-        due = [c for c, retry in self._retries.items() if retry.due <= now]
-        count = min(_MAX_AT_ONCE, len(due))
+        due = [c for c, retry in self._retries.items() if retry.due_at <= now]
+        count = min(_MAX_CONTACTS_PER_CALL, len(due))
         chosen = self._randomness.sample(due, count)
         for contact in chosen:
-            self._put_off(self._retries[contact])
+            self._schedule_retry(self._retries[contact])
         return chosen
 
-    def hurry(self) -> None:
+    def retry_soon(self) -> None:
         """Tries all soon: one that was dead is back, so may be others."""
         for retry in self._retries.values():
             retry.wait_s = self._first_wait_s
-            retry.due = min(retry.due, trio.current_time() + self._first_wait_s)
+            retry.due_at = min(
+                retry.due_at, trio.current_time() + self._first_wait_s
+            )
 
-    def _put_off(self, retry: _Retry) -> None:
+    def _schedule_retry(self, retry: _Retry) -> None:
         jitter = self._randomness.uniform(0.5, 1.5)
-        retry.due = trio.current_time() + retry.wait_s * jitter
-        retry.wait_s = min(_MAX_WAIT_S, retry.wait_s * 2)
+        retry.due_at = trio.current_time() + retry.wait_s * jitter
+        retry.wait_s = min(_MAX_RETRY_WAIT_S, retry.wait_s * 2)
 
     def _refresh(self) -> None:
         wanted = self._find_contacts()
@@ -108,17 +110,19 @@
 
     def _find_contacts(self) -> dict[Contact, None]:
         """Returns the contacts as keys, in an order that repeats."""
-        found = {_contact_of_member(m): None for m in self._roster.dead()}
+        found = {
+            _make_member_contact(m): None for m in self._roster.dead_members()
+        }
         for hint in (*self._seeds, *self._platform_hosts()):
-            contact = _contact_of_hint(hint)
-            if not self._roster.lives(contact.host):
+            contact = _make_seed_contact(hint)
+            if not self._roster.is_alive(contact.host):
                 found[contact] = None
         return found
 
 
-def _contact_of_member(member: members.Member) -> Contact:
+def _make_member_contact(member: member_module.Member) -> Contact:
     return Contact(member.host, (member.address, member.heartbeat_port))
 
 
-def _contact_of_hint(hint: settings_entry.SeedHost) -> Contact:
+def _make_seed_contact(hint: entry.SeedHost) -> Contact:
     return Contact(ids.HostId(hint.host), (hint.address, hint.heartbeat_port))
--- a/persimmonhinge/membership/identity.py
+++ b/persimmonhinge/membership/identity.py
@@ -9,16 +9,16 @@
 
 from persimmonhinge import errors
 from persimmonhinge import ids
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import pauses as pause_watches
-from persimmonhinge.membership import record as records
+from persimmonhinge.membership import member
+from persimmonhinge.membership import pauses as pauses_module
+from persimmonhinge.membership import record as record_module
 
 logger = logging.getLogger(__name__)
 
-_DOUBTS = (records.Claim.SUSPECT, records.Claim.DEAD)
+_REFUTABLE_CLAIMS = (record_module.Claim.SUSPECT, record_module.Claim.DEAD)
 
 # Called with the former and the new self.
-IncarnationHook = Callable[[members.Member, members.Member], None]
+IncarnationHook = Callable[[member.Member, member.Member], None]
 
 
 class NameTakenError(errors.PeerError):
@@ -36,9 +36,9 @@
 
     def __init__(
         self,
-        me: members.Member,
-        pauses: pause_watches.PauseWatch,
-        death_s: float,
+        me: member.Member,
+        pauses: pauses_module.PauseDetector,
+        min_death_s: float,
         wall_ms: Callable[[], int],
     ) -> None:
         """Makes the record of a host that starts.
@@ -49,10 +49,10 @@
             death_s: No shorter silence makes peers declare a host dead.
             wall_ms: Returns the wall clock, milliseconds.
         """
-        self.record = records.Record.from_member(me)
-        self.settled = False
+        self.record = record_module.Record.from_member(me)
+        self.is_synchronized = False
         self._pauses = pauses
-        self._death_s = death_s
+        self._min_death_s = min_death_s
         self._wall_ms = wall_ms
         self._hooks: list[IncarnationHook] = []
 
@@ -60,13 +60,13 @@
         """Has a function called at each new incarnation."""
         self._hooks.append(hook)
 
-    def say(self, claim: records.Claim) -> None:
+    def set_claim(self, claim: record_module.Claim) -> None:
         """Says something new of this host, on a new version."""
         self.record = msgspec.structs.replace(
             self.record, claim=claim, version=self.record.version + 1
         )
 
-    def hear(self, record: records.Record) -> bool:
+    def handle_record(self, record: record_module.Record) -> bool:
         """Hears what a peer believes of this host and answers to it.
 
         A doubt is refuted by a higher version. A host that was paused for
@@ -84,37 +84,39 @@
         Raises:
             NameTakenError: Another process started later under this name.
         """
-        if record.order <= self.record.order:
+        if record.precedence <= self.record.precedence:
             return False
         if record.incarnation > self.record.incarnation:
-            self._meet_namesake(record)
-        elif record.claim in _DOUBTS and self._was_away():
+            self._resolve_name_conflict(record)
+        elif record.claim in _REFUTABLE_CLAIMS and self._was_paused_too_long():
             logger.warning("Peers gave this host up while it was paused.")
-            self.take_incarnation(record.incarnation)
+            self.start_incarnation(record.incarnation)
         else:
             self.record = msgspec.structs.replace(
                 self.record, version=record.version + 1
             )
         return True
 
-    def take_incarnation(self, above: ids.Incarnation) -> None:
+    def start_incarnation(self, known_incarnation: ids.Incarnation) -> None:
         """Becomes a new incarnation, above an earlier one of this name."""
         former = self.record
-        incarnation = max(self._wall_ms(), above + 1, former.incarnation + 1)
+        incarnation = max(
+            self._wall_ms(), known_incarnation + 1, former.incarnation + 1
+        )
         self.record = msgspec.structs.replace(
             former, incarnation=ids.Incarnation(incarnation), version=0
         )
         self._pauses.clear()
         logger.info("New incarnation %d of this host.", incarnation)
-        before = former.to_member(records.STATES[former.claim])
-        after = self.record.to_member(records.STATES[former.claim])
+        before = former.to_member(record_module.STATES[former.claim])
+        after = self.record.to_member(record_module.STATES[former.claim])
         for hook in self._hooks:
             hook(before, after)
 
-    def _was_away(self) -> bool:
-        return self._pauses.longest_s >= self._death_s
+    def _was_paused_too_long(self) -> bool:
+        return self._pauses.longest_pause_s >= self._min_death_s
 
-    def _meet_namesake(self, record: records.Record) -> None:
+    def _resolve_name_conflict(self, record: record_module.Record) -> None:
         """Tells a former process of this name from one that replaced this.
 
         A former one is met while this host starts, holds the same port, or
@@ -123,12 +125,12 @@
         two hosts that outbid each other would move each role for ever.
         """
         same_port = record.heartbeat_address == self.record.heartbeat_address
-        dead = record.claim is records.Claim.DEAD
-        if self.settled and not same_port and not dead:
+        dead = record.claim is record_module.Claim.DEAD
+        if self.is_synchronized and not same_port and not dead:
             address, port = record.heartbeat_address
             raise NameTakenError(
                 f"another process has the name {record.host}",
                 step="keep membership",
                 peer=f"{address}:{port}",
             )
-        self.take_incarnation(record.incarnation)
+        self.start_incarnation(record.incarnation)
--- a/persimmonhinge/membership/silence.py
+++ b/persimmonhinge/membership/isolation.py
@@ -5,7 +5,7 @@
 import math
 
 
-class Silence:
+class IsolationDetector:
     """Notices when nothing came from any other host for a while.
 
     Deaths are concluded one after the other, each from its own silence; that
@@ -18,23 +18,23 @@
 
     def __init__(self) -> None:
         self.limit_s = math.inf
-        self._heard_at = math.inf
+        self._last_received_at = math.inf
         self._ended_at = -math.inf
 
-    def note_heard(self, now: float) -> None:
+    def record_datagram(self, now: float) -> None:
         """Takes in that a datagram of another host has come."""
-        if self._is_silent(now):
+        if self._is_isolated(now):
             self._ended_at = now
-        self._heard_at = now
+        self._last_received_at = now
 
-    def is_recent(self, now: float, within_s: float) -> bool:
+    def was_recently_isolated(self, now: float, within_s: float) -> bool:
         """Tells whether there is silence now, or was until a moment ago.
 
         Args:
             now: The time, seconds.
             within_s: How long ago it may have ended, seconds.
         """
-        return self._is_silent(now) or now - self._ended_at < within_s
+        return self._is_isolated(now) or now - self._ended_at < within_s
 
-    def _is_silent(self, now: float) -> bool:
-        return now - self._heard_at > self.limit_s
+    def _is_isolated(self, now: float) -> bool:
+        return now - self._last_received_at > self.limit_s
--- a/persimmonhinge/membership/member.py
+++ b/persimmonhinge/membership/member.py
@@ -53,12 +53,12 @@
         return compute_ref(self.host, self.incarnation)
 
     @property
-    def takes_roles(self) -> bool:
+    def accepts_roles(self) -> bool:
         """True if it may be a home or a keeper."""
         return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
     @property
-    def answers(self) -> bool:
+    def is_alive(self) -> bool:
         """True if peers may still talk to it."""
         return self.state is not MemberState.DEAD
 
--- a/persimmonhinge/membership/messages.py
+++ b/persimmonhinge/membership/messages.py
@@ -72,7 +72,7 @@
     """
 
     records: tuple[records.Record, ...] = ()
-    wanted: bytes = b""
+    requested_buckets: bytes = b""
     equal: bool = False
 
 
--- a/persimmonhinge/membership/parts.py
+++ b/persimmonhinge/membership/parts.py
@@ -8,30 +8,30 @@
 
 import trio
 
-from persimmonhinge.membership import channel as channels
-from persimmonhinge.membership import codec as codecs
-from persimmonhinge.membership import contacts as contact_lists
-from persimmonhinge.membership import doubts as doubting
-from persimmonhinge.membership import exchange as exchanges
-from persimmonhinge.membership import gossip as gossips
-from persimmonhinge.membership import identity as identities
-from persimmonhinge.membership import pauses as pause_watches
-from persimmonhinge.membership import probes as probing
-from persimmonhinge.membership import ring as rings
-from persimmonhinge.membership import roster as rosters
-from persimmonhinge.membership import table as tables
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.membership import channel as channel_module
+from persimmonhinge.membership import codec as codec_module
+from persimmonhinge.membership import contacts as contacts_module
+from persimmonhinge.membership import exchange as exchange_module
+from persimmonhinge.membership import gossip as gossip_module
+from persimmonhinge.membership import identity as identity_module
+from persimmonhinge.membership import pauses as pauses_module
+from persimmonhinge.membership import probe_ring
+from persimmonhinge.membership import probes as probes_module
+from persimmonhinge.membership import roster as roster_module
+from persimmonhinge.membership import suspicions as suspicions_module
+from persimmonhinge.membership import table as table_module
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
 from persimmonhinge.peers import network
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.settings import entry
 
 # Peers give a host up within one suspicion time after its pause, and tell it
 # so in their next datagrams. A pause is remembered for so many of these times.
-_PAUSE_SUSPICIONS = 3
+_PAUSE_RETENTION_SUSPICIONS = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Surroundings:
+class HostContext:
     """What membership is given by the host that it runs in.
 
     Attributes:
@@ -42,10 +42,10 @@
         randomness: Source of choices.
     """
 
-    settings: settings_entry.EntrySettings
-    view: views.View
-    counts: host_counts.Counts
-    platform_hosts: contact_lists.PlatformHosts
+    settings: entry.EntrySettings
+    view: view_module.View
+    counts: counts_module.Counts
+    platform_hosts: contacts_module.PlatformHosts
     randomness: random.Random
 
 
@@ -53,19 +53,19 @@
 class Parts:
     """All parts of membership."""
 
-    pauses: pause_watches.PauseWatch
-    roster: rosters.Roster
-    channel: channels.Channel
-    probes: probing.Probes
-    doubts: doubting.Doubts
-    exchange: exchanges.Exchange
-    ring: rings.ProbeRing
-    contacts: contact_lists.Contacts
+    pauses: pauses_module.PauseDetector
+    roster: roster_module.Roster
+    channel: channel_module.Channel
+    probes: probes_module.Probes
+    suspicions: suspicions_module.Suspicions
+    exchange: exchange_module.Exchange
+    ring: probe_ring.ProbeRing
+    contacts: contacts_module.Contacts
 
 
 def make_parts(
-    around: Surroundings,
-    codec: codecs.DatagramCodec,
+    context: HostContext,
+    codec: codec_module.DatagramCodec,
     datagrams: network.Datagrams,
     nursery: trio.Nursery,
 ) -> Parts:
@@ -77,44 +77,46 @@
         datagrams: The bound port.
         nursery: Where tasks for single members run.
     """
-    peers = around.settings.peers
-    randomness = around.randomness
-    pauses = pause_watches.PauseWatch(
+    peers = context.settings.peers
+    randomness = context.randomness
+    pauses = pauses_module.PauseDetector(
         peers.heartbeat_interval_s,
         trio.current_time,
-        _PAUSE_SUSPICIONS * peers.suspicion_s,
+        _PAUSE_RETENTION_SUSPICIONS * peers.suspicion_s,
     )
-    roster = _make_roster(around, codec, pauses)
-    channel = channels.Channel(datagrams, codec, roster, around.counts)
-    probes = probing.Probes(peers, channel, roster, randomness)
+    roster = _make_roster(context, codec, pauses)
+    channel = channel_module.Channel(datagrams, codec, roster, context.counts)
+    probes = probes_module.Probes(peers, channel, roster, randomness)
     return Parts(
         pauses=pauses,
         roster=roster,
         channel=channel,
         probes=probes,
-        doubts=doubting.Doubts(peers, roster, probes, nursery),
-        exchange=exchanges.Exchange(
+        suspicions=suspicions_module.Suspicions(peers, roster, probes, nursery),
+        exchange=exchange_module.Exchange(
             peers, channel, roster, codec.measure, randomness
         ),
-        ring=rings.ProbeRing(roster, randomness),
-        contacts=contact_lists.Contacts(
-            around.settings, roster, around.platform_hosts, randomness
+        ring=probe_ring.ProbeRing(roster, randomness),
+        contacts=contacts_module.Contacts(
+            context.settings, roster, context.platform_hosts, randomness
         ),
     )
 
 
 def _make_roster(
-    around: Surroundings,
-    codec: codecs.DatagramCodec,
-    pauses: pause_watches.PauseWatch,
-) -> rosters.Roster:
-    peers = around.settings.peers
-    identity = identities.Identity(
-        around.view.self_member, pauses, peers.suspicion_s, _read_wall_ms
+    context: HostContext,
+    codec: codec_module.DatagramCodec,
+    pauses: pauses_module.PauseDetector,
+) -> roster_module.Roster:
+    peers = context.settings.peers
+    identity = identity_module.Identity(
+        context.view.self_member, pauses, peers.suspicion_s, _read_wall_ms
+    )
+    table = table_module.Table(peers.forget_s, trio.current_time)
+    gossip = gossip_module.Gossip(table, codec.measure, trio.current_time)
+    return roster_module.Roster(
+        context.view, identity, table, gossip, context.counts
     )
-    table = tables.Table(peers.forget_s, trio.current_time)
-    gossip = gossips.Gossip(table, codec.measure, trio.current_time)
-    return rosters.Roster(around.view, identity, table, gossip, around.counts)
 
 
 def _read_wall_ms() -> int:
--- a/persimmonhinge/membership/pauses.py
+++ b/persimmonhinge/membership/pauses.py
@@ -8,10 +8,10 @@
 
 logger = logging.getLogger(__name__)
 
-_PAUSE_INTERVALS = 2
+_MIN_PAUSE_INTERVALS = 2
 
 
-class PauseWatch:
+class PauseDetector:
     """Measures gaps between its checks, which are due at each heartbeat.
 
     A process that was stopped or starved does not notice it otherwise, and
@@ -24,7 +24,7 @@
         self,
         interval_s: float,
         now: Callable[[], float],
-        memory_s: float = math.inf,
+        retention_s: float = math.inf,
     ) -> None:
         """Begins to watch.
 
@@ -33,30 +33,30 @@
             now: Returns the monotonic time, seconds.
             memory_s: How long a gap is remembered after its end, seconds.
         """
-        self._limit_s = _PAUSE_INTERVALS * interval_s
+        self._limit_s = _MIN_PAUSE_INTERVALS * interval_s
         self._now = now
-        self._memory_s = memory_s
-        self._last = now()
-        self._longest_s = 0.0
-        self._ended_at = -math.inf
+        self._retention_s = retention_s
+        self._last_check_at = now()
+        self._longest_pause_s = 0.0
+        self._last_pause_ended_at = -math.inf
 
     @property
-    def longest_s(self) -> float:
+    def longest_pause_s(self) -> float:
         """The longest gap that is remembered, seconds; 0 for none."""
-        return self._longest_s
+        return self._longest_pause_s
 
     def check(self) -> None:
         """Looks for a gap since the last check."""
         now = self._now()
-        gap_s = now - self._last
-        self._last = now
+        gap_s = now - self._last_check_at
+        self._last_check_at = now
         if gap_s > self._limit_s:
-            self._longest_s = max(self._longest_s, gap_s)
-            self._ended_at = now
+            self._longest_pause_s = max(self._longest_pause_s, gap_s)
+            self._last_pause_ended_at = now
             logger.warning("This process did not run for %.1f s.", gap_s)
-        elif now - self._ended_at > self._memory_s:
+        elif now - self._last_pause_ended_at > self._retention_s:
             self.clear()
 
     def clear(self) -> None:
         """Forgets the longest gap."""
-        self._longest_s = 0.0
+        self._longest_pause_s = 0.0
--- a/persimmonhinge/membership/placement.py
+++ b/persimmonhinge/membership/placement.py
@@ -7,8 +7,8 @@
 import xxhash
 
 from persimmonhinge import ids
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import view as views
+from persimmonhinge.membership import member as member_module
+from persimmonhinge.membership import view as view_module
 
 # Below all scores.
 _NO_SCORE = -1
@@ -19,9 +19,9 @@
     """Members of one domain, in order of name."""
 
     names: list[bytes] = dataclasses.field(default_factory=list)
-    hosts: list[members.Member] = dataclasses.field(default_factory=list)
+    hosts: list[member_module.Member] = dataclasses.field(default_factory=list)
 
-    def find_best(self, key: int) -> tuple[int, members.Member]:
+    def find_best(self, key: int) -> tuple[int, member_module.Member]:
         """Returns the highest score and who has it.
 
         Equal scores go to the first name, on every host alike.
@@ -31,7 +31,7 @@
         best = max(scores)
         return best, self.hosts[scores.index(best)]
 
-    def find_two(self, key: int) -> list[tuple[int, members.Member]]:
+    def find_best_two(self, key: int) -> list[tuple[int, member_module.Member]]:
         """Returns the two highest scores, one if there is one member."""
         hash_name = xxhash.xxh3_64_intdigest
         scores = [hash_name(name, key) for name in self.names]
@@ -44,7 +44,7 @@
             found.append((second, self.hosts[scores.index(second)]))
         return found
 
-    def rank(self, key: int) -> list[members.Member]:
+    def rank(self, key: int) -> list[member_module.Member]:
         """Returns the members, highest score first."""
         hash_name = xxhash.xxh3_64_intdigest
         scored = [
@@ -64,14 +64,14 @@
     grouped once for each change of the view, not for each packet.
     """
 
-    def __init__(self, view: views.View) -> None:
+    def __init__(self, view: view_module.View) -> None:
         self._view = view
         self._version = -1
         self._domains: dict[str, _Domain] = {}
 
     def find_home(
         self, service: ids.ServiceName, caller: tuple[str, int]
-    ) -> members.Member | None:
+    ) -> member_module.Member | None:
         """Returns the first of `rank_homes`, for half the work."""
         self._refresh()
         key = _hash_flow(service, caller)
@@ -80,7 +80,7 @@
 
     def rank_homes(
         self, service: ids.ServiceName, caller: tuple[str, int]
-    ) -> list[members.Member]:
+    ) -> list[member_module.Member]:
         """Ranks the homes of a flow, best first.
 
         The first is the home. The others follow when it can't be reached:
@@ -94,7 +94,7 @@
         """
         self._refresh()
         key = _hash_flow(service, caller)
-        found = [domain.find_two(key) for domain in self._domains.values()]
+        found = [domain.find_best_two(key) for domain in self._domains.values()]
         if not found:
             return []
         home = max(found, key=_get_first_score).pop(0)
@@ -104,7 +104,7 @@
 
     def find_keeper(
         self, upstream: ids.UpstreamId, domain: str
-    ) -> members.Member | None:
+    ) -> member_module.Member | None:
         """Returns the keeper of an upstream, None if its domain has no host.
 
         Args:
@@ -119,7 +119,7 @@
         _, keeper = found.find_best(_hash_key(upstream))
         return keeper
 
-    def rank_hosts(self, key: str, domain: str) -> list[members.Member]:
+    def rank_hosts(self, key: str, domain: str) -> list[member_module.Member]:
         """Ranks the hosts of a domain that take roles, best first.
 
         Args:
@@ -145,20 +145,22 @@
             return
         self._version = self._view.changed.version
         self._domains = {}
-        takers = sorted(self._view.role_takers(), key=lambda m: m.host)
+        takers = sorted(self._view.role_candidates(), key=lambda m: m.host)
         for member in takers:
             domain = self._domains.setdefault(member.domain, _Domain())
             domain.names.append(member.host.encode())
             domain.hosts.append(member)
 
 
-def _get_score(scored: tuple[int, members.Member]) -> tuple[int, ids.HostId]:
+def _get_score(
+    scored: tuple[int, member_module.Member],
+) -> tuple[int, ids.HostId]:
     score, member = scored
     return (score, member.host)
 
 
 def _get_first_score(
-    scored: list[tuple[int, members.Member]],
+    scored: list[tuple[int, member_module.Member]],
 ) -> tuple[int, ids.HostId]:
     return _get_score(scored[0])
 
--- a/persimmonhinge/membership/ring.py
+++ b/persimmonhinge/membership/probe_ring.py
@@ -5,7 +5,7 @@
 import random
 
 from persimmonhinge import ids
-from persimmonhinge.membership import roster as rosters
+from persimmonhinge.membership import roster as roster_module
 
 
 class ProbeRing:
@@ -16,28 +16,30 @@
     """
 
     def __init__(
-        self, roster: rosters.Roster, randomness: random.Random
+        self, roster: roster_module.Roster, randomness: random.Random
     ) -> None:
         """Makes a ring over the members of a roster."""
         self._roster = roster
         self._randomness = randomness
-        self._left: list[ids.HostId] = []
-        roster.add_listener(self._take_news)
+        self._remaining: list[ids.HostId] = []
+        roster.add_listener(self._handle_update)
 
     def next(self) -> ids.HostId | None:
         """Returns the next member that is not dead; None if there is none."""
         for _ in range(2):
-            while self._left:
-                host = self._left.pop()
-                if self._roster.lives(host):
+            while self._remaining:
+                host = self._remaining.pop()
+                if self._roster.is_alive(host):
                     return host
-            self._left = [member.host for member in self._roster.live()]
-            self._randomness.shuffle(self._left)
+            self._remaining = [
+                member.host for member in self._roster.live_members()
+            ]
+            self._randomness.shuffle(self._remaining)
         return None
 
-    def _take_news(self, host: ids.HostId, appeared: bool) -> None:
+    def _handle_update(self, host: ids.HostId, appeared: bool) -> None:
         """Puts a new member at a random place of the present round."""
         if not appeared:
             return
-        place = self._randomness.randint(0, len(self._left))
-        self._left.insert(place, host)
+        place = self._randomness.randint(0, len(self._remaining))
+        self._remaining.insert(place, host)
--- a/persimmonhinge/membership/probes.py
+++ b/persimmonhinge/membership/probes.py
@@ -8,24 +8,24 @@
 import trio
 
 from persimmonhinge import ids
-from persimmonhinge.membership import channel as channels
-from persimmonhinge.membership import member as members
+from persimmonhinge.membership import channel as channel_module
+from persimmonhinge.membership import member
 from persimmonhinge.membership import messages
-from persimmonhinge.membership import record as records
-from persimmonhinge.membership import roster as rosters
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.membership import record as record_module
+from persimmonhinge.membership import roster as roster_module
+from persimmonhinge.settings import entry
 
 ATTEMPTS = 3
-_HELPERS = 3
-_CANDIDATES = 12
-_MAX_RELAYS = 256
+_DEFAULT_HELPERS = 3
+_MAX_HELPER_CANDIDATES = 12
+_MAX_CONCURRENT_RELAYS = 256
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Wait:
+class _PendingProbe:
     host: ids.HostId
     answered: trio.Event
-    record: records.Record | None = None
+    record: record_module.Record | None = None
 
 
 class Probes:
@@ -43,9 +43,9 @@
 
     def __init__(
         self,
-        peers: settings_entry.PeerSettings,
-        channel: channels.Channel,
-        roster: rosters.Roster,
+        peers: entry.PeerSettings,
+        channel: channel_module.Channel,
+        roster: roster_module.Roster,
         randomness: random.Random,
     ) -> None:
         """Makes the part.
@@ -62,10 +62,12 @@
         self._roster = roster
         self._randomness = randomness
         self._sequence = randomness.getrandbits(32)
-        self._waits: dict[int, _Wait] = {}
-        self._relays = 0
+        self._pending_probes: dict[int, _PendingProbe] = {}
+        self._active_relays = 0
 
-    async def probe(self, host: ids.HostId, helpers: int = _HELPERS) -> bool:
+    async def probe(
+        self, host: ids.HostId, helpers: int = _DEFAULT_HELPERS
+    ) -> bool:
         """Asks a member for a sign of life.
 
         Args:
@@ -78,84 +80,90 @@
         target = self._roster.get(host)
         if target is None:
             return False
-        sequence, wait = self._open(host)
+        sequence, wait = self._register_probe(host)
         try:
             for attempt in range(ATTEMPTS):
-                await self._ask(sequence, target, helpers if attempt else 0)
+                await self._send_attempt(
+                    sequence, target, helpers if attempt else 0
+                )
                 with trio.move_on_after(self._timeout_s / ATTEMPTS):
                     await wait.answered.wait()
                     return True
         finally:
-            del self._waits[sequence]
+            del self._pending_probes[sequence]
         return False
 
-    async def greet(
+    async def ping_address(
         self, address: tuple[str, int], host: ids.HostId | None
     ) -> None:
         """Pings an address at which a host may be; no answer is awaited."""
         message = messages.Ping(self._next_sequence())
-        await self._channel.send(message, address, about=host)
+        await self._channel.send(message, address, recipient=host)
 
-    async def answer(
+    async def answer_ping(
         self,
         ping: messages.Ping,
         address: tuple[str, int],
-        sender: records.Record,
+        sender: record_module.Record,
     ) -> None:
         """Gives a sign of life."""
         ack = messages.Ack(ping.sequence)
-        await self._channel.send(ack, address, about=sender.host)
+        await self._channel.send(ack, address, recipient=sender.host)
 
-    async def relay(
+    async def relay_ping(
         self, request: messages.PingRequest, address: tuple[str, int]
     ) -> None:
         """Pings for another host and passes the answer on."""
-        if self._relays >= _MAX_RELAYS:
+        if self._active_relays >= _MAX_CONCURRENT_RELAYS:
             return
-        self._relays += 1
-        sequence, wait = self._open(request.target.host)
+        self._active_relays += 1
+        sequence, wait = self._register_probe(request.target.host)
         try:
             await self._channel.send(
                 messages.Ping(sequence),
                 request.target.heartbeat_address,
-                about=request.target.host,
+                recipient=request.target.host,
             )
             with trio.move_on_after(self._timeout_s):
                 await wait.answered.wait()
         finally:
-            del self._waits[sequence]
-            self._relays -= 1
+            del self._pending_probes[sequence]
+            self._active_relays -= 1
         if wait.record is not None:
             answer = messages.Ack(request.sequence, wait.record)
             await self._channel.send(answer, address)
 
-    def take_ack(self, ack: messages.Ack, sender: records.Record) -> None:
+    def handle_ack(
+        self, ack: messages.Ack, sender: record_module.Record
+    ) -> None:
         """Wakes whoever waits for this sign of life."""
-        wait = self._waits.get(ack.sequence)
+        wait = self._pending_probes.get(ack.sequence)
         record = ack.subject or sender
         if wait is None or wait.host != record.host:
             return
         wait.record = record
         wait.answered.set()
 
-    async def _ask(
-        self, sequence: int, target: records.Record, helpers: int
+    async def _send_attempt(
+        self, sequence: int, target: record_module.Record, helpers: int
     ) -> None:
         target = self._roster.get(target.host) or target
         await self._channel.send(
-            messages.Ping(sequence), target.heartbeat_address, about=target.host
+            messages.Ping(sequence),
+            target.heartbeat_address,
+            recipient=target.host,
         )
         request = messages.PingRequest(sequence, target)
         for helper in self._choose_helpers(target.host, helpers):
             await self._channel.send(
                 request,
                 (helper.address, helper.heartbeat_port),
-                about=helper.host,
+                recipient=helper.host,
             )
 
     def _choose_helpers(
         self, target: ids.HostId, count: int
-    ) -> list[members.Member]:
+    ) -> list[member.Member]:
         """Chooses members, of as many domains as there are.
 
         A one-way cut between two domains is passed only by a third one, so
@@ -163,9 +171,11 @@
         """
         if not count:
             return []
-        candidates = self._roster.pick(_CANDIDATES, self._randomness)
+        candidates = self._roster.sample_members(
+            _MAX_HELPER_CANDIDATES, self._randomness
+        )
         candidates = [c for c in candidates if c.host != target]
-        chosen: dict[ids.DomainId, members.Member] = {}
+        chosen: dict[ids.DomainId, member.Member] = {}
         spare = []
         for candidate in candidates:
             if candidate.domain in chosen:
@@ -174,10 +184,10 @@
                 chosen[candidate.domain] = candidate
         return [*chosen.values(), *spare][:count]
 
-    def _open(self, host: ids.HostId) -> tuple[int, _Wait]:
+    def _register_probe(self, host: ids.HostId) -> tuple[int, _PendingProbe]:
         sequence = self._next_sequence()
-        wait = _Wait(host, trio.Event())
-        self._waits[sequence] = wait
+        wait = _PendingProbe(host, trio.Event())
+        self._pending_probes[sequence] = wait
         return sequence, wait
 
     def _next_sequence(self) -> int:
--- a/persimmonhinge/membership/receiver.py
+++ b/persimmonhinge/membership/receiver.py
@@ -4,12 +4,12 @@
 
 import trio
 
-from persimmonhinge.membership import codec as codecs
+from persimmonhinge.membership import codec
+from persimmonhinge.membership import isolation as isolation_module
 from persimmonhinge.membership import messages
-from persimmonhinge.membership import parts as membership_parts
-from persimmonhinge.membership import record as records
-from persimmonhinge.membership import silence as silences
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.membership import parts as parts_module
+from persimmonhinge.membership import record
+from persimmonhinge.metrics import counts as counts_module
 
 
 class Receiver:
@@ -17,9 +17,9 @@
 
     def __init__(
         self,
-        parts: membership_parts.Parts,
-        silence: silences.Silence,
-        counts: host_counts.Counts,
+        parts: parts_module.Parts,
+        isolation: isolation_module.IsolationDetector,
+        counts: counts_module.Counts,
         nursery: trio.Nursery,
     ) -> None:
         """Makes the receiver of a host.
@@ -31,7 +31,7 @@
             nursery: Where relayed pings wait for their answers.
         """
         self._parts = parts
-        self._silence = silence
+        self._isolation = isolation
         self._counts = counts
         self._nursery = nursery
 
@@ -43,43 +43,43 @@
         """
         async for letter, source in self._parts.channel.receive():
             self._parts.pauses.check()
-            self._silence.note_heard(trio.current_time())
-            await self._take_records(letter)
-            await self._handle(letter, source)
+            self._isolation.record_datagram(trio.current_time())
+            await self._apply_records(letter)
+            await self._handle_message(letter, source)
 
-    async def _take_records(self, letter: codecs.Letter) -> None:
+    async def _apply_records(self, letter: codec.Heartbeat) -> None:
         roster = self._parts.roster
-        appeared = roster.hear(letter.sender, first_hand=True)
-        for rumor in letter.rumors:
-            roster.hear(rumor)
+        appeared = roster.apply_record(letter.sender, sent_by_subject=True)
+        for rumor in letter.other_records:
+            roster.apply_record(rumor)
         if appeared:
-            await self._welcome(letter.sender)
+            await self._synchronize_with(letter.sender)
 
-    async def _welcome(self, sender: records.Record) -> None:
+    async def _synchronize_with(self, sender: record.Record) -> None:
         """Meets a host that is new here, or back: compares state at once."""
-        self._parts.contacts.hurry()
-        await self._parts.exchange.begin(sender)
+        self._parts.contacts.retry_soon()
+        await self._parts.exchange.start_exchange(sender)
 
-    async def _handle(
-        self, letter: codecs.Letter, source: tuple[str, int]
+    async def _handle_message(
+        self, letter: codec.Heartbeat, source: tuple[str, int]
     ) -> None:
         parts = self._parts
         message = letter.message
         if isinstance(message, messages.Ping):
-            await parts.probes.answer(message, source, letter.sender)
+            await parts.probes.answer_ping(message, source, letter.sender)
         elif isinstance(message, messages.Ack):
-            self._take_ack(message, letter.sender)
+            self._handle_ack(message, letter.sender)
         elif isinstance(message, messages.PingRequest):
-            parts.roster.hear(message.target)
-            self._nursery.start_soon(parts.probes.relay, message, source)
+            parts.roster.apply_record(message.target)
+            self._nursery.start_soon(parts.probes.relay_ping, message, source)
         elif isinstance(message, messages.Digest):
-            await parts.exchange.answer(message, source)
+            await parts.exchange.answer_digest(message, source)
         elif isinstance(message, messages.State):
-            await parts.exchange.take(message, source)
+            await parts.exchange.apply_state(message, source)
         elif message is None:
             self._counts.add("heartbeat_unknown_kinds_total")
 
-    def _take_ack(self, ack: messages.Ack, sender: records.Record) -> None:
+    def _handle_ack(self, ack: messages.Ack, sender: record.Record) -> None:
         if ack.subject is not None:
-            self._parts.roster.hear(ack.subject)
-        self._parts.probes.take_ack(ack, sender)
+            self._parts.roster.apply_record(ack.subject)
+        self._parts.probes.handle_ack(ack, sender)
--- a/persimmonhinge/membership/record.py
+++ b/persimmonhinge/membership/record.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from persimmonhinge import ids
-from persimmonhinge.membership import member as members
+from persimmonhinge.membership import member as member_module
 from persimmonhinge.peers.messages import base
 
 _NAME = msgspec.Meta(min_length=1, max_length=63)
@@ -32,15 +32,15 @@
 
 
 STATES = {
-    Claim.ALIVE: members.MemberState.ALIVE,
-    Claim.SUSPECT: members.MemberState.SUSPECT,
-    Claim.LEAVING: members.MemberState.LEAVING,
-    Claim.DEAD: members.MemberState.DEAD,
+    Claim.ALIVE: member_module.MemberState.ALIVE,
+    Claim.SUSPECT: member_module.MemberState.SUSPECT,
+    Claim.LEAVING: member_module.MemberState.LEAVING,
+    Claim.DEAD: member_module.MemberState.DEAD,
 }
 
 
 # A host that starts says that it lives, or that it takes no roles yet.
-_FIRST_CLAIMS = {members.MemberState.LEAVING: Claim.LEAVING}
+_FIRST_CLAIMS = {member_module.MemberState.LEAVING: Claim.LEAVING}
 
 
 class Record(base.Message, array_like=True, frozen=True):
@@ -74,7 +74,7 @@
             raise ValueError("an address has 4 or 16 octets")
 
     @classmethod
-    def from_member(cls, member: members.Member) -> Self:
+    def from_member(cls, member: member_module.Member) -> Self:
         """Returns the first record of a host that starts."""
         return cls(
             host=member.host,
@@ -86,9 +86,11 @@
             claim=_FIRST_CLAIMS.get(member.state, Claim.ALIVE),
         )
 
-    def to_member(self, state: members.MemberState) -> members.Member:
+    def to_member(
+        self, state: member_module.MemberState
+    ) -> member_module.Member:
         """Returns the host as the view holds it."""
-        return members.Member(
+        return member_module.Member(
             host=self.host,
             domain=self.domain,
             address=unpack_address(self.address),
@@ -104,12 +106,12 @@
         return (unpack_address(self.address), self.heartbeat_port)
 
     @property
-    def life(self) -> tuple[int, int]:
+    def full_version(self) -> tuple[int, int]:
         """Incarnation and version: what a claim is on."""
         return (self.incarnation, self.version)
 
     @property
-    def order(self) -> tuple[int, int, int, str, bytes, int, int]:
+    def precedence(self) -> tuple[int, int, int, str, bytes, int, int]:
         """What decides between records of one host.
 
         The last fields differ only if two processes of one name started in
@@ -135,7 +137,7 @@
     the one that knows of the earlier death holds: ages then only grow, and
     the record is forgotten in the end however often it is passed on.
     """
-    if (other.order, other.age_s) > (one.order, one.age_s):
+    if (other.precedence, other.age_s) > (one.precedence, one.age_s):
         return other
     return one
 
--- a/persimmonhinge/membership/roster.py
+++ b/persimmonhinge/membership/roster.py
@@ -9,21 +9,21 @@
 import msgspec
 
 from persimmonhinge import ids
-from persimmonhinge.membership import gossip as gossips
-from persimmonhinge.membership import identity as identities
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import record as records
-from persimmonhinge.membership import table as tables
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.membership import gossip as gossip_module
+from persimmonhinge.membership import identity as identity_module
+from persimmonhinge.membership import member as member_module
+from persimmonhinge.membership import record as record_module
+from persimmonhinge.membership import table as table_module
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
 
 logger = logging.getLogger(__name__)
 
-_Claim = records.Claim
+_Claim = record_module.Claim
 
 # Called at each news of a host, and told whether it was unknown or dead
 # before and lives now.
-NewsListener = Callable[[ids.HostId, bool], None]
+UpdateListener = Callable[[ids.HostId, bool], None]
 
 
 class Roster:
@@ -44,11 +44,11 @@
 
     def __init__(
         self,
-        view: views.View,
-        identity: identities.Identity,
-        table: tables.Table,
-        gossip: gossips.Gossip,
-        counts: host_counts.Counts,
+        view: view_module.View,
+        identity: identity_module.Identity,
+        table: table_module.Table,
+        gossip: gossip_module.Gossip,
+        counts: counts_module.Counts,
     ) -> None:
         """Makes a roster with this host alone.
 
@@ -64,46 +64,48 @@
         self.gossip = gossip
         self._view = view
         self._counts = counts
-        self._listeners: list[NewsListener] = []
-        self._hearsay: dict[ids.HostId, tuple[int, int]] = {}
-        self.show_self()
+        self._listeners: list[UpdateListener] = []
+        self._unconfirmed_deaths: dict[ids.HostId, tuple[int, int]] = {}
+        self.publish_own_record()
 
-    def add_listener(self, listener: NewsListener) -> None:
+    def add_listener(self, listener: UpdateListener) -> None:
         """Has a function called at each news of another host."""
         self._listeners.append(listener)
 
-    def show_self(self) -> None:
+    def publish_own_record(self) -> None:
         """Shows this host as its own record says."""
         record = self.identity.record
-        self.table.offer(record)
-        self._view.put(record.to_member(records.STATES[record.claim]))
+        self.table.merge_record(record)
+        self._view.put(record.to_member(record_module.STATES[record.claim]))
 
-    def get(self, host: ids.HostId) -> records.Record | None:
+    def get(self, host: ids.HostId) -> record_module.Record | None:
         """Returns the record of a host, None if it is unknown."""
         return self.table.get(host)
 
-    def live(self) -> list[members.Member]:
+    def live_members(self) -> list[member_module.Member]:
         """Returns all members but this host that are not dead."""
         me = self._view.me
-        return [m for m in self._view.all() if m.answers and m.host != me]
+        return [m for m in self._view.all() if m.is_alive and m.host != me]
 
-    def lives(self, host: ids.HostId) -> bool:
+    def is_alive(self, host: ids.HostId) -> bool:
         """Tells whether a host is a member that is not dead."""
         member = self._view.get(host)
-        return member is not None and member.answers
+        return member is not None and member.is_alive
 
-    def dead(self) -> list[members.Member]:
+    def dead_members(self) -> list[member_module.Member]:
         """Returns the dead members that are remembered."""
-        return [m for m in self._view.all() if not m.answers]
+        return [m for m in self._view.all() if not m.is_alive]
 
-    def pick(
+    def sample_members(
         self, count: int, randomness: random.Random
-    ) -> list[members.Member]:
+    ) -> list[member_module.Member]:
         """Returns some members but this host that are not dead."""
-        live = self.live()
+        live = self.live_members()
         return randomness.sample(live, min(count, len(live)))
 
-    def hear(self, record: records.Record, *, first_hand: bool = False) -> bool:
+    def apply_record(
+        self, record: record_module.Record, *, sent_by_subject: bool = False
+    ) -> bool:
         """Takes in a record.
 
         Args:
@@ -117,14 +119,14 @@
             NameTakenError: See `Identity.hear`.
         """
         if record.host == self._view.me:
-            self._hear_of_self(record)
+            self._apply_own_record(record)
             return False
         known = self.table.get(record.host)
-        if not self.table.offer(record):
+        if not self.table.merge_record(record):
             return False
         self.gossip.add(record.host)
-        self._note_hearsay(record, first_hand=first_hand)
-        self._show(record)
+        self._record_unconfirmed_death(record, sent_by_subject=sent_by_subject)
+        self._publish_member(record)
         appeared = record.claim is not _Claim.DEAD and (
             known is None or known.claim is _Claim.DEAD
         )
@@ -132,83 +134,98 @@
             listener(record.host, appeared)
         return appeared
 
-    def is_doubted(self, host: ids.HostId) -> bool:
+    def is_suspected(self, host: ids.HostId) -> bool:
         """Tells whether a host is to be tried before it is given up."""
         record = self.table.get(host)
         if record is None:
             return False
-        return record.claim is _Claim.SUSPECT or host in self._hearsay
+        return (
+            record.claim is _Claim.SUSPECT or host in self._unconfirmed_deaths
+        )
 
-    def suspect(self, host: ids.HostId, life: tuple[int, int]) -> None:
+    def suspect(self, host: ids.HostId, full_version: tuple[int, int]) -> None:
         """Claims that a host does not answer, unless it refuted meanwhile."""
         record = self.table.get(host)
-        if record is None or record.life != life:
+        if record is None or record.full_version != full_version:
             return
         if record.claim is _Claim.ALIVE:
             self._counts.add("membership_suspicions_total")
             logger.info("Host %s does not answer; suspected.", host)
-            self.hear(msgspec.structs.replace(record, claim=_Claim.SUSPECT))
+            self.apply_record(
+                msgspec.structs.replace(record, claim=_Claim.SUSPECT)
+            )
 
-    def declare_dead(self, host: ids.HostId, life: tuple[int, int]) -> None:
+    def declare_dead(
+        self, host: ids.HostId, full_version: tuple[int, int]
+    ) -> None:
         """Claims that a host is dead, unless it refuted meanwhile."""
         record = self.table.get(host)
-        if record is None or record.life != life or not self.lives(host):
+        if (
+            record is None
+            or record.full_version != full_version
+            or not self.is_alive(host)
+        ):
             return
         self._counts.add("membership_deaths_total")
         logger.warning("Host %s is dead.", host)
         dead = msgspec.structs.replace(record, claim=_Claim.DEAD)
-        if self.table.offer(dead):
+        if self.table.merge_record(dead):
             self.gossip.add(host)
-        self._hearsay.pop(host, None)
-        self._show(dead)
+        self._unconfirmed_deaths.pop(host, None)
+        self._publish_member(dead)
 
-    def forget(self) -> None:
+    def forget_dead_members(self) -> None:
         """Forgets the hosts that died long ago."""
-        for host in self.table.find_forgotten():
+        for host in self.table.find_expired():
             logger.info("Host %s, dead for long, is forgotten.", host)
-            self._drop(host)
+            self._remove_host(host)
 
-    def start_anew(self) -> None:
+    def reset_membership(self) -> None:
         """Forgets all other hosts and becomes a new incarnation."""
-        self.identity.take_incarnation(self.identity.record.incarnation)
-        self.show_self()
+        self.identity.start_incarnation(self.identity.record.incarnation)
+        self.publish_own_record()
         for member in tuple(self._view.all()):
             if member.host != self._view.me:
-                self._drop(member.host)
+                self._remove_host(member.host)
 
-    def say(self, claim: records.Claim) -> None:
+    def announce_claim(self, claim: record_module.Claim) -> None:
         """Says something new of this host."""
-        self.identity.say(claim)
-        self.show_self()
+        self.identity.set_claim(claim)
+        self.publish_own_record()
 
-    def _drop(self, host: ids.HostId) -> None:
+    def _remove_host(self, host: ids.HostId) -> None:
         self.table.remove(host)
-        self._hearsay.pop(host, None)
+        self._unconfirmed_deaths.pop(host, None)
         self._view.remove(host)
 
-    def _hear_of_self(self, record: records.Record) -> None:
-        if not self.identity.hear(record):
+    def _apply_own_record(self, record: record_module.Record) -> None:
+        if not self.identity.handle_record(record):
             return
         self._counts.add("membership_refutations_total")
-        self.show_self()
+        self.publish_own_record()
 
-    def _note_hearsay(
-        self, record: records.Record, *, first_hand: bool
+    def _record_unconfirmed_death(
+        self, record: record_module.Record, *, sent_by_subject: bool
     ) -> None:
-        self._hearsay.pop(record.host, None)
+        self._unconfirmed_deaths.pop(record.host, None)
         shown = self._view.get(record.host)
-        answers = shown is not None and shown.answers
-        if record.claim is _Claim.DEAD and answers and not first_hand:
-            self._hearsay[record.host] = record.life
-
-    def _show(self, record: records.Record) -> None:
-        state = records.STATES[record.claim]
-        if record.host in self._hearsay:
-            state = self._find_state_in_doubt(record.host)
+        answers = shown is not None and shown.is_alive
+        if record.claim is _Claim.DEAD and answers and not sent_by_subject:
+            self._unconfirmed_deaths[record.host] = record.full_version
+
+    def _publish_member(self, record: record_module.Record) -> None:
+        state = record_module.STATES[record.claim]
+        if record.host in self._unconfirmed_deaths:
+            state = self._find_unconfirmed_state(record.host)
         self._view.put(record.to_member(state))
 
-    def _find_state_in_doubt(self, host: ids.HostId) -> members.MemberState:
+    def _find_unconfirmed_state(
+        self, host: ids.HostId
+    ) -> member_module.MemberState:
         shown = self._view.get(host)
-        if shown is not None and shown.state is members.MemberState.LEAVING:
-            return members.MemberState.LEAVING
-        return members.MemberState.SUSPECT
+        if (
+            shown is not None
+            and shown.state is member_module.MemberState.LEAVING
+        ):
+            return member_module.MemberState.LEAVING
+        return member_module.MemberState.SUSPECT
--- a/persimmonhinge/membership/secret.py
+++ b/persimmonhinge/membership/secret.py
@@ -5,12 +5,12 @@
 import pathlib
 
 from persimmonhinge import errors
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.settings import entry
 
 _STEP = "read heartbeat secret"
 
 
-def read_secret(peers: settings_entry.PeerSettings) -> bytes | None:
+def read_secret(peers: entry.PeerSettings) -> bytes | None:
     """Returns the secret of the heartbeats, None if they are open.
 
     White space at the ends of the file does not count.
--- a/persimmonhinge/membership/service.py
+++ b/persimmonhinge/membership/service.py
@@ -10,31 +10,31 @@
 import trio
 
 from persimmonhinge import ids
-from persimmonhinge.membership import codec as codecs
-from persimmonhinge.membership import contacts as contact_lists
-from persimmonhinge.membership import identity as identities
-from persimmonhinge.membership import member as members
+from persimmonhinge.membership import codec
+from persimmonhinge.membership import contacts
+from persimmonhinge.membership import identity
+from persimmonhinge.membership import member as member_module
 from persimmonhinge.membership import messages
-from persimmonhinge.membership import parts as membership_parts
-from persimmonhinge.membership import receiver as receivers
-from persimmonhinge.membership import record as records
-from persimmonhinge.membership import secret as secrets
+from persimmonhinge.membership import parts as parts_module
+from persimmonhinge.membership import receiver as receiver_module
+from persimmonhinge.membership import record as record_module
+from persimmonhinge.membership import secret
 from persimmonhinge.membership import udp
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
 from persimmonhinge.peers import network
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.settings import entry
 
 logger = logging.getLogger(__name__)
 
 # Members that are told of a planned stop by this host itself.
-_TOLD_DIRECTLY = 8
+_MAX_DIRECT_RECIPIENTS = 8
 # A host that hears nothing for so many heartbeat intervals is cut off: in each
 # of them it asks one member, and about one asks it.
-_SILENT_INTERVALS = 3
+_ISOLATION_INTERVALS = 3
 
 
-def _no_hosts() -> tuple[settings_entry.SeedHost, ...]:
+def _no_hosts() -> tuple[entry.SeedHost, ...]:
     return ()
 
 
@@ -48,10 +48,10 @@
 
     def __init__(
         self,
-        settings: settings_entry.EntrySettings,
-        view: views.View,
-        counts: host_counts.Counts,
-        platform_hosts: contact_lists.PlatformHosts = _no_hosts,
+        settings: entry.EntrySettings,
+        view: view_module.View,
+        counts: counts_module.Counts,
+        platform_hosts: contacts.PlatformHosts = _no_hosts,
         *,
         datagrams: network.Datagrams | None = None,
         randomness: random.Random | None = None,
@@ -69,7 +69,7 @@
         Raises:
             SettingsError: The secret can't be read.
         """
-        self._around = membership_parts.Surroundings(
+        self._context = parts_module.HostContext(
             settings=settings,
             view=view,
             counts=counts,
@@ -77,16 +77,16 @@
             randomness=randomness or random.Random(),
         )
         self._datagrams = datagrams
-        self._codec = codecs.DatagramCodec(secrets.read_secret(settings.peers))
-        self._hooks: list[identities.IncarnationHook] = []
+        self._codec = codec.DatagramCodec(secret.read_secret(settings.peers))
+        self._hooks: list[identity.IncarnationHook] = []
         self._interval_s = settings.peers.heartbeat_interval_s
         self._started = trio.Event()
-        self._parts: membership_parts.Parts | None = None
+        self._parts: parts_module.Parts | None = None
         self._nursery: trio.Nursery | None = None
-        counts.watch("members_alive", lambda: len(view.role_takers()))
+        counts.watch("members_alive", lambda: len(view.role_candidates()))
         counts.watch("members_known", lambda: len(tuple(view.all())))
 
-    def on_new_incarnation(self, hook: identities.IncarnationHook) -> None:
+    def add_incarnation_hook(self, hook: identity.IncarnationHook) -> None:
         """Has a function called when this host becomes a new incarnation.
 
         It is called with the former and the new self, before the view
@@ -104,11 +104,11 @@
             NameTakenError: Another process started later under this name.
         """
         if self._datagrams is not None:
-            await self._run_on(self._datagrams, task_status)
+            await self._run_with(self._datagrams, task_status)
             return
         bound = await self._bind()
         try:
-            await self._run_on(bound, task_status)
+            await self._run_with(bound, task_status)
         finally:
             bound.close()
 
@@ -118,69 +118,67 @@
         The host goes on answering heartbeats until `run` is cancelled; it
         then says farewell, so that peers need not find out.
         """
-        await self._say(records.Claim.LEAVING)
+        await self._announce_claim(record_module.Claim.LEAVING)
 
     async def rejoin(self) -> None:
         """Takes `leave` back."""
-        await self._say(records.Claim.ALIVE)
+        await self._announce_claim(record_module.Claim.ALIVE)
 
-    def check(self, host: ids.HostId) -> None:
+    def probe_host(self, host: ids.HostId) -> None:
         """Probes a member at once, as when a link to it broke."""
         if self._nursery is not None:
-            self._nursery.start_soon(self._probe, host)
+            self._nursery.start_soon(self._probe_and_suspect, host)
 
     async def _bind(self) -> udp.UdpDatagrams:
-        view = self._around.view
-        peers = self._around.settings.peers
+        view = self._context.view
+        peers = self._context.settings.peers
         bound = await udp.bind(peers.own_address, peers.heartbeat_port)
         me = dataclasses.replace(view.self_member, heartbeat_port=bound.port)
         view.put(me)
         return bound
 
-    async def _run_on(
+    async def _run_with(
         self, datagrams: network.Datagrams, task_status: trio.TaskStatus[int]
     ) -> None:
         async with trio.open_nursery() as nursery:
-            parts = membership_parts.make_parts(
-                self._around, self._codec, datagrams, nursery
+            parts = parts_module.make_parts(
+                self._context, self._codec, datagrams, nursery
             )
             for hook in self._hooks:
                 parts.roster.identity.add_hook(hook)
             self._parts = parts
             self._nursery = nursery
-            self._around.counts.watch(
+            self._context.counts.watch(
                 "membership_news_queued", lambda: len(parts.roster.gossip)
             )
-            silence = self._around.view.silence
-            silence.limit_s = _SILENT_INTERVALS * self._interval_s
-            receiver = receivers.Receiver(
-                parts, silence, self._around.counts, nursery
+            silence = self._context.view.isolation
+            silence.limit_s = _ISOLATION_INTERVALS * self._interval_s
+            receiver = receiver_module.Receiver(
+                parts, silence, self._context.counts, nursery
             )
             nursery.start_soon(receiver.run)
-            nursery.start_soon(self._beat, parts)
+            nursery.start_soon(self._run_heartbeats, parts)
             self._started.set()
-            task_status.started(self._around.view.self_member.heartbeat_port)
+            task_status.started(self._context.view.self_member.heartbeat_port)
             try:
                 await trio.sleep_forever()
             finally:
                 self._nursery = None
-                await self._say_farewell(parts)
+                await self._send_farewell(parts)
 
-    async def _beat(self, parts: membership_parts.Parts) -> None:
+    async def _run_heartbeats(self, parts: parts_module.Parts) -> None:
         while True:
-            self._start_anew_after_long_pause(parts)
+            self._reset_after_long_pause(parts)
             host = parts.ring.next()
             if host is not None:
-                self.check(host)
-            for contact in parts.contacts.take_due():
-                await parts.probes.greet(contact.address, contact.host)
-            await parts.exchange.begin_if_due()
-            parts.roster.forget()
+                self.probe_host(host)
+            for contact in parts.contacts.select_due():
+                await parts.probes.ping_address(contact.address, contact.host)
+            await parts.exchange.start_exchange_if_due()
+            parts.roster.forget_dead_members()
             await trio.sleep(self._interval_s)
 
-    def _start_anew_after_long_pause(
-        self, parts: membership_parts.Parts
-    ) -> None:
+    def _reset_after_long_pause(self, parts: parts_module.Parts) -> None:
         """Drops what this host knew if it was away for too long.
 
         Guards against reviving the dead: a process that was paused until its
@@ -188,49 +186,54 @@
         remember for twice as long, so one that was paused for less is told.
         """
         parts.pauses.check()
-        forget_s = self._around.settings.peers.forget_s
-        if parts.pauses.longest_s > forget_s / 2:
+        forget_s = self._context.settings.peers.forget_s
+        if parts.pauses.longest_pause_s > forget_s / 2:
             logger.warning("Paused for too long; forgets all members.")
-            parts.roster.start_anew()
+            parts.roster.reset_membership()
 
-    async def _probe(self, host: ids.HostId) -> None:
+    async def _probe_and_suspect(self, host: ids.HostId) -> None:
         parts = await self._get_parts()
         record = parts.roster.get(host)
         if record is None:
             return
         if not await parts.probes.probe(host):
-            parts.roster.suspect(host, record.life)
-            parts.doubts.begin(host)
+            parts.roster.suspect(host, record.full_version)
+            parts.suspicions.start_suspicion(host)
 
-    async def _get_parts(self) -> membership_parts.Parts:
+    async def _get_parts(self) -> parts_module.Parts:
         await self._started.wait()
         assert self._parts is not None
         return self._parts
 
-    async def _say(self, claim: records.Claim) -> None:
+    async def _announce_claim(self, claim: record_module.Claim) -> None:
         parts = await self._get_parts()
         if parts.roster.identity.record.claim is claim:
             return
-        parts.roster.say(claim)
-        told = self._choose_told(parts)
+        parts.roster.announce_claim(claim)
+        told = self._sample_recipients(parts)
         async with trio.open_nursery() as nursery:
             for member in told:
                 nursery.start_soon(parts.probes.probe, member.host)
-        others = len(parts.roster.live())
+        others = len(parts.roster.live_members())
         if others > len(told):
             rounds = math.ceil(math.log2(others))
             await trio.sleep(rounds * self._interval_s)
 
-    async def _say_farewell(self, parts: membership_parts.Parts) -> None:
-        if parts.roster.identity.record.claim is not records.Claim.LEAVING:
+    async def _send_farewell(self, parts: parts_module.Parts) -> None:
+        if (
+            parts.roster.identity.record.claim
+            is not record_module.Claim.LEAVING
+        ):
             return
-        parts.roster.say(records.Claim.DEAD)
+        parts.roster.announce_claim(record_module.Claim.DEAD)
         with trio.CancelScope(shield=True):
-            for member in self._choose_told(parts):
+            for member in self._sample_recipients(parts):
                 address = (member.address, member.heartbeat_port)
                 await parts.channel.send(messages.Farewell(), address)
 
-    def _choose_told(
-        self, parts: membership_parts.Parts
-    ) -> list[members.Member]:
-        return parts.roster.pick(_TOLD_DIRECTLY, self._around.randomness)
+    def _sample_recipients(
+        self, parts: parts_module.Parts
+    ) -> list[member_module.Member]:
+        return parts.roster.sample_members(
+            _MAX_DIRECT_RECIPIENTS, self._context.randomness
+        )
--- /dev/null
+++ b/persimmonhinge/membership/suspicions.py
@@ -0,0 +1,103 @@
+"""Suspicions: a time to refute, then a last try, then death."""
+
+from __future__ import annotations
+
+import trio
+
+from persimmonhinge import ids
+from persimmonhinge.membership import probes as probes_module
+from persimmonhinge.membership import record as record_module
+from persimmonhinge.membership import roster as roster_module
+from persimmonhinge.settings import entry
+
+# Last tries a second, and at once; with one helper each they keep a cut of
+# many hosts near the control budget.
+_FINAL_PROBES_PER_S = 20.0
+_MAX_FINAL_PROBE_BURST = 20
+_FINAL_PROBE_HELPERS = 1
+
+
+class Suspicions:
+    """One task for each host that may be dead.
+
+    Each host draws its own conclusion: it waits the suspicion time and then
+    tries to reach the member itself, with help. Hearsay of a death skips
+    the wait, since the one who spread it has waited, but not the try.
+    """
+
+    def __init__(
+        self,
+        peers: entry.PeerSettings,
+        roster: roster_module.Roster,
+        probes: probes_module.Probes,
+        nursery: trio.Nursery,
+    ) -> None:
+        """Makes the part.
+
+        Args:
+            peers: Settings of heartbeats; the suspicion time includes the
+                last try.
+            roster: What is believed of hosts.
+            probes: Asks members for signs of life.
+            nursery: Where the tasks run.
+        """
+        wait_s = peers.suspicion_s - peers.heartbeat_interval_s
+        self._wait_s = max(0.0, wait_s)
+        self._roster = roster
+        self._probes = probes
+        self._nursery = nursery
+        self._update_events: dict[ids.HostId, trio.Event] = {}
+        self._next_probe_at = 0.0
+        roster.add_listener(self._handle_update)
+
+    def start_suspicion(self, host: ids.HostId) -> None:
+        """Doubts a host, unless it is doubted already."""
+        if host not in self._update_events:
+            self._update_events[host] = trio.Event()
+            self._nursery.start_soon(self._resolve_suspicion, host)
+
+    def _handle_update(self, host: ids.HostId, appeared: bool) -> None:
+        """Tells the task of a host of news; begins one if they are doubts."""
+        if host in self._update_events:
+            self._update_events[host].set()
+        elif self._roster.is_suspected(host):
+            self.start_suspicion(host)
+
+    async def _resolve_suspicion(self, host: ids.HostId) -> None:
+        try:
+            while not await self._try_to_resolve(host):
+                if not self._roster.is_suspected(host):
+                    return
+        finally:
+            del self._update_events[host]
+
+    async def _try_to_resolve(self, host: ids.HostId) -> bool:
+        """Waits, tries and concludes; False if something came in between."""
+        record = self._roster.get(host)
+        if record is None:
+            return True
+        if record.claim is not record_module.Claim.DEAD:
+            await self._wait_for_update(host)
+        await self._wait_for_probe_rate()
+        present = self._roster.get(host)
+        if present is None or present.full_version != record.full_version:
+            return False
+        if await self._probes.probe(host, _FINAL_PROBE_HELPERS):
+            return False
+        self._roster.declare_dead(host, record.full_version)
+        return True
+
+    async def _wait_for_update(self, host: ids.HostId) -> None:
+        """Waits the suspicion time, or until there is news of the host."""
+        self._update_events[host] = trio.Event()
+        with trio.move_on_after(self._wait_s):
+            await self._update_events[host].wait()
+
+    async def _wait_for_probe_rate(self) -> None:
+        earliest = (
+            trio.current_time() - _MAX_FINAL_PROBE_BURST / _FINAL_PROBES_PER_S
+        )
+        self._next_probe_at = max(
+            earliest, self._next_probe_at + 1 / _FINAL_PROBES_PER_S
+        )
+        await trio.sleep_until(self._next_probe_at)
--- a/persimmonhinge/membership/table.py
+++ b/persimmonhinge/membership/table.py
@@ -11,15 +11,15 @@
 import xxhash
 
 from persimmonhinge import ids
-from persimmonhinge.membership import record as records
+from persimmonhinge.membership import record as record_module
 
-BUCKETS = 64
-_DIGESTS = struct.Struct(f">{BUCKETS}I")
+BUCKET_COUNT = 64
+_DIGESTS = struct.Struct(f">{BUCKET_COUNT}I")
 
 
 @dataclasses.dataclass(slots=True)
 class _Entry:
-    record: records.Record
+    record: record_module.Record
     digest: int
     died_at: float | None
 
@@ -42,21 +42,23 @@
         self._forget_s = forget_s
         self._now = now
         self._entries: dict[ids.HostId, _Entry] = {}
-        self._digests = [0] * BUCKETS
+        self._digests = [0] * BUCKET_COUNT
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def get(self, host: ids.HostId) -> records.Record | None:
+    def get(self, host: ids.HostId) -> record_module.Record | None:
         """Returns the record of a host as it is to be told now."""
         entry = self._entries.get(host)
-        return None if entry is None else self._tell(entry)
+        return None if entry is None else self._get_current_record(entry)
 
-    def all(self) -> list[records.Record]:
+    def all(self) -> list[record_module.Record]:
         """Returns all records as they are to be told now."""
-        return [self._tell(entry) for entry in self._entries.values()]
+        return [
+            self._get_current_record(entry) for entry in self._entries.values()
+        ]
 
-    def offer(self, record: records.Record) -> bool:
+    def merge_record(self, record: record_module.Record) -> bool:
         """Takes in a record if it holds against the known one.
 
         A death that others have forgotten, or are about to, is not taken in
@@ -69,12 +71,12 @@
             return False
         known = self.get(record.host)
         if known is None:
-            self._set(record)
+            self._store_record(record)
             return True
-        if records.merge(known, record) is known:
+        if record_module.merge(known, record) is known:
             return False
-        self._set(record)
-        return record.order != known.order
+        self._store_record(record)
+        return record.precedence != known.precedence
 
     def remove(self, host: ids.HostId) -> None:
         """Removes the record of a host."""
@@ -82,7 +84,7 @@
         if entry is not None:
             self._digests[find_bucket(host)] ^= entry.digest
 
-    def find_forgotten(self) -> list[ids.HostId]:
+    def find_expired(self) -> list[ids.HostId]:
         """Returns the hosts that died so long ago that they may go."""
         limit = self._now() - self._forget_s
         return [
@@ -101,35 +103,35 @@
         A digest of another length is of another version: all differ then.
         """
         if len(digests) != _DIGESTS.size:
-            return list(range(BUCKETS))
+            return list(range(BUCKET_COUNT))
         theirs = _DIGESTS.unpack(digests)
         return [
             number
-            for number in range(BUCKETS)
+            for number in range(BUCKET_COUNT)
             if theirs[number] != self._digests[number]
         ]
 
-    def select(self, buckets: Iterable[int]) -> list[records.Record]:
+    def select(self, buckets: Iterable[int]) -> list[record_module.Record]:
         """Returns the records of some buckets."""
         wanted = frozenset(buckets)
         return [
-            self._tell(entry)
+            self._get_current_record(entry)
             for host, entry in self._entries.items()
             if find_bucket(host) in wanted
         ]
 
-    def _set(self, record: records.Record) -> None:
+    def _store_record(self, record: record_module.Record) -> None:
         self.remove(record.host)
         died_at = None
-        if record.claim is records.Claim.DEAD:
+        if record.claim is record_module.Claim.DEAD:
             died_at = self._now() - record.age_s
         digest = xxhash.xxh32_intdigest(
-            msgspec.msgpack.encode((record.host, record.order))
+            msgspec.msgpack.encode((record.host, record.precedence))
         )
         self._entries[record.host] = _Entry(record, digest, died_at)
         self._digests[find_bucket(record.host)] ^= digest
 
-    def _tell(self, entry: _Entry) -> records.Record:
+    def _get_current_record(self, entry: _Entry) -> record_module.Record:
         if entry.died_at is None:
             return entry.record
         age_s = int(self._now() - entry.died_at)
@@ -138,4 +140,4 @@
 
 def find_bucket(host: ids.HostId) -> int:
     """Returns the number of the bucket of a host."""
-    return xxhash.xxh32_intdigest(host.encode()) % BUCKETS
+    return xxhash.xxh32_intdigest(host.encode()) % BUCKET_COUNT
--- a/persimmonhinge/membership/view.py
+++ b/persimmonhinge/membership/view.py
@@ -6,8 +6,8 @@
 
 from persimmonhinge import changes
 from persimmonhinge import ids
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import silence as silences
+from persimmonhinge.membership import isolation
+from persimmonhinge.membership import member as member_module
 
 
 class View:
@@ -22,26 +22,26 @@
         silence: Tells whether this host hears any other one.
     """
 
-    def __init__(self, me: members.Member) -> None:
+    def __init__(self, me: member_module.Member) -> None:
         self.me = me.host
         self.changed = changes.ChangeSignal()
-        self.silence = silences.Silence()
-        self._members: dict[ids.HostId, members.Member] = {me.host: me}
+        self.isolation = isolation.IsolationDetector()
+        self._members: dict[ids.HostId, member_module.Member] = {me.host: me}
         # Each packet with a ticket asks for one: it is worked out once for
         # each change, as a hash of every member for each packet is not.
-        self._refs: dict[ids.HostRef, members.Member | None] = {}
+        self._refs: dict[ids.HostRef, member_module.Member | None] = {}
         self._refs_version = -1
 
     @property
-    def self_member(self) -> members.Member:
+    def self_member(self) -> member_module.Member:
         """This host."""
         return self._members[self.me]
 
-    def get(self, host: ids.HostId) -> members.Member | None:
+    def get(self, host: ids.HostId) -> member_module.Member | None:
         """Returns a member by name, None if it is unknown."""
         return self._members.get(host)
 
-    def find_ref(self, ref: ids.HostRef) -> members.Member | None:
+    def find_by_ref(self, ref: ids.HostRef) -> member_module.Member | None:
         """Returns the member of an incarnation that answers, or None.
 
         Two incarnations with the same ref (chance about 4e-5 at 610 hosts)
@@ -51,17 +51,17 @@
             self._refs_version = self.changed.version
             self._refs = _index_refs(self._members.values())
         found = self._refs.get(ref)
-        return found if found is not None and found.answers else None
+        return found if found is not None and found.is_alive else None
 
-    def all(self) -> Iterable[members.Member]:
+    def all(self) -> Iterable[member_module.Member]:
         """Returns all members, dead ones included."""
         return tuple(self._members.values())
 
-    def role_takers(self) -> list[members.Member]:
+    def role_candidates(self) -> list[member_module.Member]:
         """Returns the members that may be a home or a keeper."""
-        return [m for m in self._members.values() if m.takes_roles]
+        return [m for m in self._members.values() if m.accepts_roles]
 
-    def put(self, member: members.Member) -> None:
+    def put(self, member: member_module.Member) -> None:
         """Adds or replaces a member."""
         if self._members.get(member.host) == member:
             return
@@ -77,10 +77,10 @@
 
 
 def _index_refs(
-    all_members: Iterable[members.Member],
-) -> dict[ids.HostRef, members.Member | None]:
+    all_members: Iterable[member_module.Member],
+) -> dict[ids.HostRef, member_module.Member | None]:
     """Returns the member of each ref; None where two share it."""
-    found: dict[ids.HostRef, members.Member | None] = {}
+    found: dict[ids.HostRef, member_module.Member | None] = {}
     for member in all_members:
         ref = member.ref
         found[ref] = None if ref in found else member
--- a/persimmonhinge/parts.py
+++ b/persimmonhinge/parts.py
@@ -86,7 +86,7 @@
         base.network,
         base.counts,
     )
-    membership.on_new_incarnation(keeper_part.note_incarnation)
+    membership.add_incarnation_hook(keeper_part.note_incarnation)
     front = fronts.CallerSockets(settings, base.contracts, base.counts)
     feeds = _make_feeds(settings, base, front, chooser)
     home = _make_home(settings, base, front, chooser, feeds)
@@ -212,7 +212,7 @@
         parts.pages,
         status,
         parts.counts,
-        lambda: parts.view.self_member.takes_roles,
+        lambda: parts.view.self_member.accepts_roles,
     )
 
 
--- a/persimmonhinge/peers/handshake.py
+++ b/persimmonhinge/peers/handshake.py
@@ -51,7 +51,7 @@
     if hello.incarnation < member.incarnation:
         text = f"incarnation {hello.incarnation}, known {member.incarnation}"
         return link_messages.Refusal(cause.OLD_INCARNATION.value, text)
-    if not member.answers:
+    if not member.is_alive:
         text = f"{hello.host} counts as dead here"
         return link_messages.Refusal(cause.DEAD.value, text)
     return None
--- a/persimmonhinge/peers/link.py
+++ b/persimmonhinge/peers/link.py
@@ -132,7 +132,7 @@
             # A change of the view closes it; see `refresh`.
             return
         member = self._context.view.get(self.host)
-        if member is None or not member.answers:
+        if member is None or not member.is_alive:
             raise self._make_unreachable("find host", "unknown or dead")
         if self._attempt is not None:
             return
@@ -237,7 +237,7 @@
     incarnation = connection.hello.incarnation
     if member.incarnation > incarnation:
         connection.close(cause, f"incarnation {incarnation} was replaced")
-    elif not member.answers and member.incarnation == incarnation:
+    elif not member.is_alive and member.incarnation == incarnation:
         connection.close(cause, f"{member.host} counts as dead")
 
 
--- a/persimmonhinge/upstreams/handing.py
+++ b/persimmonhinge/upstreams/handing.py
@@ -197,7 +197,7 @@
 
     def _lives(self, host: ids.HostId) -> bool:
         member = self._view.get(host)
-        return member is not None and member.answers
+        return member is not None and member.is_alive
 
 
 def _split(
--- a/tests/test_flows/home_fakes.py
+++ b/tests/test_flows/home_fakes.py
@@ -205,7 +205,7 @@
             KEEPERS, entry.contract.upstreams, strict=True
         ):
             member = self._view.get(host)
-            if member is None or not member.takes_roles:
+            if member is None or not member.accepts_roles:
                 continue
             if keeper_refs is not None and member.ref not in keeper_refs:
                 continue
@@ -223,7 +223,7 @@
     ) -> tuple[ids.HostRef, ...]:
         """Returns all keepers."""
         found = [self._view.get(host) for host in KEEPERS]
-        return tuple(m.ref for m in found if m and m.takes_roles)
+        return tuple(m.ref for m in found if m and m.accepts_roles)
 
     def record_start(self, *args: object) -> None:
         """Ignores the call."""
--- a/tests/test_flows/rescue_host.py
+++ b/tests/test_flows/rescue_host.py
@@ -104,7 +104,7 @@
     def put(self, member: members.Member) -> None:
         """Takes in what is believed of a host; links to a dead one break."""
         self.view.put(member)
-        if not member.answers and member.host != self.name:
+        if not member.is_alive and member.host != self.name:
             self.network.lose(member.host)
 
     def become_new(self) -> members.Member:
--- a/tests/test_flows/rescue_network.py
+++ b/tests/test_flows/rescue_network.py
@@ -101,7 +101,7 @@
         self, host: ids.HostId, timeout_s: float
     ) -> None:
         known = self._world.hosts[self._me].view.get(host)
-        if known is None or not known.answers:
+        if known is None or not known.is_alive:
             raise self._make_unreachable(host)
         wires = (
             self._world.wire(self._me, host),
--- a/tests/test_flows/test_flows_chooser.py
+++ b/tests/test_flows/test_flows_chooser.py
@@ -224,7 +224,7 @@
     async def report(message: base.Message) -> base.Message:
         return work.LoadReport(())
 
-    for member in fixture.view.role_takers():
+    for member in fixture.view.role_candidates():
         fixture.network.handlers[member.host] = report
     with trio.move_on_after(60):
         await fixture.chooser.run()
@@ -243,7 +243,7 @@
     async def report(message: base.Message) -> base.Message:
         return work.LoadReport(())
 
-    for member in fixture.view.role_takers():
+    for member in fixture.view.role_candidates():
         fixture.network.handlers[member.host] = report
     with trio.move_on_after(60):
         await fixture.chooser.run()
--- a/tests/test_flows/test_flows_recovery.py
+++ b/tests/test_flows/test_flows_recovery.py
@@ -312,7 +312,7 @@
         outcome: Outcome that they report; None if they are unreachable.
     """
     if outcome is not None:
-        world.view.silence.note_heard(trio.current_time())
+        world.view.isolation.record_datagram(trio.current_time())
     other_host = dataclasses.replace(
         home_fakes.make_member(_OTHER_DOMAIN_HOST), domain=ids.DomainId("south")
     )
@@ -325,8 +325,8 @@
 def _make_connected_world() -> home_fakes.HomeWorld:
     """Returns a home that has just received a datagram of another host."""
     world = home_fakes.HomeWorld()
-    world.view.silence.limit_s = 0.9
-    world.view.silence.note_heard(trio.current_time())
+    world.view.isolation.limit_s = 0.9
+    world.view.isolation.record_datagram(trio.current_time())
     return world
 
 
@@ -413,7 +413,7 @@
         before = await _post_reservation(world, lose_link)
         await trio.sleep(2)
         # A datagram of another domain is received first.
-        world.view.silence.note_heard(trio.current_time())
+        world.view.isolation.record_datagram(trio.current_time())
         _add_other_domain_host(world)
         await trio.sleep(1)
         assert _list_replies(world, before) == []
--- a/tests/test_membership/hosts.py
+++ b/tests/test_membership/hosts.py
@@ -15,11 +15,11 @@
 
 from persimmonhinge import errors
 from persimmonhinge import ids
-from persimmonhinge.membership import member as members
+from persimmonhinge.membership import member as member_module
 from persimmonhinge.membership import service
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.settings import entry
 from tests.test_membership import lossy_network
 
 DOMAINS = ("dom-a", "dom-b", "dom-c")
@@ -41,9 +41,9 @@
     """
 
     name: ids.HostId
-    settings: settings_entry.EntrySettings
-    view: views.View
-    counts: host_counts.Counts
+    settings: entry.EntrySettings
+    view: view_module.View
+    counts: counts_module.Counts
     membership: service.Membership
     scope: trio.CancelScope = dataclasses.field(
         default_factory=trio.CancelScope
@@ -73,14 +73,14 @@
     number: int,
     seeds: list[dict[str, Any]],
     **peers: Any,
-) -> settings_entry.EntrySettings:
+) -> entry.EntrySettings:
     """Returns settings of a host; hosts go round over the domains."""
     defaults = {
         "address": f"10.0.0.{number + 1}",
         "port": _PORT,
         "heartbeat_port": _PORT,
     }
-    return settings_entry.EntrySettings.model_validate(
+    return entry.EntrySettings.model_validate(
         {
             "host": name,
             "domain": DOMAINS[number % len(DOMAINS)],
@@ -104,13 +104,13 @@
 
 
 def make_host(
-    settings: settings_entry.EntrySettings,
+    settings: entry.EntrySettings,
     incarnation: int,
     randomness: random.Random,
     **options: Any,
 ) -> Host:
     """Returns a host that does not run yet."""
-    me = members.Member(
+    me = member_module.Member(
         host=ids.HostId(settings.host),
         domain=ids.DomainId(settings.domain),
         address=settings.peers.address,
@@ -118,8 +118,8 @@
         heartbeat_port=settings.peers.heartbeat_port,
         incarnation=ids.Incarnation(incarnation),
     )
-    view = views.View(me)
-    counts = host_counts.Counts()
+    view = view_module.View(me)
+    counts = counts_module.Counts()
     membership = service.Membership(
         settings, view, counts, randomness=randomness, **options
     )
@@ -168,8 +168,7 @@
             name or f"host-{number}", number, seeds, **self.peers
         )
         listed = [
-            settings_entry.SeedHost.model_validate(fields)
-            for fields in platform_hosts
+            entry.SeedHost.model_validate(fields) for fields in platform_hosts
         ]
         port = self.network.open((settings.peers.address, _PORT))
         host = make_host(
@@ -189,7 +188,7 @@
         self.network.close((host.settings.peers.address, _PORT))
         host.scope.cancel()
 
-    def let_all_pause(self, duration_s: float) -> None:
+    def pause_all_hosts(self, duration_s: float) -> None:
         """Lets time pass in which no host runs."""
         clock = trio.lowlevel.current_clock()
         assert isinstance(clock, trio.testing.MockClock)
@@ -226,11 +225,11 @@
 
     async def watch(
         self, duration_s: float
-    ) -> AsyncIterator[tuple[Host, members.Member]]:
+    ) -> AsyncIterator[tuple[Host, member_module.Member]]:
         """Yields each change that a running host sees, for some seconds."""
-        send, receive = trio.open_memory_channel[tuple[Host, members.Member]](
-            math.inf
-        )
+        send, receive = trio.open_memory_channel[
+            tuple[Host, member_module.Member]
+        ](math.inf)
 
         async def follow(host: Host) -> None:
             before = set(host.view.all())
--- a/tests/test_membership/test_membership_codec.py
+++ b/tests/test_membership/test_membership_codec.py
@@ -8,42 +8,45 @@
 from hypothesis import strategies
 import msgspec
 
-from persimmonhinge.membership import codec as codecs
-from persimmonhinge.membership import gossip as gossips
+from persimmonhinge.membership import codec as codec_module
+from persimmonhinge.membership import gossip as gossip_module
 from persimmonhinge.membership import messages
-from persimmonhinge.membership import record as records
-from persimmonhinge.membership import table as tables
+from persimmonhinge.membership import record as record_module
+from persimmonhinge.membership import table as table_module
 from tests.test_membership import test_membership_record
 
 _REPEATABLE = hypothesis.settings(deadline=None, derandomize=True)
 _SECRET = b"correct horse"
 _RECORD = test_membership_record.make_record()
-_LETTER = codecs.Letter(_RECORD, (_RECORD,), messages.Ping(7))
+_HEARTBEAT = codec_module.Heartbeat(_RECORD, (_RECORD,), messages.Ping(7))
 
 
 def find_cause(
-    codec: codecs.DatagramCodec, data: bytes
-) -> codecs.RefusalCause | None:
+    codec: codec_module.DatagramCodec, data: bytes
+) -> codec_module.RefusalCause | None:
     try:
         codec.decode(data)
-    except codecs.RefusedDatagramError as error:
+    except codec_module.RefusedDatagramError as error:
         return error.cause
     return None
 
 
 def test_a_letter_comes_back_as_it_was() -> None:
-    for codec in (codecs.DatagramCodec(None), codecs.DatagramCodec(_SECRET)):
-        assert codec.decode(codec.encode(_LETTER)) == _LETTER
+    for codec in (
+        codec_module.DatagramCodec(None),
+        codec_module.DatagramCodec(_SECRET),
+    ):
+        assert codec.decode(codec.encode(_HEARTBEAT)) == _HEARTBEAT
 
 
 def test_other_secrets_are_refused() -> None:
-    signed = codecs.DatagramCodec(_SECRET)
-    plain = codecs.DatagramCodec(None)
-    data = signed.encode(_LETTER)
-    forged = codecs.DatagramCodec(b"other").encode(_LETTER)
-    cause = codecs.RefusalCause
+    signed = codec_module.DatagramCodec(_SECRET)
+    plain = codec_module.DatagramCodec(None)
+    data = signed.encode(_HEARTBEAT)
+    forged = codec_module.DatagramCodec(b"other").encode(_HEARTBEAT)
+    cause = codec_module.RefusalCause
     assert find_cause(signed, forged) is cause.BAD_SIGNATURE
-    assert find_cause(signed, plain.encode(_LETTER)) is cause.UNSIGNED
+    assert find_cause(signed, plain.encode(_HEARTBEAT)) is cause.UNSIGNED
     assert find_cause(plain, data) is cause.MALFORMED
     assert find_cause(signed, data + bytes(2000)) is cause.TOO_LONG
 
@@ -54,15 +57,15 @@
     packed = [[*body, "new"], [[*body, "new"]], [7, "new"], "new"]
     for kind, message in (("hb-ping", messages.Ping(7)), ("hb-new", None)):
         data = b"\x01" + msgspec.msgpack.encode([kind, *packed])
-        letter = codecs.DatagramCodec(None).decode(data)
-        assert letter == codecs.Letter(_RECORD, (_RECORD,), message)
+        letter = codec_module.DatagramCodec(None).decode(data)
+        assert letter == codec_module.Heartbeat(_RECORD, (_RECORD,), message)
 
 
 @_REPEATABLE
 @hypothesis.given(strategies.binary(max_size=1500))
 def test_random_datagrams_are_refused(data: bytes) -> None:
-    assert find_cause(codecs.DatagramCodec(_SECRET), data) is not None
-    assert find_cause(codecs.DatagramCodec(None), data) is not None
+    assert find_cause(codec_module.DatagramCodec(_SECRET), data) is not None
+    assert find_cause(codec_module.DatagramCodec(None), data) is not None
 
 
 @_REPEATABLE
@@ -72,8 +75,8 @@
 def test_damaged_datagrams_raise_nothing_else(
     place: int, octet: int, data: strategies.DataObject
 ) -> None:
-    codec = codecs.DatagramCodec(None)
-    damaged = bytearray(codec.encode(_LETTER))
+    codec = codec_module.DatagramCodec(None)
+    damaged = bytearray(codec.encode(_HEARTBEAT))
     damaged[place % len(damaged)] = octet
     length = data.draw(strategies.integers(0, len(damaged)))
     find_cause(codec, bytes(damaged[:length]))
@@ -85,30 +88,30 @@
     for place, value in enumerate(wrong):
         sender = [*body[:place], value, *body[place + 1 :]]
         data = b"\x01" + msgspec.msgpack.encode(["hb-ping", sender, [], [1]])
-        cause = find_cause(codecs.DatagramCodec(None), data)
-        assert cause is codecs.RefusalCause.MALFORMED
+        cause = find_cause(codec_module.DatagramCodec(None), data)
+        assert cause is codec_module.RefusalCause.MALFORMED
 
 
 @_REPEATABLE
 @hypothesis.given(strategies.integers(1, 200), strategies.integers(0, 100))
 def test_gossip_is_bounded_and_complete(count: int, about: int) -> None:
-    codec = codecs.DatagramCodec(_SECRET)
-    table = tables.Table(100.0, lambda: 0.0)
+    codec = codec_module.DatagramCodec(_SECRET)
+    table = table_module.Table(100.0, lambda: 0.0)
     times = itertools.count()
-    gossip = gossips.Gossip(table, codec.measure, lambda: next(times))
+    gossip = gossip_module.Gossip(table, codec.measure, lambda: next(times))
     for number in range(count):
         record = test_membership_record.make_record(
-            f"host-{number}", claim=records.Claim(number % 4)
+            f"host-{number}", claim=record_module.Claim(number % 4)
         )
-        table.offer(record)
+        table.merge_record(record)
         gossip.add(record.host)
     target = test_membership_record.make_record(f"host-{about}").host
     told = set()
     for _ in range(40 * count):
-        rumors = gossip.take(about=target)
-        letter = codecs.Letter(_RECORD, rumors, messages.Ping(1))
+        rumors = gossip.choose_records(recipient=target)
+        letter = codec_module.Heartbeat(_RECORD, rumors, messages.Ping(1))
         size = len(codec.encode(letter))
-        assert size <= codecs.MAX_DATAGRAM_OCTETS / 2
+        assert size <= codec_module.MAX_DATAGRAM_OCTETS / 2
         told |= {rumor.host for rumor in rumors}
     assert not len(gossip)
     assert told | {target} >= {record.host for record in table.all()}
@@ -119,15 +122,19 @@
 
     Hundreds of hosts had just started, and the suspicion queued behind them.
     """
-    codec = codecs.DatagramCodec(None)
-    table = tables.Table(100.0, lambda: 0.0)
+    codec = codec_module.DatagramCodec(None)
+    table = table_module.Table(100.0, lambda: 0.0)
     times = itertools.count()
-    gossip = gossips.Gossip(table, codec.measure, lambda: next(times))
-    suspect = test_membership_record.make_record(claim=records.Claim.SUSPECT)
+    gossip = gossip_module.Gossip(table, codec.measure, lambda: next(times))
+    suspect = test_membership_record.make_record(
+        claim=record_module.Claim.SUSPECT
+    )
     for number in range(300):
         record = test_membership_record.make_record(f"new-{number}")
-        table.offer(record)
+        table.merge_record(record)
         gossip.add(record.host)
-    table.offer(suspect)
+    table.merge_record(suspect)
     gossip.add(suspect.host)
-    assert all(suspect in gossip.take(about=None) for _ in range(10))
+    assert all(
+        suspect in gossip.choose_records(recipient=None) for _ in range(10)
+    )
--- a/tests/test_membership/test_membership_convergence.py
+++ b/tests/test_membership/test_membership_convergence.py
@@ -15,7 +15,7 @@
 _COUNT = 5
 # The longest wait between tries to reach a host that was cut off, with
 # jitter, and time for what follows.
-_CALM_S = 40.0
+_MAX_CONVERGENCE_S = 40.0
 
 number_strategy = strategies.integers(0, _COUNT - 1)
 event_strategy = strategies.one_of(
@@ -30,7 +30,7 @@
 )
 
 
-async def cause(fleet: hosts.Fleet, event: str, number: int) -> None:
+async def apply_event(fleet: hosts.Fleet, event: str, number: int) -> None:
     """Lets one thing happen; for cuts the number is a set of hosts."""
     if event == "wait":
         await trio.sleep(number / 10)
@@ -65,12 +65,12 @@
             fleet = hosts.Fleet(nursery, seed, loss)
             await fleet.start(_COUNT)
             for event, number in events:
-                await cause(fleet, event, number)
+                await apply_event(fleet, event, number)
             fleet.heal()
             for number in range(_COUNT):
-                await cause(fleet, "start", number)
-                await cause(fleet, "rejoin", number)
-            await fleet.wait_until(fleet.agrees, _CALM_S)
+                await apply_event(fleet, "start", number)
+                await apply_event(fleet, "rejoin", number)
+            await fleet.wait_until(fleet.agrees, _MAX_CONVERGENCE_S)
             nursery.cancel_scope.cancel()
 
     run()
--- a/tests/test_membership/test_membership_pauses.py
+++ b/tests/test_membership/test_membership_pauses.py
@@ -12,12 +12,12 @@
 
 import trio
 
-from persimmonhinge.membership import pauses as pause_watches
+from persimmonhinge.membership import pauses as pauses_module
 from tests.support import trios
 
 _LIMIT_S = 60
 # State and incarnation by host.
-Believed = dict[str, tuple[str, int]]
+HostStates = dict[str, tuple[str, int]]
 
 
 class Process:
@@ -31,8 +31,8 @@
         self.port = 0
 
     async def wait_until(
-        self, condition: Callable[[Believed], bool]
-    ) -> Believed:
+        self, condition: Callable[[HostStates], bool]
+    ) -> HostStates:
         """Reads on until it reports what satisfies a condition."""
         with trio.fail_after(_LIMIT_S):
             while True:
@@ -93,9 +93,9 @@
         paused.signal(signal.SIGCONT)
         after = await first.wait_until(lambda b: b["host-2"][0] == "alive")
         assert after["host-2"][1] > before["host-2"][1]
-        seen: list[Believed] = []
+        seen: list[HostStates] = []
 
-        def note(believed: Believed) -> bool:
+        def note(believed: HostStates) -> bool:
             seen.append(believed)
             return believed["host-2"] == after["host-2"]
 
@@ -106,22 +106,24 @@
 
 def test_only_long_gaps_count_as_pauses() -> None:
     times = iter([0.0, 1.0, 2.9, 9.4, 12.4])
-    pauses = pause_watches.PauseWatch(1.0, lambda: next(times))
+    pauses = pauses_module.PauseDetector(1.0, lambda: next(times))
     longest = []
     for _ in range(4):
         pauses.check()
-        longest.append(pauses.longest_s)
+        longest.append(pauses.longest_pause_s)
     assert longest == [0, 0, 6.5, 6.5]
     pauses.clear()
-    assert pauses.longest_s == 0
+    assert pauses.longest_pause_s == 0
 
 
 def test_pause_that_lies_back_is_forgotten() -> None:
     """A host takes a new incarnation in a cut for a pause of long ago."""
     times = iter([0.0, 5.0, 6.0, 7.0, 8.0])
-    pauses = pause_watches.PauseWatch(1.0, lambda: next(times), memory_s=2.0)
+    pauses = pauses_module.PauseDetector(
+        1.0, lambda: next(times), retention_s=2.0
+    )
     longest = []
     for _ in range(4):
         pauses.check()
-        longest.append(pauses.longest_s)
+        longest.append(pauses.longest_pause_s)
     assert longest == [5.0, 5.0, 5.0, 0]
--- a/tests/test_membership/test_membership_placement.py
+++ b/tests/test_membership/test_membership_placement.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies
 
 from persimmonhinge import ids
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
+from persimmonhinge.membership import member as member_module
+from persimmonhinge.membership import placement as placement_module
+from persimmonhinge.membership import view as view_module
 from tests.test_membership import hosts
 
 _REPEATABLE = hypothesis.settings(
@@ -24,8 +24,8 @@
 )
 
 
-def make_member(number: int) -> members.Member:
-    return members.Member(
+def make_member(number: int) -> member_module.Member:
+    return member_module.Member(
         host=ids.HostId(f"host-{number}"),
         domain=ids.DomainId(hosts.DOMAINS[number % len(hosts.DOMAINS)]),
         address="127.0.0.1",
@@ -35,22 +35,22 @@
     )
 
 
-def make_placement(numbers: Iterable[int]) -> placements.Placement:
+def make_placement(numbers: Iterable[int]) -> placement_module.Placement:
     first, *others = numbers
-    view = views.View(make_member(first))
+    view = view_module.View(make_member(first))
     for number in others:
         view.put(make_member(number))
-    return placements.Placement(view)
+    return placement_module.Placement(view)
 
 
-def place(placement: placements.Placement) -> list[ids.HostId]:
+def place_flows(placement: placement_module.Placement) -> list[ids.HostId]:
     return [placement.rank_homes(_SERVICE, flow)[0].host for flow in _FLOWS]
 
 
 def test_flows_are_spread_evenly_over_uneven_domains() -> None:
     """Hosts of a small domain had half as many flows again as the others."""
     for numbers in (range(6), range(7), range(24), (0, 1, 2, 3, 6)):
-        counts = collections.Counter(place(make_placement(numbers)))
+        counts = collections.Counter(place_flows(make_placement(numbers)))
         mean = len(_FLOWS) / len(numbers)
         assert len(counts) == len(numbers)
         # Four standard deviations of a binomial distribution.
@@ -79,8 +79,8 @@
 @hypothesis.given(numbers_strategy)
 def test_a_join_moves_only_what_the_new_host_gets(numbers: list[int]) -> None:
     *before, joined = numbers
-    former = place(make_placement(before))
-    present = place(make_placement(numbers))
+    former = place_flows(make_placement(before))
+    present = place_flows(make_placement(numbers))
     for old, new in zip(former, present, strict=True):
         assert new in (old, f"host-{joined}")
 
--- a/tests/test_membership/test_membership_record.py
+++ b/tests/test_membership/test_membership_record.py
@@ -9,15 +9,15 @@
 import msgspec
 
 from persimmonhinge import ids
-from persimmonhinge.membership import record as records
-from persimmonhinge.membership import table as tables
+from persimmonhinge.membership import record as record_module
+from persimmonhinge.membership import table as table_module
 
 _REPEATABLE = hypothesis.settings(deadline=None, derandomize=True)
 _FORGET_S = 100.0
 
 
-def make_record(host: str = "host-1", **fields: object) -> records.Record:
-    record = records.Record(
+def make_record(host: str = "host-1", **fields: object) -> record_module.Record:
+    record = record_module.Record(
         host=ids.HostId(host),
         domain=ids.DomainId("dom-a"),
         address=b"\x0a\x00\x00\x01",
@@ -34,7 +34,7 @@
     address=strategies.sampled_from([b"\x0a\x00\x00\x01", b"\x0a\x00\x00\x02"]),
     incarnation=strategies.integers(1, 3).map(ids.Incarnation),
     version=strategies.integers(0, 2),
-    claim=strategies.sampled_from(records.Claim),
+    claim=strategies.sampled_from(record_module.Claim),
     age_s=strategies.integers(0, 2),
 )
 one_host = record_strategy.map(lambda r: msgspec.structs.replace(r, host="h"))
@@ -43,9 +43,11 @@
 @_REPEATABLE
 @hypothesis.given(one_host, one_host, one_host)
 def test_merge_is_a_maximum(
-    one: records.Record, two: records.Record, three: records.Record
+    one: record_module.Record,
+    two: record_module.Record,
+    three: record_module.Record,
 ) -> None:
-    merge = records.merge
+    merge = record_module.merge
     assert merge(one, one) == one
     assert merge(one, two) == merge(two, one)
     assert merge(merge(one, two), three) == merge(one, merge(two, three))
@@ -54,25 +56,28 @@
 @_REPEATABLE
 @hypothesis.given(one_host, one_host)
 def test_merge_never_goes_back(
-    one: records.Record, two: records.Record
+    one: record_module.Record, two: record_module.Record
 ) -> None:
-    merged = records.merge(one, two)
-    assert merged.life == max(one.life, two.life)
-    if one.claim is records.Claim.DEAD and two.life <= one.life:
-        assert merged.claim is records.Claim.DEAD
+    merged = record_module.merge(one, two)
+    assert merged.full_version == max(one.full_version, two.full_version)
+    if (
+        one.claim is record_module.Claim.DEAD
+        and two.full_version <= one.full_version
+    ):
+        assert merged.claim is record_module.Claim.DEAD
 
 
 @_REPEATABLE
 @hypothesis.given(strategies.lists(record_strategy, max_size=8))
 def test_tables_that_heard_the_same_are_equal(
-    heard: list[records.Record],
+    heard: list[record_module.Record],
 ) -> None:
-    one = tables.Table(_FORGET_S, lambda: 50.0)
-    other = tables.Table(_FORGET_S, lambda: 50.0)
+    one = table_module.Table(_FORGET_S, lambda: 50.0)
+    other = table_module.Table(_FORGET_S, lambda: 50.0)
     for record in heard:
-        one.offer(record)
+        one.merge_record(record)
     for record in reversed([*heard, *heard]):
-        other.offer(record)
+        other.merge_record(record)
     assert {r.host: r for r in one.all()} == {r.host: r for r in other.all()}
     assert one.digests() == other.digests()
     assert one.compare(other.digests()) == []
@@ -81,14 +86,14 @@
 @_REPEATABLE
 @hypothesis.given(record_strategy, record_strategy)
 def test_digests_tell_records_apart(
-    one: records.Record, two: records.Record
+    one: record_module.Record, two: record_module.Record
 ) -> None:
     tables_of = []
     for record in (one, two):
-        table = tables.Table(_FORGET_S, lambda: 0.0)
-        table.offer(record)
+        table = table_module.Table(_FORGET_S, lambda: 0.0)
+        table.merge_record(record)
         tables_of.append(table)
-    same = (one.host, one.order) == (two.host, two.order)
+    same = (one.host, one.precedence) == (two.host, two.precedence)
     assert (tables_of[0].digests() == tables_of[1].digests()) is same
 
 
@@ -99,16 +104,16 @@
     have forgotten it itself.
     """
     now = 0.0
-    pair = [tables.Table(_FORGET_S, lambda: now) for _ in range(2)]
-    pair[0].offer(make_record(claim=records.Claim.DEAD))
+    pair = [table_module.Table(_FORGET_S, lambda: now) for _ in range(2)]
+    pair[0].merge_record(make_record(claim=record_module.Claim.DEAD))
     for teller, listener in itertools.islice(
         itertools.cycle([(pair[0], pair[1]), (pair[1], pair[0])]), 10
     ):
         now += _FORGET_S / 4
         for table in pair:
-            for host in table.find_forgotten():
+            for host in table.find_expired():
                 table.remove(host)
         for record in teller.all():
-            listener.offer(record)
+            listener.merge_record(record)
     assert not len(pair[0])
     assert not len(pair[1])
--- a/tests/test_membership/test_membership_service.py
+++ b/tests/test_membership/test_membership_service.py
@@ -12,15 +12,15 @@
 
 from persimmonhinge import ids
 from persimmonhinge.membership import identity
-from persimmonhinge.membership import member as members
+from persimmonhinge.membership import member as member_module
 from tests.support import trios
 from tests.test_membership import hosts
 
 # What the default settings promise, seconds: all hosts know of a join, of a
 # death and of the end of a cut after at most so long.
-_JOIN_S = 3.0
-_DEATH_S = 4.0
-_HEAL_S = 20.0
+_MAX_JOIN_S = 3.0
+_MAX_DEATH_DETECTION_S = 4.0
+_MAX_HEAL_S = 20.0
 
 
 @contextlib.asynccontextmanager
@@ -31,7 +31,7 @@
     async with trio.open_nursery() as nursery:
         fleet = hosts.Fleet(nursery, seed, loss, **peers)
         await fleet.start(count)
-        await fleet.wait_until(fleet.agrees, _JOIN_S + 20 * loss)
+        await fleet.wait_until(fleet.agrees, _MAX_JOIN_S + 20 * loss)
         yield fleet
         nursery.cancel_scope.cancel()
 
@@ -48,7 +48,7 @@
         async with run_fleet(count=count, seed=count) as fleet:
             fleet.kill(3)
             await fleet.wait_until(
-                lambda: fleet.agrees(host_3="dead"), _DEATH_S
+                lambda: fleet.agrees(host_3="dead"), _MAX_DEATH_DETECTION_S
             )
 
 
@@ -65,7 +65,7 @@
         async with run_fleet(count=6, seed=1, loss=loss) as fleet:
             await trio.sleep(100)
             assert fleet.count("membership_deaths_total") == 0
-            await fleet.wait_until(fleet.agrees, _JOIN_S)
+            await fleet.wait_until(fleet.agrees, _MAX_JOIN_S)
     assert fleet.count("membership_suspicions_total") > 0
 
 
@@ -109,7 +109,9 @@
             async for host, member in fleet.watch(duration_s=30)
             if host.name != "host-0" and member.host != "host-0"
         ]
-        assert members.MemberState.DEAD not in {state for *_, state in changes}
+        assert member_module.MemberState.DEAD not in {
+            state for *_, state in changes
+        }
         assert fleet.hosts[1].states()["host-0"] == "dead"
 
 
@@ -130,8 +132,8 @@
         fleet.heal()
         deaths = [
             member
-            async for _, member in fleet.watch(duration_s=_HEAL_S)
-            if member.state is members.MemberState.DEAD
+            async for _, member in fleet.watch(duration_s=_MAX_HEAL_S)
+            if member.state is member_module.MemberState.DEAD
         ]
         assert not deaths
         assert fleet.agrees()
@@ -156,7 +158,7 @@
         assert fleet.hosts[2].states()["host-4"] == "dead"
         fleet.heal()
         await fleet.wait_until(
-            lambda: fleet.agrees(host_0="dead", host_1="dead"), _HEAL_S
+            lambda: fleet.agrees(host_0="dead", host_1="dead"), _MAX_HEAL_S
         )
 
 
@@ -172,9 +174,10 @@
         fleet.kill(2)
         await fleet.start_host(2)
         await fleet.wait_until(
-            lambda: fleet.hosts[0].view.find_ref(former.ref) is None, _JOIN_S
+            lambda: fleet.hosts[0].view.find_by_ref(former.ref) is None,
+            _MAX_JOIN_S,
         )
-        await fleet.wait_until(fleet.agrees, _JOIN_S)
+        await fleet.wait_until(fleet.agrees, _MAX_JOIN_S)
         assert fleet.hosts[0].view.get(former.host) == (
             fleet.hosts[2].view.self_member
         )
@@ -195,9 +198,9 @@
             lambda: (
                 fleet.hosts[2].view.self_member.incarnation > former.incarnation
             ),
-            _JOIN_S,
+            _MAX_JOIN_S,
         )
-        await fleet.wait_until(fleet.agrees, _JOIN_S)
+        await fleet.wait_until(fleet.agrees, _MAX_JOIN_S)
 
 
 @trios.clock_test
@@ -213,9 +216,9 @@
         fleet.cut(lambda source, target: 2 in (source, target))
         await trio.sleep(10)
         new = await fleet.start_host(7, name="host-2")
-        await fleet.wait_until(fleet.agrees, _JOIN_S)
+        await fleet.wait_until(fleet.agrees, _MAX_JOIN_S)
         fleet.heal()
-        await fleet.wait_until(lambda: old.error is not None, _HEAL_S)
+        await fleet.wait_until(lambda: old.error is not None, _MAX_HEAL_S)
         assert isinstance(old.error, identity.NameTakenError)
         assert fleet.agrees()
         assert new.error is None
@@ -251,7 +254,7 @@
         await fleet.hosts[3].membership.leave()
         fleet.kill(3)
         async for _, member in fleet.watch(duration_s=10):
-            assert member.host != "host-3" or not member.takes_roles
+            assert member.host != "host-3" or not member.accepts_roles
         assert fleet.agrees(host_3="dead")
 
 
@@ -267,12 +270,14 @@
         await trio.sleep(3)
         recorded.stop()
         fleet.kill(4)
-        await fleet.wait_until(lambda: fleet.agrees(host_4="dead"), _DEATH_S)
+        await fleet.wait_until(
+            lambda: fleet.agrees(host_4="dead"), _MAX_DEATH_DETECTION_S
+        )
         await trio.sleep(30)
         recorded.replay()
         await trio.sleep(1)
         assert fleet.agrees(host_4="dead")
-        await fleet.wait_until(fleet.agrees, 60 + _JOIN_S)
+        await fleet.wait_until(fleet.agrees, 60 + _MAX_JOIN_S)
         assert ids.HostId("host-4") not in fleet.hosts[0].states()
 
 
@@ -286,9 +291,9 @@
     """
     async with run_fleet(count=6, seed=19) as fleet:
         for _ in range(20):
-            fleet.let_all_pause(duration_s=10)
+            fleet.pause_all_hosts(duration_s=10)
             await trio.sleep(0.001)
-            fleet.let_all_pause(duration_s=10)
+            fleet.pause_all_hosts(duration_s=10)
             await trio.sleep(0.7)
         assert fleet.count("membership_suspicions_total") == 0
 
@@ -302,10 +307,10 @@
     async with run_fleet(count=4, seed=20, forget_s=60) as fleet:
         former = {n: h.view.self_member for n, h in fleet.hosts.items()}
         fleet.kill(3)
-        fleet.let_all_pause(duration_s=40)
+        fleet.pause_all_hosts(duration_s=40)
         await trio.sleep(1)
         assert "host-3" not in fleet.hosts[0].states()
-        await fleet.wait_until(fleet.agrees, _JOIN_S)
+        await fleet.wait_until(fleet.agrees, _MAX_JOIN_S)
         for number, host in fleet.hosts.items():
             present = host.view.self_member
             assert present.incarnation > former[number].incarnation
@@ -321,7 +326,7 @@
     listed = [hosts.make_seed(0), hosts.make_seed(9, "ghost")]
     async with run_fleet(count=4, seed=15) as fleet:
         host = await fleet.start_host(5, seeds=[], platform_hosts=listed)
-        await fleet.wait_until(fleet.agrees, _JOIN_S)
+        await fleet.wait_until(fleet.agrees, _MAX_JOIN_S)
         await trio.sleep(30)
         assert fleet.agrees()
         assert "ghost" not in host.states()
@@ -360,7 +365,8 @@
         await fleet.start_host(2)
         await fleet.start_host(6)
         await fleet.wait_until(
-            lambda: fleet.agrees(host_1="dead"), _DEATH_S + _JOIN_S
+            lambda: fleet.agrees(host_1="dead"),
+            _MAX_DEATH_DETECTION_S + _MAX_JOIN_S,
         )
 
 
@@ -368,9 +374,10 @@
 async def test_a_check_speeds_up_the_discovery() -> None:
     async with run_fleet(count=6, seed=17) as fleet:
         fleet.kill(3)
-        fleet.hosts[0].membership.check(ids.HostId("host-3"))
+        fleet.hosts[0].membership.probe_host(ids.HostId("host-3"))
         took_s = await fleet.wait_until(
-            lambda: fleet.hosts[0].states()["host-3"] == "dead", _DEATH_S
+            lambda: fleet.hosts[0].states()["host-3"] == "dead",
+            _MAX_DEATH_DETECTION_S,
         )
         peers = fleet.hosts[0].settings.peers
         limit_s = peers.heartbeat_interval_s + peers.suspicion_s
