--- a/persimmonhinge/membership/__init__.py
+++ b/persimmonhinge/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of hosts and placement by rendezvous hash."""
+"""Host membership by gossip, and placement by rendezvous hashing."""
--- a/persimmonhinge/membership/budgets.py
+++ b/persimmonhinge/membership/budgets.py
@@ -1,4 +1,4 @@
-"""A limit on octets sent over time."""
+"""Rate limit for the octets that a host sends."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class OctetBudget:
-    """A token bucket: so many octets at once, and so many a second."""
+    """A token bucket that limits the burst size and rate of octets sent."""
 
     def __init__(
         self, octets_per_s: float, max_octets: float, now: Callable[[], float]
     ) -> None:
-        """Makes a full bucket.
+        """Creates a full bucket.
 
         Args:
-            octets_per_s: What is added a second.
-            most: What it holds at most.
+            octets_per_s: Refill rate, octets per second.
+            max_octets: Capacity of the bucket, octets.
             now: Returns the monotonic time, seconds.
         """
         self._octets_per_s = octets_per_s
@@ -25,7 +25,7 @@
         self._filled_at = now()
 
     def try_spend(self, octets: int) -> bool:
-        """Takes octets out; False, and none taken, if there are too few."""
+        """Spends octets; returns False and spends none if too few remain."""
         now = self._now()
         added = (now - self._filled_at) * self._octets_per_s
         self._remaining_octets = min(
--- a/persimmonhinge/membership/channel.py
+++ b/persimmonhinge/membership/channel.py
@@ -1,4 +1,4 @@
-"""Sends and receives heartbeat datagrams, counted and authenticated."""
+"""Sends, receives, authenticates and counts heartbeat datagrams."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Channel:
-    """A datagram port that speaks in letters."""
+    """Sends and receives encoded heartbeats on a datagram port."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         roster: roster_module.Roster,
         counts: counts_module.Counts,
     ) -> None:
-        """Takes over a datagram port."""
+        """Creates a channel that owns a datagram port."""
         self._datagrams = datagrams
         self._codec = codec
         self._roster = roster
@@ -38,15 +38,15 @@
         *,
         recipient: ids.HostId | None = None,
     ) -> None:
-        """Sends a message with the own record and some news.
+        """Sends a message with this host's record and gossip.
 
-        A datagram that the kernel refuses (no route, full buffer) counts as
-        lost: the protocol is made for losses.
+        A datagram that the kernel refuses (no route, full buffer) is treated
+        like one lost in the network, because the protocol tolerates loss.
 
         Args:
             message: The message.
-            address: Where to.
-            about: The host that is there, if known.
+            address: IP address and UDP port of the recipient.
+            recipient: The host at that address, if known.
         """
         rumors = self._roster.gossip.choose_records(recipient=recipient)
         sender = self._roster.identity.record
@@ -57,7 +57,7 @@
             await self._datagrams.send(data, address)
         except OSError as error:
             self._counts.add("heartbeat_send_failures_total")
-            logger.debug("Heartbeat to %s failed: %s.", address, error)
+            logger.debug("Cannot send heartbeat to %s: %s.", address, error)
             return
         self._counts.add("heartbeat_datagrams_sent_total")
         self._counts.add("heartbeat_octets_sent_total", len(data))
@@ -65,7 +65,7 @@
     async def receive(
         self,
     ) -> AsyncIterator[tuple[codec_module.Heartbeat, tuple[str, int]]]:
-        """Yields the letters that arrive; refused ones are counted."""
+        """Yields received heartbeats; counts and discards refused ones."""
         async for data, source in self._datagrams:
             self._counts.add("heartbeat_datagrams_received_total")
             self._counts.add("heartbeat_octets_received_total", len(data))
--- a/persimmonhinge/membership/codec.py
+++ b/persimmonhinge/membership/codec.py
@@ -1,4 +1,4 @@
-"""Heartbeat datagrams: msgpack with an HMAC in front."""
+"""Encodes heartbeat datagrams as msgpack, preceded by an HMAC."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import msgspec
 
 from persimmonhinge import errors
-from persimmonhinge.membership import messages  # Registers kinds.
+from persimmonhinge.membership import messages  # Registers message kinds.
 from persimmonhinge.membership import record as record_module
 from persimmonhinge.peers.messages import base
 
@@ -23,12 +23,13 @@
 
 
 class RefusalCause(enum.Enum):
-    """Why a datagram was dropped.
+    """Why a datagram was refused.
 
-    TOO_LONG: It is longer than any that a host sends.
-    UNSIGNED: It has no HMAC although this host has a secret.
-    BAD_SIGNATURE: Its HMAC is of another secret, or it was changed.
-    MALFORMED: It is not a message.
+    TOO_LONG: The datagram exceeds the maximum length that hosts send.
+    UNSIGNED: The datagram has no HMAC although this host has a secret.
+    BAD_SIGNATURE: The HMAC was made with another secret, or the datagram was
+        modified.
+    MALFORMED: The datagram is not a valid heartbeat.
     """
 
     TOO_LONG = "too-long"
@@ -38,10 +39,10 @@
 
 
 class RefusedDatagramError(errors.PeerProtocolError):
-    """A datagram is not to be taken in.
+    """A received heartbeat datagram was refused.
 
     Attributes:
-        cause: Why.
+        cause: Why the datagram was refused.
     """
 
     def __init__(self, cause: RefusalCause) -> None:
@@ -58,12 +59,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """One datagram, read.
+    """The decoded content of one heartbeat datagram.
 
     Attributes:
-        sender: Own record of the host that sent it.
-        rumors: Records of other hosts, passed on with it.
-        message: The message; None if its kind is of a newer version.
+        sender: Record of the host that sent the datagram.
+        other_records: Gossiped records of other hosts.
+        message: The message; None if its kind is unknown because the sender
+            runs a newer version.
     """
 
     sender: record_module.Record
@@ -72,16 +74,21 @@
 
 
 class DatagramCodec:
-    """Writes and reads datagrams under the deployment's secret."""
+    """Encodes and decodes datagrams, authenticated by a shared secret."""
 
     def __init__(self, secret: bytes | None) -> None:
-        """Takes the secret; None for open heartbeats."""
+        """Creates a codec.
+
+        Args:
+            secret: Secret of the deployment; None for heartbeats without
+                authentication.
+        """
         self._secret = secret
         self._encoder = msgspec.msgpack.Encoder()
         self._envelope_decoder = msgspec.msgpack.Decoder(_Envelope)
 
     def encode(self, heartbeat: Heartbeat) -> bytes:
-        """Returns a datagram; its message is not None."""
+        """Returns the datagram for a heartbeat whose message is not None."""
         assert heartbeat.message is not None
         envelope = _Envelope(
             base.get_kind(heartbeat.message),
@@ -95,10 +102,11 @@
         return _SIGNED + self._sign(payload) + payload
 
     def decode(self, data: bytes) -> Heartbeat:
-        """Returns what a datagram holds.
+        """Returns the heartbeat that a datagram contains.
 
         Raises:
-            RefusedDatagramError: It is not to be taken in.
+            RefusedDatagramError: The datagram is too long, not authentic or
+                malformed.
         """
         if len(data) > MAX_DATAGRAM_OCTETS:
             raise RefusedDatagramError(RefusalCause.TOO_LONG)
@@ -116,7 +124,7 @@
         return Heartbeat(envelope.sender, envelope.other_records, message)
 
     def measure(self, record: record_module.Record) -> int:
-        """Returns the octets that a record takes in a datagram."""
+        """Returns the encoded size of a record, octets."""
         return len(self._encoder.encode(record))
 
     def _verify_payload(self, data: bytes) -> bytes:
--- a/persimmonhinge/membership/contacts.py
+++ b/persimmonhinge/membership/contacts.py
@@ -1,4 +1,4 @@
-"""Addresses at which hosts may be: seeds, the platform's list, the dead."""
+"""Addresses to ping for unknown hosts: seeds, platform list, dead members."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Contact:
-    """Where a host may be.
+    """An address at which a host may be running.
 
     Attributes:
-        host: Its supposed name.
-        address: IP address and UDP port of its heartbeats.
+        host: Expected name of the host.
+        address: IP address and UDP port for heartbeats.
     """
 
     host: ids.HostId
@@ -41,12 +41,13 @@
 
 
 class Contacts:
-    """Tells whom to try now and then, with back-off.
+    """Selects contacts to ping, with exponential back-off per contact.
 
-    None of the sources proves anything: the platform's list lags behind, and
-    a seed may be gone. An address is only pinged; the host that answers, if
-    any, says itself who it is. Dead members are tried as well, because a
-    host that was cut off looks dead and nothing else would find it again.
+    No source is authoritative: the platform's list lags behind, and a seed
+    may have been removed. Contacts are therefore only pinged, and a host
+    that answers identifies itself. Dead members are also pinged: a host that
+    was partitioned is seen as dead, and no other mechanism would find it
+    again.
     """
 
     def __init__(
@@ -56,11 +57,12 @@
         platform_hosts: PlatformHosts,
         randomness: random.Random,
     ) -> None:
-        """Makes the part.
+        """Creates the contact list.
 
         Args:
-            settings: Seeds and the first wait.
-            roster: Who lives and who is dead.
+            settings: Settings of this host, for the seeds and the heartbeat
+                interval, which is the first retry delay.
+            roster: Members of the deployment, alive or dead.
             platform_hosts: Returns the platform's list of hosts.
             randomness: Source of jitter.
         """
@@ -73,7 +75,7 @@
         self._refresh_due_at = 0.0
 
     def select_due(self) -> list[Contact]:
-        """Returns a few contacts to ping now."""
+        """Returns a random sample of the contacts that are due for a ping."""
         now = trio.current_time()
         if now >= self._refresh_due_at:
             self._refresh_due_at = now + _REFRESH_INTERVAL_S
@@ -86,7 +88,11 @@
         return chosen
 
     def retry_soon(self) -> None:
-        """Tries all soon: one that was dead is back, so may be others."""
+        """Resets the back-off of all contacts.
+
+        Called when an unknown or dead host appears, because others may have
+        become reachable at the same time.
+        """
         for retry in self._retries.values():
             retry.wait_s = self._first_wait_s
             retry.due_at = min(
@@ -109,7 +115,7 @@
                 )
 
     def _find_contacts(self) -> dict[Contact, None]:
-        """Returns the contacts as keys, in an order that repeats."""
+        """Returns the contacts as dictionary keys, in deterministic order."""
         found = {
             _make_member_contact(m): None for m in self._roster.dead_members()
         }
--- a/persimmonhinge/membership/exchange.py
+++ b/persimmonhinge/membership/exchange.py
@@ -1,4 +1,4 @@
-"""Compares the state with another host and sends what differs."""
+"""Compares membership state with another host and sends the differences."""
 
 from __future__ import annotations
 
@@ -16,25 +16,27 @@
 from persimmonhinge.membership import roster as roster_module
 from persimmonhinge.settings import entry
 
-# Time between exchanges while something differs, and otherwise.
+# Heartbeat intervals between exchanges: while the compared states differ, and
+# after a comparison found them equal.
 _DIFFERENT_STATE_INTERVALS = 2
 _EQUAL_STATE_INTERVALS = 16
 _MAX_CHUNK_OCTETS = 700
-# A digest with what rides on it.
+# Budget charged for one digest datagram, with the gossip it carries.
 _DIGEST_OCTETS = 850
 _OCTETS_PER_S = 4_000.0
-# Two of these give a joining host the state of 610 members.
+# Two bursts of this size transfer the state of 610 members to a joining host.
 _BURST_OCTETS = 16_000.0
 
 
 class Exchange:
-    """Repairs what gossip missed, and tells a joining host the whole state.
-
-    Two hosts compare digests of 64 buckets; only buckets that differ are
-    sent, in datagrams that each make sense alone. A lost one is made up for
-    by the next exchange, which follows soon until nothing differs. A budget
-    bounds what a host spends when many join or come back at once; those
-    that it can't serve ask others.
+    """Repairs updates that gossip missed and sends a joining host all records.
+
+    Two hosts compare digests of 64 buckets of records and send only the
+    buckets that differ, in datagrams that can be applied independently. A
+    lost datagram is repaired by the next exchange; exchanges run at a shorter
+    interval until no bucket differs. A budget limits the traffic of a host
+    when many hosts join or return at once; hosts that it cannot serve ask
+    other members.
     """
 
     def __init__(
@@ -45,14 +47,14 @@
         measure: Callable[[record_module.Record], int],
         randomness: random.Random,
     ) -> None:
-        """Makes the part.
+        """Creates the state exchange of a host.
 
         Args:
             peers: Settings of heartbeats.
-            channel: Where datagrams go out.
-            roster: What is known.
-            measure: Returns the octets that a record takes.
-            randomness: Source of choices.
+            channel: Sends the datagrams.
+            roster: Members and their records.
+            measure: Returns the encoded size of a record, octets.
+            randomness: Source of random choices.
         """
         self._different_state_interval_s = (
             _DIFFERENT_STATE_INTERVALS * peers.heartbeat_interval_s
@@ -70,7 +72,7 @@
         self._next_exchange_at = trio.current_time()
 
     async def start_exchange_if_due(self) -> None:
-        """Begins an exchange with a random member when it is time."""
+        """Starts an exchange with a random member if one is due."""
         if trio.current_time() < self._next_exchange_at:
             return
         for member in self._roster.sample_members(1, self._randomness):
@@ -79,7 +81,7 @@
                 await self.start_exchange(partner)
 
     async def start_exchange(self, partner: record_module.Record) -> None:
-        """Begins an exchange with a member, if the budget allows one."""
+        """Starts an exchange with a member if the budget allows it."""
         if not self._budget.try_spend(_DIGEST_OCTETS):
             return
         self._next_exchange_at = (
@@ -93,7 +95,7 @@
     async def answer_digest(
         self, digest: messages.Digest, address: tuple[str, int]
     ) -> None:
-        """Answers the digests of another host with what differs."""
+        """Answers the digests of another host with the differing buckets."""
         differing = self._roster.table.compare(digest.buckets)
         if not differing:
             await self._channel.send(messages.State(equal=True), address)
@@ -104,7 +106,7 @@
     async def apply_state(
         self, state: messages.State, address: tuple[str, int]
     ) -> None:
-        """Takes in records and sends those that are asked back for."""
+        """Applies received records and sends the requested buckets."""
         for record in state.records:
             self._roster.apply_record(record)
         if state.equal:
@@ -126,7 +128,8 @@
         requested_buckets: bytes,
     ) -> None:
         known = self._roster.table.select(buckets)
-        # Another part each time, should the budget not suffice for all.
+        # If the budget does not cover all records, each exchange sends a
+        # different subset.
         self._randomness.shuffle(known)
         for chunk in self._split(known):
             octets = sum(self._measure(record) for record in chunk)
@@ -139,7 +142,10 @@
     def _split(
         self, known: list[record_module.Record]
     ) -> Iterator[list[record_module.Record]]:
-        """Yields lists that fit a datagram; an empty one for no records."""
+        """Yields lists of records that fit into a datagram.
+
+        Yields one empty list if there are no records.
+        """
         chunk: list[record_module.Record] = []
         octets = 0
         for record in known:
--- a/persimmonhinge/membership/gossip.py
+++ b/persimmonhinge/membership/gossip.py
@@ -1,4 +1,4 @@
-"""News that ride on heartbeats, in bounded size and number."""
+"""Record updates sent with heartbeats, limited in size and rate."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 
 @dataclasses.dataclass(frozen=True, order=True, slots=True)
 class _QueueEntry:
-    """A place in the queue; the least goes first.
+    """A queue entry for an updated record; the smallest entry is sent first.
 
-    A death does not wait behind hundreds of hosts that have started or come
-    back, and neither does a suspicion, which its host has to hear of in time.
+    Deaths and suspicions are sent before the updates of hosts that started or
+    returned, of which there may be hundreds. A suspected host must receive
+    the suspicion in time to refute it.
     """
 
     can_wait: bool
@@ -34,12 +35,13 @@
 
 
 class Gossip:
-    """Chooses which news a datagram carries.
+    """Chooses the updated records that a datagram carries.
 
-    Each change of a record rides on about three times log2 of the number of
-    hosts datagrams: enough to reach all hosts with high probability, and
-    what it misses the exchange of state brings. The least told goes first.
-    A budget bounds the octets a second, however many datagrams go out.
+    Each update is sent in about 3 * log2(number of hosts) datagrams, which
+    reaches all hosts with high probability; the state exchange delivers
+    updates that gossip missed. Within the same urgency, the update that was
+    sent the fewest times goes first. A budget limits the octets per second
+    regardless of the number of datagrams sent.
     """
 
     def __init__(
@@ -48,11 +50,11 @@
         measure: Callable[[record_module.Record], int],
         now: Callable[[], float],
     ) -> None:
-        """Makes an empty queue.
+        """Creates an empty queue.
 
         Args:
-            table: Where the records stand.
-            measure: Returns the octets that a record takes.
+            table: Holds the records of all hosts.
+            measure: Returns the encoded size of a record, octets.
             now: Returns the monotonic time, seconds.
         """
         self._table = table
@@ -66,17 +68,18 @@
         return len(self._latest_sequences)
 
     def add(self, host: ids.HostId) -> None:
-        """Queues the record of a host; an earlier one of it is dropped."""
+        """Queues a host's updated record in place of its earlier entry."""
         self._push_entry(0, host)
 
     def choose_records(
         self, *, recipient: ids.HostId | None
     ) -> tuple[record_module.Record, ...]:
-        """Returns the news for one datagram.
+        """Returns the records to send in one datagram.
 
         Args:
-            about: The host that it goes to. What is believed of that host
-                comes first unless it is that it lives, so that it can refute.
+            recipient: The host that receives the datagram. Its own record
+                comes first unless the claim is ALIVE, so that the host can
+                refute the claim.
         """
         chosen: list[record_module.Record] = []
         room = _MAX_OCTETS_PER_DATAGRAM
--- a/persimmonhinge/membership/identity.py
+++ b/persimmonhinge/membership/identity.py
@@ -1,4 +1,4 @@
-"""This host's own record: refutation, leaving and new incarnations."""
+"""This host's own record, with refutation, leaving and new incarnations."""
 
 from __future__ import annotations
 
@@ -17,21 +17,22 @@
 
 _REFUTABLE_CLAIMS = (record_module.Claim.SUSPECT, record_module.Claim.DEAD)
 
-# Called with the former and the new self.
+# Called with the member of the previous and of the new incarnation.
 IncarnationHook = Callable[[member.Member, member.Member], None]
 
 
 class NameTakenError(errors.PeerError):
-    """Another process, started later, bears the name of this host."""
+    """Another process with the name of this host was started later."""
 
 
 class Identity:
-    """What this host says of itself.
+    """The record of this host and the rules for changing it.
 
     Attributes:
-        record: The record that each datagram carries.
-        settled: True once this host has known all that some peer knew; from
-            then on no former process of its name is news.
+        record: The record of this host, sent in each datagram.
+        is_synchronized: True once the state of this host has been equal to
+            that of some peer. From then on, this host cannot learn of a
+            former process of its name for the first time.
     """
 
     def __init__(
@@ -41,12 +42,13 @@
         min_death_s: float,
         wall_ms: Callable[[], int],
     ) -> None:
-        """Makes the record of a host that starts.
+        """Creates the record of a host that starts.
 
         Args:
             me: This host.
-            pauses: Tells whether this process did not run for a while.
-            death_s: No shorter silence makes peers declare a host dead.
+            pauses: Detects pauses of this process.
+            min_death_s: Shortest time without answers after which peers
+                declare a host dead, seconds.
             wall_ms: Returns the wall clock, milliseconds.
         """
         self.record = record_module.Record.from_member(me)
@@ -57,29 +59,30 @@
         self._hooks: list[IncarnationHook] = []
 
     def add_hook(self, hook: IncarnationHook) -> None:
-        """Has a function called at each new incarnation."""
+        """Registers a function that is called at each new incarnation."""
         self._hooks.append(hook)
 
     def set_claim(self, claim: record_module.Claim) -> None:
-        """Says something new of this host, on a new version."""
+        """Sets the claim on this host and increments the record version."""
         self.record = msgspec.structs.replace(
             self.record, claim=claim, version=self.record.version + 1
         )
 
     def handle_record(self, record: record_module.Record) -> bool:
-        """Hears what a peer believes of this host and answers to it.
-
-        A doubt is refuted by a higher version. A host that was paused for
-        long enough to be declared dead takes a new incarnation instead: its
-        roles have been taken over meanwhile, and work that it had begun may
-        have been judged lost. Any doubt counts then, since what it reads
-        first is what peers sent before they declared it dead, and to refute
-        that would undo the death before it has heard of it. A host that only
-        was cut off went on running and knows all that it did; it keeps its
-        incarnation, so that tickets that name it stay good.
+        """Handles a record of this host received from a peer.
+
+        This host refutes a suspicion or death with a higher version. A host
+        that was paused long enough to be declared dead starts a new
+        incarnation instead, because its roles have been reassigned and work
+        that it had started may have been declared lost. A suspicion is then
+        enough: the first datagrams it reads were sent before peers declared
+        it dead, and a refutation would revert the death before this host
+        learned of it. A host that was only partitioned kept running and
+        knows its own work; it keeps its incarnation, so that tickets that
+        name the incarnation remain valid.
 
         Returns:
-            True if the own record changed.
+            True if the record of this host changed.
 
         Raises:
             NameTakenError: Another process started later under this name.
@@ -89,7 +92,7 @@
         if record.incarnation > self.record.incarnation:
             self._resolve_name_conflict(record)
         elif record.claim in _REFUTABLE_CLAIMS and self._was_paused_too_long():
-            logger.warning("Peers gave this host up while it was paused.")
+            logger.warning("Peers suspected this host while it was paused.")
             self.start_incarnation(record.incarnation)
         else:
             self.record = msgspec.structs.replace(
@@ -98,7 +101,7 @@
         return True
 
     def start_incarnation(self, known_incarnation: ids.Incarnation) -> None:
-        """Becomes a new incarnation, above an earlier one of this name."""
+        """Starts a new incarnation, higher than a known one of this name."""
         former = self.record
         incarnation = max(
             self._wall_ms(), known_incarnation + 1, former.incarnation + 1
@@ -107,7 +110,7 @@
             former, incarnation=ids.Incarnation(incarnation), version=0
         )
         self._pauses.clear()
-        logger.info("New incarnation %d of this host.", incarnation)
+        logger.info("This host started incarnation %d.", incarnation)
         before = former.to_member(record_module.STATES[former.claim])
         after = self.record.to_member(record_module.STATES[former.claim])
         for hook in self._hooks:
@@ -117,19 +120,21 @@
         return self._pauses.longest_pause_s >= self._min_death_s
 
     def _resolve_name_conflict(self, record: record_module.Record) -> None:
-        """Tells a former process of this name from one that replaced this.
-
-        A former one is met while this host starts, holds the same port, or
-        is dead: its clock ran ahead, and this host goes above it. Otherwise
-        this host was replaced while it was paused or cut off. It gives way:
-        two hosts that outbid each other would move each role for ever.
+        """Handles a higher incarnation that has the name of this host.
+
+        The other process is a former one if this host is not yet
+        synchronized, or if the record has the same address and port or is
+        dead. Its clock was ahead, and this host starts a higher incarnation.
+        Otherwise, this host was replaced while it was paused or partitioned,
+        and stops with an error: if both processes kept raising their
+        incarnations, each role would move back and forth forever.
         """
         same_port = record.heartbeat_address == self.record.heartbeat_address
         dead = record.claim is record_module.Claim.DEAD
         if self.is_synchronized and not same_port and not dead:
             address, port = record.heartbeat_address
             raise NameTakenError(
-                f"another process has the name {record.host}",
+                f"another process was started with the host name {record.host}",
                 step="keep membership",
                 peer=f"{address}:{port}",
             )
--- a/persimmonhinge/membership/suspicions.py
+++ b/persimmonhinge/membership/suspicions.py
@@ -1,4 +1,4 @@
-"""Suspicions: a time to refute, then a last try, then death."""
+"""Declares suspected hosts dead after a timeout and a final probe."""
 
 from __future__ import annotations
 
@@ -10,19 +10,21 @@
 from persimmonhinge.membership import roster as roster_module
 from persimmonhinge.settings import entry
 
-# Last tries a second, and at once; with one helper each they keep a cut of
-# many hosts near the control budget.
+# Rate (per second) and burst of final probes. With one helper per attempt,
+# these limits keep traffic near the control budget when a partition cuts off
+# many hosts.
 _FINAL_PROBES_PER_S = 20.0
 _MAX_FINAL_PROBE_BURST = 20
 _FINAL_PROBE_HELPERS = 1
 
 
 class Suspicions:
-    """One task for each host that may be dead.
+    """Runs one task for each suspected host.
 
-    Each host draws its own conclusion: it waits the suspicion time and then
-    tries to reach the member itself, with help. Hearsay of a death skips
-    the wait, since the one who spread it has waited, but not the try.
+    Each host decides by itself: it waits for the suspicion timeout and then
+    probes the member, directly and through a helper. A death reported by
+    another host skips the timeout, because that host has already waited, but
+    not the final probe.
     """
 
     def __init__(
@@ -32,14 +34,14 @@
         probes: probes_module.Probes,
         nursery: trio.Nursery,
     ) -> None:
-        """Makes the part.
+        """Creates the suspicion handling of a host.
 
         Args:
-            peers: Settings of heartbeats; the suspicion time includes the
-                last try.
-            roster: What is believed of hosts.
-            probes: Asks members for signs of life.
-            nursery: Where the tasks run.
+            peers: Settings of heartbeats; the suspicion timeout includes the
+                final probe.
+            roster: Members and their records.
+            probes: Probes members.
+            nursery: Runs the tasks.
         """
         wait_s = peers.suspicion_s - peers.heartbeat_interval_s
         self._wait_s = max(0.0, wait_s)
@@ -51,13 +53,13 @@
         roster.add_listener(self._handle_update)
 
     def start_suspicion(self, host: ids.HostId) -> None:
-        """Doubts a host, unless it is doubted already."""
+        """Starts the suspicion task of a host unless one is running."""
         if host not in self._update_events:
             self._update_events[host] = trio.Event()
             self._nursery.start_soon(self._resolve_suspicion, host)
 
     def _handle_update(self, host: ids.HostId, appeared: bool) -> None:
-        """Tells the task of a host of news; begins one if they are doubts."""
+        """Wakes the host's task; starts one if the host became suspected."""
         if host in self._update_events:
             self._update_events[host].set()
         elif self._roster.is_suspected(host):
@@ -72,7 +74,11 @@
             del self._update_events[host]
 
     async def _try_to_resolve(self, host: ids.HostId) -> bool:
-        """Waits, tries and concludes; False if something came in between."""
+        """Waits, probes the host and declares it dead if it is silent.
+
+        Returns:
+            False if the host answered or its record changed in the meantime.
+        """
         record = self._roster.get(host)
         if record is None:
             return True
@@ -88,7 +94,7 @@
         return True
 
     async def _wait_for_update(self, host: ids.HostId) -> None:
-        """Waits the suspicion time, or until there is news of the host."""
+        """Waits for the suspicion timeout or an update of the host's record."""
         self._update_events[host] = trio.Event()
         with trio.move_on_after(self._wait_s):
             await self._update_events[host].wait()
