--- a/persimmonhinge/membership/isolation.py
+++ b/persimmonhinge/membership/isolation.py
@@ -1,4 +1,4 @@
-"""Whether this host hears any other host."""
+"""Detects that this host receives no datagrams from any other host."""
 
 from __future__ import annotations
 
@@ -6,14 +6,15 @@
 
 
 class IsolationDetector:
-    """Notices when nothing came from any other host for a while.
+    """Detects isolation: no datagram from any other host for some time.
 
-    Deaths are concluded one after the other, each from its own silence; that
-    of all hosts at once shows at the first of them that this host is cut off.
+    A partitioned host declares the other hosts dead one after another, each
+    because that host does not answer. The absence of datagrams from all
+    hosts shows the partition already at the first of these deaths.
 
     Attributes:
-        limit_s: A longer pause between two datagrams counts as silence,
-            seconds.
+        limit_s: Longest time without a datagram that does not count as
+            isolation, seconds.
     """
 
     def __init__(self) -> None:
@@ -22,17 +23,18 @@
         self._ended_at = -math.inf
 
     def record_datagram(self, now: float) -> None:
-        """Takes in that a datagram of another host has come."""
+        """Records that a datagram of another host was received."""
         if self._is_isolated(now):
             self._ended_at = now
         self._last_received_at = now
 
     def was_recently_isolated(self, now: float, within_s: float) -> bool:
-        """Tells whether there is silence now, or was until a moment ago.
+        """Returns whether this host is or was recently isolated.
 
         Args:
-            now: The time, seconds.
-            within_s: How long ago it may have ended, seconds.
+            now: The current monotonic time, seconds.
+            within_s: An isolation that ended less than this time ago is
+                recent, seconds.
         """
         return self._is_isolated(now) or now - self._ended_at < within_s
 
--- a/persimmonhinge/membership/member.py
+++ b/persimmonhinge/membership/member.py
@@ -1,4 +1,4 @@
-"""One host as another host knows it."""
+"""A host as a member of the deployment, as seen by another host."""
 
 from __future__ import annotations
 
@@ -11,12 +11,14 @@
 
 
 class MemberState(enum.Enum):
-    """What is believed of a host.
-
-    ALIVE: It answers heartbeats.
-    SUSPECT: It missed some; it still counts until the suspicion runs out.
-    LEAVING: It said that it stops; it takes no new role but still answers.
-    DEAD: It did not refute the suspicion in time.
+    """State of a host in the view of another host.
+
+    ALIVE: The host answers heartbeats.
+    SUSPECT: The host missed heartbeats; it may hold roles until the suspicion
+        times out.
+    LEAVING: The host announced that it will stop; it accepts no new roles but
+        still answers.
+    DEAD: The host did not refute the suspicion in time, or has stopped.
     """
 
     ALIVE = "alive"
@@ -30,13 +32,14 @@
     """One incarnation of a host.
 
     Attributes:
-        host: Its name.
-        domain: Its failure domain.
-        address: IP address of its peer and heartbeat ports.
+        host: Name of the host.
+        domain: Failure domain of the host.
+        address: IP address of the peer and heartbeat ports.
         peer_port: TCP port of peer streams.
         heartbeat_port: UDP port of heartbeats.
-        incarnation: Which process of that name.
-        state: What is believed of it.
+        incarnation: Number that identifies the process among those that had
+            the same host name.
+        state: State of the host in the view that holds the member.
     """
 
     host: ids.HostId
@@ -49,22 +52,22 @@
 
     @property
     def ref(self) -> ids.HostRef:
-        """The short name of this incarnation, as tickets carry it."""
+        """The 32-bit identifier of this incarnation, as used in tickets."""
         return compute_ref(self.host, self.incarnation)
 
     @property
     def accepts_roles(self) -> bool:
-        """True if it may be a home or a keeper."""
+        """True if the host may become a home or a keeper."""
         return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
     @property
     def is_alive(self) -> bool:
-        """True if peers may still talk to it."""
+        """True unless the host is dead; peers may still send to it."""
         return self.state is not MemberState.DEAD
 
 
 def compute_ref(host: ids.HostId, incarnation: ids.Incarnation) -> ids.HostRef:
-    """Returns the 32-bit name of an incarnation."""
+    """Returns the 32-bit identifier of an incarnation."""
     return ids.HostRef(
         xxhash.xxh32_intdigest(f"{host}\n{incarnation}".encode())
     )
--- a/persimmonhinge/membership/messages.py
+++ b/persimmonhinge/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages of heartbeats, each in one datagram."""
+"""Messages of the heartbeat protocol, each sent in one datagram."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @base.message_kind("hb-ping")
 class Ping(base.Message, array_like=True, frozen=True):
-    """Asks for a sign of life; answered by `Ack`.
+    """Asks the recipient to confirm that it is alive; answered by `Ack`.
 
     Attributes:
-        sequence: Chosen by the sender.
+        sequence: Number chosen by the sender to match the answer.
     """
 
     sequence: Annotated[int, _SEQUENCE]
@@ -25,12 +25,12 @@
 
 @base.message_kind("hb-ack")
 class Ack(base.Message, array_like=True, frozen=True):
-    """A sign of life, the sender's own or one that it passes on.
+    """Confirms that the sender, or a host that it pinged, is alive.
 
     Attributes:
-        sequence: The one of the `Ping` or `PingRequest`.
-        subject: Own record of the host whose sign is passed on; None if the
-            sender answers for itself.
+        sequence: Sequence number of the `Ping` or `PingRequest`.
+        subject: Record that the pinged host sent; None if the sender answers
+            for itself.
     """
 
     sequence: Annotated[int, _SEQUENCE]
@@ -39,11 +39,11 @@
 
 @base.message_kind("hb-ping-request")
 class PingRequest(base.Message, array_like=True, frozen=True):
-    """Asks another host to ping a third and to pass the answer on.
+    """Asks the recipient to ping a third host and to relay the answer.
 
     Attributes:
-        sequence: Chosen by the sender.
-        target: Whom to ping, with what the sender believes of it.
+        sequence: Number chosen by the sender to match the answer.
+        target: The sender's record of the host to ping.
     """
 
     sequence: Annotated[int, _SEQUENCE]
@@ -52,10 +52,10 @@
 
 @base.message_kind("hb-digest")
 class Digest(base.Message, array_like=True, frozen=True):
-    """Begins an exchange of state; answered by `State`.
+    """Starts a state exchange; answered by `State`.
 
     Attributes:
-        buckets: Digest of each bucket of records, four octets each.
+        buckets: Digests of all buckets of records, four octets each.
     """
 
     buckets: bytes
@@ -63,11 +63,12 @@
 
 @base.message_kind("hb-state")
 class State(base.Message, array_like=True, frozen=True):
-    """Records of the buckets that differ, or a part of them.
+    """All or some records of the buckets that differ.
 
     Attributes:
         records: The records.
-        wanted: Numbers of the buckets that the sender asks back for.
+        requested_buckets: Numbers of the buckets whose records the sender
+            requests in return.
         equal: True if no bucket differed.
     """
 
@@ -78,4 +79,4 @@
 
 @base.message_kind("hb-farewell")
 class Farewell(base.Message, array_like=True, frozen=True):
-    """The sender stops now; its own record says that it is dead."""
+    """Announces that the sender stops; its record claims that it is dead."""
--- a/persimmonhinge/membership/parts.py
+++ b/persimmonhinge/membership/parts.py
@@ -1,4 +1,4 @@
-"""The parts of membership and how they are put together."""
+"""Creates and connects the components of membership."""
 
 from __future__ import annotations
 
@@ -25,21 +25,22 @@
 from persimmonhinge.peers import network
 from persimmonhinge.settings import entry
 
-# Peers give a host up within one suspicion time after its pause, and tell it
-# so in their next datagrams. A pause is remembered for so many of these times.
+# How long a pause of this process is remembered, in suspicion timeouts. Peers
+# declare a host dead within one suspicion timeout after its pause, and report
+# this to the host in their next datagrams.
 _PAUSE_RETENTION_SUSPICIONS = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostContext:
-    """What membership is given by the host that it runs in.
+    """The objects of the host that membership uses.
 
     Attributes:
         settings: Settings of this host.
-        view: Where the members are shown; holds this host.
+        view: View that membership updates; initially holds this host.
         counts: Counters of this host.
         platform_hosts: Returns the hosts of the platform's list.
-        randomness: Source of choices.
+        randomness: Source of random choices.
     """
 
     settings: entry.EntrySettings
@@ -51,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Parts:
-    """All parts of membership."""
+    """All components of membership."""
 
     pauses: pauses_module.PauseDetector
     roster: roster_module.Roster
@@ -69,13 +70,13 @@
     datagrams: network.Datagrams,
     nursery: trio.Nursery,
 ) -> Parts:
-    """Returns the parts of a host that starts.
+    """Returns the membership components of a host that starts.
 
     Args:
-        around: What the host gives.
-        codec: Writes and reads datagrams.
-        datagrams: The bound port.
-        nursery: Where tasks for single members run.
+        context: Objects of the host that membership uses.
+        codec: Encodes and decodes datagrams.
+        datagrams: The bound heartbeat port.
+        nursery: Runs the tasks for individual members.
     """
     peers = context.settings.peers
     randomness = context.randomness
--- a/persimmonhinge/membership/pauses.py
+++ b/persimmonhinge/membership/pauses.py
@@ -1,4 +1,4 @@
-"""Notices that this process itself did not run for a while."""
+"""Detects pauses in the execution of this process."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 
 
 class PauseDetector:
-    """Measures gaps between its checks, which are due at each heartbeat.
+    """Measures the time between checks, which run at least every heartbeat.
 
-    A process that was stopped or starved does not notice it otherwise, and
-    takes what its peers have concluded meanwhile for an error of theirs. A
-    gap that lies back longer than they take to tell has had no consequences:
-    what they conclude later has another cause.
+    A process that was stopped, or got no CPU time, does not notice it
+    otherwise, and would treat suspicions that its peers raised meanwhile as
+    errors. Peers report the consequences of a pause within a limited time.
+    A pause is forgotten after that time, because any later suspicion has
+    another cause.
     """
 
     def __init__(
@@ -26,12 +27,13 @@
         now: Callable[[], float],
         retention_s: float = math.inf,
     ) -> None:
-        """Begins to watch.
+        """Creates a detector; the first interval starts now.
 
         Args:
-            interval_s: Time between checks when all is well, seconds.
+            interval_s: Longest regular time between checks, seconds.
             now: Returns the monotonic time, seconds.
-            memory_s: How long a gap is remembered after its end, seconds.
+            retention_s: How long a pause is remembered after its end,
+                seconds.
         """
         self._limit_s = _MIN_PAUSE_INTERVALS * interval_s
         self._now = now
@@ -42,11 +44,11 @@
 
     @property
     def longest_pause_s(self) -> float:
-        """The longest gap that is remembered, seconds; 0 for none."""
+        """The longest pause that is remembered, seconds; 0 for none."""
         return self._longest_pause_s
 
     def check(self) -> None:
-        """Looks for a gap since the last check."""
+        """Checks for a pause since the last check."""
         now = self._now()
         gap_s = now - self._last_check_at
         self._last_check_at = now
@@ -58,5 +60,5 @@
             self.clear()
 
     def clear(self) -> None:
-        """Forgets the longest gap."""
+        """Forgets the longest pause."""
         self._longest_pause_s = 0.0
--- a/persimmonhinge/membership/placement.py
+++ b/persimmonhinge/membership/placement.py
@@ -1,4 +1,4 @@
-"""Rendezvous hash: which host is home of a flow or keeps an upstream."""
+"""Places flow homes and upstream keepers on hosts by rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from persimmonhinge.membership import member as member_module
 from persimmonhinge.membership import view as view_module
 
-# Below all scores.
+# Lower than any score, which is an unsigned hash.
 _NO_SCORE = -1
 
 
 @dataclasses.dataclass(slots=True)
 class _Domain:
-    """Members of one domain, in order of name."""
+    """Members of one failure domain, sorted by name."""
 
     names: list[bytes] = dataclasses.field(default_factory=list)
     hosts: list[member_module.Member] = dataclasses.field(default_factory=list)
 
     def find_best(self, key: int) -> tuple[int, member_module.Member]:
-        """Returns the highest score and who has it.
+        """Returns the highest score and the member that has it.
 
-        Equal scores go to the first name, on every host alike.
+        Of equal scores, the first name wins, so all hosts agree.
         """
         hash_name = xxhash.xxh3_64_intdigest
         scores = [hash_name(name, key) for name in self.names]
@@ -32,7 +32,10 @@
         return best, self.hosts[scores.index(best)]
 
     def find_best_two(self, key: int) -> list[tuple[int, member_module.Member]]:
-        """Returns the two highest scores, one if there is one member."""
+        """Returns the two highest scores with their members.
+
+        The list has one entry if the domain has one member.
+        """
         hash_name = xxhash.xxh3_64_intdigest
         scores = [hash_name(name, key) for name in self.names]
         best = max(scores)
@@ -45,7 +48,7 @@
         return found
 
     def rank(self, key: int) -> list[member_module.Member]:
-        """Returns the members, highest score first."""
+        """Returns the members sorted by descending score."""
         hash_name = xxhash.xxh3_64_intdigest
         scored = [
             (hash_name(name, key), member)
@@ -58,10 +61,11 @@
 class Placement:
     """Places flows and upstreams on the members of a view.
 
-    Each host has a score for each flow; the highest is the home. So each
-    host is home of an equal part, and a host that joins or dies moves no
-    flow but those that it gets or had. The members that take roles are
-    grouped once for each change of the view, not for each packet.
+    Each host has a score for each flow, and the host with the highest score
+    is the home. Each host is thus home of an equal share of the flows, and
+    when a host joins or dies, only the flows that it receives or had move.
+    The members that accept roles are grouped once per change of the view, not
+    once per packet.
     """
 
     def __init__(self, view: view_module.View) -> None:
@@ -72,7 +76,7 @@
     def find_home(
         self, service: ids.ServiceName, caller: tuple[str, int]
     ) -> member_module.Member | None:
-        """Returns the first of `rank_homes`, for half the work."""
+        """Returns the first result of `rank_homes` at half the cost."""
         self._refresh()
         key = _hash_flow(service, caller)
         best = [domain.find_best(key) for domain in self._domains.values()]
@@ -81,16 +85,17 @@
     def rank_homes(
         self, service: ids.ServiceName, caller: tuple[str, int]
     ) -> list[member_module.Member]:
-        """Ranks the homes of a flow, best first.
+        """Returns the home of a flow and the alternatives, best first.
 
-        The first is the home. The others follow when it can't be reached:
-        of all but the home, the best host of each domain.
+        The alternatives, used while the home is unreachable, are the
+        highest-scoring host of each domain, excluding the home.
 
-        The second is thus the home once the first is known to be dead.
-        Guards against two homes at that moment: while hosts still wait for
-        a sign of a dead one, a caller's feed would open at a third host,
-        and the feed's keeper would then give it to the right one as well;
-        the caller would see ticks of both, thus steps back.
+        The second host is thus the home once the first is known to be dead.
+        This prevents two homes during that transition. Otherwise, while hosts
+        still wait for answers of a dead home, a caller's feed could open at a
+        third host, and the feed's keeper would then pass the feed to the
+        correct home as well. The caller would receive events from both and
+        see values go back to older ones.
         """
         self._refresh()
         key = _hash_flow(service, caller)
@@ -105,11 +110,11 @@
     def find_keeper(
         self, upstream: ids.UpstreamId, domain: str
     ) -> member_module.Member | None:
-        """Returns the keeper of an upstream, None if its domain has no host.
+        """Returns the keeper of an upstream; None if its domain has no host.
 
         Args:
-            upstream: The upstream, unique across services when written as
-                `service/upstream`.
+            upstream: The upstream, written as `service/upstream` to be unique
+                across services.
             domain: The failure domain of the upstream.
         """
         self._refresh()
@@ -120,23 +125,23 @@
         return keeper
 
     def rank_hosts(self, key: str, domain: str) -> list[member_module.Member]:
-        """Ranks the hosts of a domain that take roles, best first.
+        """Returns the hosts of a domain that accept roles, best first.
 
         Args:
-            key: Name of the role that is placed.
-            domain: The failure domain; unknown ones have no hosts.
+            key: Name of the role to place.
+            domain: The failure domain; an unknown domain has no hosts.
         """
         self._refresh()
         found = self._domains.get(domain)
         return found.rank(_hash_key(key)) if found else []
 
     def count_hosts(self) -> int:
-        """Returns how many hosts take roles."""
+        """Returns the number of hosts that accept roles."""
         self._refresh()
         return sum(len(domain.hosts) for domain in self._domains.values())
 
     def domains(self) -> list[str]:
-        """Returns the failure domains with hosts that take roles, in order."""
+        """Returns the sorted failure domains with hosts that accept roles."""
         self._refresh()
         return sorted(self._domains)
 
--- a/persimmonhinge/membership/probes.py
+++ b/persimmonhinge/membership/probes.py
@@ -1,4 +1,4 @@
-"""Asks members for a sign of life, directly and through others."""
+"""Probes members with pings, directly and through other members."""
 
 from __future__ import annotations
 
@@ -29,16 +29,17 @@
 
 
 class Probes:
-    """Pings and the waits for their answers.
+    """Sends pings and waits for their answers.
 
-    A probe that gets no answer at once is repeated, and three members of
-    different domains are asked to ping as well. So a member counts as silent
-    only if all datagrams of three attempts were lost on all ways, and one
-    that this host can't reach, or not hear, is still found through others.
+    If the first attempt of a probe gets no answer, the ping is repeated, and
+    three members, of different domains where possible, are asked to ping the
+    target as well. A probe thus fails only if the datagrams of three attempts
+    are lost on all paths. A member is still reached through others if this
+    host cannot send to it or cannot receive from it.
 
-    The attempts also guard against pauses of this process. When it runs
-    again, the time for the answer to one attempt has run out although the
-    answer may lie in the socket; it is read while the next attempt waits.
+    Several attempts also protect against pauses of this process. When the
+    process resumes, the timeout of one attempt has expired although the
+    answer may be in the socket buffer; it is read during the next attempt.
     """
 
     def __init__(
@@ -48,14 +49,14 @@
         roster: roster_module.Roster,
         randomness: random.Random,
     ) -> None:
-        """Makes the part.
+        """Creates the prober of a host.
 
         Args:
             peers: Settings of heartbeats; all attempts of a probe together
-                take one interval at most.
-            channel: Where pings go out.
-            roster: Whom to ask for help.
-            randomness: Source of choices.
+                take at most one heartbeat interval.
+            channel: Sends the datagrams.
+            roster: Members and their records, for targets and helpers.
+            randomness: Source of random choices.
         """
         self._timeout_s = peers.heartbeat_interval_s
         self._channel = channel
@@ -68,14 +69,16 @@
     async def probe(
         self, host: ids.HostId, helpers: int = _DEFAULT_HELPERS
     ) -> bool:
-        """Asks a member for a sign of life.
+        """Probes a member.
 
         Args:
             host: The member.
-            helpers: How many others are asked to ping as well, each time.
+            helpers: Number of other members that are asked to ping the member
+                at each attempt after the first.
 
         Returns:
-            False if none came in time, on any way.
+            False if the host is unknown or no answer arrived in time, neither
+            directly nor through a helper.
         """
         target = self._roster.get(host)
         if target is None:
@@ -96,7 +99,7 @@
     async def ping_address(
         self, address: tuple[str, int], host: ids.HostId | None
     ) -> None:
-        """Pings an address at which a host may be; no answer is awaited."""
+        """Pings an address at which a host may be; does not wait."""
         message = messages.Ping(self._next_sequence())
         await self._channel.send(message, address, recipient=host)
 
@@ -106,14 +109,14 @@
         address: tuple[str, int],
         sender: record_module.Record,
     ) -> None:
-        """Gives a sign of life."""
+        """Answers a ping."""
         ack = messages.Ack(ping.sequence)
         await self._channel.send(ack, address, recipient=sender.host)
 
     async def relay_ping(
         self, request: messages.PingRequest, address: tuple[str, int]
     ) -> None:
-        """Pings for another host and passes the answer on."""
+        """Pings a target for another host and relays the answer."""
         if self._active_relays >= _MAX_CONCURRENT_RELAYS:
             return
         self._active_relays += 1
@@ -136,7 +139,7 @@
     def handle_ack(
         self, ack: messages.Ack, sender: record_module.Record
     ) -> None:
-        """Wakes whoever waits for this sign of life."""
+        """Completes the pending probe that an acknowledgement answers."""
         wait = self._pending_probes.get(ack.sequence)
         record = ack.subject or sender
         if wait is None or wait.host != record.host:
@@ -164,10 +167,10 @@
     def _choose_helpers(
         self, target: ids.HostId, count: int
     ) -> list[member.Member]:
-        """Chooses members, of as many domains as there are.
+        """Chooses helpers from as many failure domains as possible.
 
-        A one-way cut between two domains is passed only by a third one, so
-        three helpers of one domain would be worth no more than one.
+        A one-way partition between two domains can be bypassed only through a
+        third one, so three helpers in one domain are no better than one.
         """
         if not count:
             return []
