--- a/persimmonhinge/membership/probe_ring.py
+++ b/persimmonhinge/membership/probe_ring.py
@@ -9,23 +9,23 @@
 
 
 class ProbeRing:
-    """Goes through all members in random order, then through a new one.
+    """Iterates over all members in random order, reshuffled each round.
 
-    Each member is probed once in each round, so the time until a given host
-    notices is bounded, which it is not with independent random choices.
+    Each member is probed once per round. This bounds the time until this host
+    detects a failure; independent random choices would not.
     """
 
     def __init__(
         self, roster: roster_module.Roster, randomness: random.Random
     ) -> None:
-        """Makes a ring over the members of a roster."""
+        """Creates a ring of the members of a roster."""
         self._roster = roster
         self._randomness = randomness
         self._remaining: list[ids.HostId] = []
         roster.add_listener(self._handle_update)
 
     def next(self) -> ids.HostId | None:
-        """Returns the next member that is not dead; None if there is none."""
+        """Returns the next member that is alive; None if there is none."""
         for _ in range(2):
             while self._remaining:
                 host = self._remaining.pop()
@@ -38,7 +38,7 @@
         return None
 
     def _handle_update(self, host: ids.HostId, appeared: bool) -> None:
-        """Puts a new member at a random place of the present round."""
+        """Inserts a new member at a random position in the current round."""
         if not appeared:
             return
         place = self._randomness.randint(0, len(self._remaining))
--- a/persimmonhinge/membership/receiver.py
+++ b/persimmonhinge/membership/receiver.py
@@ -1,4 +1,4 @@
-"""Reads heartbeat datagrams and answers them."""
+"""Receives heartbeat datagrams and answers them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Receiver:
-    """One task that takes in what arrives, in the order of arrival."""
+    """Handles received datagrams one by one, in the order of arrival."""
 
     def __init__(
         self,
@@ -22,13 +22,13 @@
         counts: counts_module.Counts,
         nursery: trio.Nursery,
     ) -> None:
-        """Makes the receiver of a host.
+        """Creates the receiver of a host.
 
         Args:
-            parts: The parts of membership.
-            silence: Where it notes that it hears other hosts.
+            parts: The components of membership.
+            isolation: Detector that is informed of each received datagram.
             counts: Counters of this host.
-            nursery: Where relayed pings wait for their answers.
+            nursery: Runs the tasks that relay pings.
         """
         self._parts = parts
         self._isolation = isolation
@@ -36,7 +36,7 @@
         self._nursery = nursery
 
     async def run(self) -> None:
-        """Receives until cancelled.
+        """Receives and handles datagrams until cancelled.
 
         Raises:
             NameTakenError: Another process started later under this name.
@@ -56,7 +56,7 @@
             await self._synchronize_with(letter.sender)
 
     async def _synchronize_with(self, sender: record.Record) -> None:
-        """Meets a host that is new here, or back: compares state at once."""
+        """Starts a state exchange with a host that was unknown or dead."""
         self._parts.contacts.retry_soon()
         await self._parts.exchange.start_exchange(sender)
 
--- a/persimmonhinge/membership/record.py
+++ b/persimmonhinge/membership/record.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other of one host, and which of two tellings holds."""
+"""Membership records that hosts exchange, and the rule that merges them."""
 
 from __future__ import annotations
 
@@ -19,10 +19,12 @@
 
 
 class Claim(enum.IntEnum):
-    """What is claimed of a host; of claims on one version the highest holds.
+    """A claim about the state of a host.
 
+    Of several claims on one version of a record, the highest one prevails.
     ALIVE and LEAVING come from the host itself, always with a new version.
-    SUSPECT and DEAD come from others, on the version that they doubt.
+    SUSPECT and DEAD come from other hosts, with the version that they
+    suspect; a host that stops after leaving also claims DEAD of itself.
     """
 
     ALIVE = 0
@@ -39,24 +41,27 @@
 }
 
 
-# A host that starts says that it lives, or that it takes no roles yet.
+# First claim of a host that starts. LEAVING means that it accepts no roles
+# yet; all other states result in ALIVE.
 _FIRST_CLAIMS = {member_module.MemberState.LEAVING: Claim.LEAVING}
 
 
 class Record(base.Message, array_like=True, frozen=True):
-    """One claim on one host.
+    """One claim about one host.
 
     Attributes:
-        host: Its name.
-        domain: Its failure domain.
-        address: Its IP address, 4 or 16 octets.
+        host: Name of the host.
+        domain: Failure domain of the host.
+        address: IP address of the host, 4 or 16 octets.
         peer_port: TCP port of peer streams.
         heartbeat_port: UDP port of heartbeats.
-        incarnation: Which process of that name.
-        version: Counter that only the host itself raises, by which it
-            refutes claims on lower versions.
-        claim: What is claimed of it.
-        age_s: Seconds since it was found dead; 0 for other claims.
+        incarnation: Number that identifies the process among those that had
+            the same host name.
+        version: Counter that only the host itself increments, to refute
+            claims on lower versions.
+        claim: The claim about the host.
+        age_s: Time since the host was declared dead, seconds; 0 for other
+            claims.
     """
 
     host: Annotated[ids.HostId, _NAME]
@@ -71,7 +76,7 @@
 
     def __post_init__(self) -> None:
         if len(self.address) not in (4, 16):
-            raise ValueError("an address has 4 or 16 octets")
+            raise ValueError("host address must have 4 or 16 octets")
 
     @classmethod
     def from_member(cls, member: member_module.Member) -> Self:
@@ -89,7 +94,7 @@
     def to_member(
         self, state: member_module.MemberState
     ) -> member_module.Member:
-        """Returns the host as the view holds it."""
+        """Returns the host as a member with the given state."""
         return member_module.Member(
             host=self.host,
             domain=self.domain,
@@ -102,20 +107,21 @@
 
     @property
     def heartbeat_address(self) -> tuple[str, int]:
-        """Where its heartbeats are received."""
+        """IP address and UDP port at which the host receives heartbeats."""
         return (unpack_address(self.address), self.heartbeat_port)
 
     @property
     def full_version(self) -> tuple[int, int]:
-        """Incarnation and version: what a claim is on."""
+        """Incarnation and version to which the claim applies."""
         return (self.incarnation, self.version)
 
     @property
     def precedence(self) -> tuple[int, int, int, str, bytes, int, int]:
-        """What decides between records of one host.
+        """Sort key that decides which record of a host prevails.
 
-        The last fields differ only if two processes of one name started in
-        the same millisecond; all hosts then prefer the same one.
+        The last four fields differ only if two processes with the same name
+        started in the same millisecond; all hosts then prefer the same
+        process.
         """
         return (
             self.incarnation,
@@ -129,13 +135,13 @@
 
 
 def merge(one: Record, other: Record) -> Record:
-    """Returns the record of a host that holds, given two.
+    """Returns which of two records of a host prevails.
 
-    It is the maximum of a total order, so the result depends neither on the
-    order nor on the number of times in which records arrive, and an older
-    incarnation or a refuted version never comes back. Of two dead claims
-    the one that knows of the earlier death holds: ages then only grow, and
-    the record is forgotten in the end however often it is passed on.
+    The result is the maximum in a total order. It therefore depends neither
+    on the order of arrival nor on duplicates, and an older incarnation or a
+    refuted version never returns. Of two otherwise equal DEAD claims, the one
+    with the higher age prevails. Ages can then only increase, so the record
+    is eventually forgotten however often hosts send it to each other.
     """
     if (other.precedence, other.age_s) > (one.precedence, one.age_s):
         return other
@@ -143,12 +149,12 @@
 
 
 def pack_address(address: str) -> bytes:
-    """Returns the octets of an IP address."""
+    """Returns the binary form of an IP address."""
     family = socket.AF_INET6 if ":" in address else socket.AF_INET
     return socket.inet_pton(family, address)
 
 
 def unpack_address(address: bytes) -> str:
-    """Returns the text of an IP address."""
+    """Returns the text form of a binary IP address."""
     family = socket.AF_INET if len(address) == 4 else socket.AF_INET6
     return socket.inet_ntop(family, address)
--- a/persimmonhinge/membership/roster.py
+++ b/persimmonhinge/membership/roster.py
@@ -1,4 +1,4 @@
-"""Takes in what is heard of hosts and shows it in the view."""
+"""Applies received records and updates the view of members."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 
 _Claim = record_module.Claim
 
-# Called at each news of a host, and told whether it was unknown or dead
-# before and lives now.
+# Called at each update of a host's record, with True if the host was unknown
+# or dead before and is alive now.
 UpdateListener = Callable[[ids.HostId, bool], None]
 
 
 class Roster:
-    """The one place where records turn into members.
+    """The single place where received records become members of the view.
 
-    A death that is only hearsay is recorded and passed on at once, but shown
-    as a suspicion until this host has tried to reach the member itself.
-    This guards against flapping at the end of a cut: the other side has
-    declared all hosts of this side dead and says so, and they would drop
-    each other until each has refuted it. The try tells the member of the
-    claim, and its answer brings the refutation.
+    A death reported by another host is stored and gossiped at once, but
+    appears in the view as a suspicion until this host has probed the member.
+    This prevents flapping when a partition ends: the other side has declared
+    all hosts of this side dead and reports this, and hosts of this side would
+    remove each other until each has refuted the claim. The probe carries the
+    claim to the member, and its answer carries the refutation.
 
     Attributes:
-        identity: What this host says of itself.
-        table: The records.
-        gossip: News to pass on.
+        identity: The record of this host.
+        table: The records of all hosts.
+        gossip: Queue of updated records to send.
     """
 
     def __init__(
@@ -50,13 +50,13 @@
         gossip: gossip_module.Gossip,
         counts: counts_module.Counts,
     ) -> None:
-        """Makes a roster with this host alone.
+        """Creates a roster that contains only this host.
 
         Args:
-            view: Where members are shown.
-            identity: What this host says of itself.
+            view: View that the roster updates.
+            identity: The record of this host.
             table: An empty table.
-            gossip: News to pass on.
+            gossip: Queue of updated records to send.
             counts: Counters of this host.
         """
         self.identity = identity
@@ -69,54 +69,60 @@
         self.publish_own_record()
 
     def add_listener(self, listener: UpdateListener) -> None:
-        """Has a function called at each news of another host."""
+        """Registers a function that is called at each update of a host."""
         self._listeners.append(listener)
 
     def publish_own_record(self) -> None:
-        """Shows this host as its own record says."""
+        """Updates the table and the view from the record of this host."""
         record = self.identity.record
         self.table.merge_record(record)
         self._view.put(record.to_member(record_module.STATES[record.claim]))
 
     def get(self, host: ids.HostId) -> record_module.Record | None:
-        """Returns the record of a host, None if it is unknown."""
+        """Returns the record of a host; None if it is unknown."""
         return self.table.get(host)
 
     def live_members(self) -> list[member_module.Member]:
-        """Returns all members but this host that are not dead."""
+        """Returns all members that are alive, except this host."""
         me = self._view.me
         return [m for m in self._view.all() if m.is_alive and m.host != me]
 
     def is_alive(self, host: ids.HostId) -> bool:
-        """Tells whether a host is a member that is not dead."""
+        """Returns whether a host is a member that is not dead."""
         member = self._view.get(host)
         return member is not None and member.is_alive
 
     def dead_members(self) -> list[member_module.Member]:
-        """Returns the dead members that are remembered."""
+        """Returns the dead members that have not yet been forgotten."""
         return [m for m in self._view.all() if not m.is_alive]
 
     def sample_members(
         self, count: int, randomness: random.Random
     ) -> list[member_module.Member]:
-        """Returns some members but this host that are not dead."""
+        """Returns a sample of the live members, without this host.
+
+        Args:
+            count: Maximum size of the sample.
+            randomness: Source of random choices.
+        """
         live = self.live_members()
         return randomness.sample(live, min(count, len(live)))
 
     def apply_record(
         self, record: record_module.Record, *, sent_by_subject: bool = False
     ) -> bool:
-        """Takes in a record.
+        """Applies a received record.
 
         Args:
             record: The record.
-            first_hand: True if the host that it is about sent it.
+            sent_by_subject: True if the host that the record describes sent
+                it.
 
         Returns:
-            True if it brought a host that was unknown or dead.
+            True if the host is alive and was unknown or dead before.
 
         Raises:
-            NameTakenError: See `Identity.hear`.
+            NameTakenError: See `Identity.handle_record`.
         """
         if record.host == self._view.me:
             self._apply_own_record(record)
@@ -135,7 +141,7 @@
         return appeared
 
     def is_suspected(self, host: ids.HostId) -> bool:
-        """Tells whether a host is to be tried before it is given up."""
+        """Returns whether a host must be probed before it is declared dead."""
         record = self.table.get(host)
         if record is None:
             return False
@@ -144,13 +150,13 @@
         )
 
     def suspect(self, host: ids.HostId, full_version: tuple[int, int]) -> None:
-        """Claims that a host does not answer, unless it refuted meanwhile."""
+        """Suspects a host unless its record changed since the given version."""
         record = self.table.get(host)
         if record is None or record.full_version != full_version:
             return
         if record.claim is _Claim.ALIVE:
             self._counts.add("membership_suspicions_total")
-            logger.info("Host %s does not answer; suspected.", host)
+            logger.info("Host %s does not answer probes; suspecting it.", host)
             self.apply_record(
                 msgspec.structs.replace(record, claim=_Claim.SUSPECT)
             )
@@ -158,7 +164,7 @@
     def declare_dead(
         self, host: ids.HostId, full_version: tuple[int, int]
     ) -> None:
-        """Claims that a host is dead, unless it refuted meanwhile."""
+        """Declares a host dead unless its record has a newer version."""
         record = self.table.get(host)
         if (
             record is None
@@ -167,7 +173,7 @@
         ):
             return
         self._counts.add("membership_deaths_total")
-        logger.warning("Host %s is dead.", host)
+        logger.warning("Host %s did not answer the last probe; is dead.", host)
         dead = msgspec.structs.replace(record, claim=_Claim.DEAD)
         if self.table.merge_record(dead):
             self.gossip.add(host)
@@ -175,13 +181,13 @@
         self._publish_member(dead)
 
     def forget_dead_members(self) -> None:
-        """Forgets the hosts that died long ago."""
+        """Removes hosts that have been dead for the retention time."""
         for host in self.table.find_expired():
-            logger.info("Host %s, dead for long, is forgotten.", host)
+            logger.info("Removing dead host %s after the retention time.", host)
             self._remove_host(host)
 
     def reset_membership(self) -> None:
-        """Forgets all other hosts and becomes a new incarnation."""
+        """Removes all other hosts and starts a new incarnation."""
         self.identity.start_incarnation(self.identity.record.incarnation)
         self.publish_own_record()
         for member in tuple(self._view.all()):
@@ -189,7 +195,7 @@
                 self._remove_host(member.host)
 
     def announce_claim(self, claim: record_module.Claim) -> None:
-        """Says something new of this host."""
+        """Sets the claim on this host and updates the view."""
         self.identity.set_claim(claim)
         self.publish_own_record()
 
--- a/persimmonhinge/membership/secret.py
+++ b/persimmonhinge/membership/secret.py
@@ -1,4 +1,4 @@
-"""The secret that authenticates heartbeats."""
+"""Reads the secret that authenticates heartbeats."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def read_secret(peers: entry.PeerSettings) -> bytes | None:
-    """Returns the secret of the heartbeats, None if they are open.
+    """Returns the heartbeat secret; None if heartbeats are unauthenticated.
 
-    White space at the ends of the file does not count.
+    White space at the start and end of the file is ignored.
 
     Raises:
-        SettingsError: The file can't be read or is empty.
+        SettingsError: The secret file cannot be read or is empty.
     """
     path = peers.heartbeat_secret_file
     if path is None:
@@ -26,5 +26,7 @@
     except OSError as error:
         raise errors.SettingsError(str(error), step=_STEP, peer=path) from error
     if not secret:
-        raise errors.SettingsError("the file is empty", step=_STEP, peer=path)
+        raise errors.SettingsError(
+            "secret file is empty", step=_STEP, peer=path
+        )
     return secret
--- a/persimmonhinge/membership/service.py
+++ b/persimmonhinge/membership/service.py
@@ -1,4 +1,4 @@
-"""Membership: finds the other hosts and notices which of them are dead."""
+"""Membership service: discovers other hosts and detects their failures."""
 
 from __future__ import annotations
 
@@ -27,10 +27,11 @@
 
 logger = logging.getLogger(__name__)
 
-# Members that are told of a planned stop by this host itself.
+# Members to which this host sends its claim to leave or stop directly.
 _MAX_DIRECT_RECIPIENTS = 8
-# A host that hears nothing for so many heartbeat intervals is cut off: in each
-# of them it asks one member, and about one asks it.
+# Heartbeat intervals without a received datagram after which this host counts
+# as isolated. In each interval, it probes one member and is probed by about
+# one.
 _ISOLATION_INTERVALS = 3
 
 
@@ -39,11 +40,11 @@
 
 
 class Membership:
-    """Keeps the view of this host by heartbeats with its peers.
+    """Maintains the view of this host by exchanging heartbeats with peers.
 
-    The cost for each host is bounded: it probes one member an interval, news
-    ride on these datagrams, and state is compared by digests. Only the state
-    itself grows with the number of hosts.
+    The cost per host is bounded: each host probes one member per interval,
+    updates are sent in the same datagrams, and states are compared by
+    digests. Only the state itself grows with the number of hosts.
     """
 
     def __init__(
@@ -56,18 +57,18 @@
         datagrams: network.Datagrams | None = None,
         randomness: random.Random | None = None,
     ) -> None:
-        """Makes the part; nothing is sent before `run`.
+        """Creates the membership service; nothing is sent before `run`.
 
         Args:
             settings: Settings of this host.
-            view: Where the members are shown; holds this host.
+            view: View that membership updates; initially holds this host.
             counts: Counters of this host.
             platform_hosts: Returns the hosts of the platform's list.
-            datagrams: A bound port; None binds one by the settings.
-            randomness: Source of choices; None for one of its own.
+            datagrams: A bound port; None binds one according to the settings.
+            randomness: Source of random choices; None creates one.
 
         Raises:
-            SettingsError: The secret can't be read.
+            SettingsError: The heartbeat secret cannot be read.
         """
         self._context = parts_module.HostContext(
             settings=settings,
@@ -87,10 +88,11 @@
         counts.watch("members_known", lambda: len(tuple(view.all())))
 
     def add_incarnation_hook(self, hook: identity.IncarnationHook) -> None:
-        """Has a function called when this host becomes a new incarnation.
+        """Registers a function for new incarnations of this host.
 
-        It is called with the former and the new self, before the view
-        changes, and must not wait. To be set before `run`.
+        The function is called with the member of the previous and of the new
+        incarnation, before the view changes, and must not block. Hooks must
+        be registered before `run`.
         """
         self._hooks.append(hook)
 
@@ -100,7 +102,7 @@
         """Runs until cancelled; reports the UDP port once it is bound.
 
         Raises:
-            OSError: The port can't be had.
+            OSError: The heartbeat port is not available.
             NameTakenError: Another process started later under this name.
         """
         if self._datagrams is not None:
@@ -113,19 +115,20 @@
             bound.close()
 
     async def leave(self) -> None:
-        """Tells the peers that this host stops; returns once it has spread.
+        """Announces that this host will stop; waits until this has spread.
 
-        The host goes on answering heartbeats until `run` is cancelled; it
-        then says farewell, so that peers need not find out.
+        The host continues to answer heartbeats until `run` is cancelled. It
+        then sends a farewell, so that peers do not have to detect that it
+        stopped.
         """
         await self._announce_claim(record_module.Claim.LEAVING)
 
     async def rejoin(self) -> None:
-        """Takes `leave` back."""
+        """Reverts `leave`."""
         await self._announce_claim(record_module.Claim.ALIVE)
 
     def probe_host(self, host: ids.HostId) -> None:
-        """Probes a member at once, as when a link to it broke."""
+        """Probes a member at once, for example after its link broke."""
         if self._nursery is not None:
             self._nursery.start_soon(self._probe_and_suspect, host)
 
@@ -179,16 +182,17 @@
             await trio.sleep(self._interval_s)
 
     def _reset_after_long_pause(self, parts: parts_module.Parts) -> None:
-        """Drops what this host knew if it was away for too long.
+        """Removes all members if this process was paused for too long.
 
-        Guards against reviving the dead: a process that was paused until its
-        peers had forgotten a death would tell them of a living host. Peers
-        remember for twice as long, so one that was paused for less is told.
+        This prevents dead hosts from reappearing as alive: a process that was
+        paused until its peers had forgotten a death would report the dead
+        host to them as alive. Peers remember a death for twice the pause
+        limit, so after a shorter pause they still report it to this host.
         """
         parts.pauses.check()
         forget_s = self._context.settings.peers.forget_s
         if parts.pauses.longest_pause_s > forget_s / 2:
-            logger.warning("Paused for too long; forgets all members.")
+            logger.warning("Process pause was too long; removing all members.")
             parts.roster.reset_membership()
 
     async def _probe_and_suspect(self, host: ids.HostId) -> None:
--- a/persimmonhinge/membership/table.py
+++ b/persimmonhinge/membership/table.py
@@ -1,4 +1,4 @@
-"""The newest record of each host, with digests to compare tables by."""
+"""The current record of each host, with digests for comparing tables."""
 
 from __future__ import annotations
 
@@ -25,18 +25,19 @@
 
 
 class Table:
-    """Records of all hosts, this one included.
+    """Records of all hosts, including this one.
 
-    Records fall into a fixed number of buckets by host name. Each bucket
-    has a digest, the exclusive or of those of its records, kept up to date
-    at each change; so comparing two tables costs the same at any size.
+    Records are assigned to a fixed number of buckets by host name. Each
+    bucket has a digest, the exclusive or of its records' digests, which is
+    updated at each change. The cost of comparing two tables therefore does
+    not depend on their size.
     """
 
     def __init__(self, forget_s: float, now: Callable[[], float]) -> None:
-        """Makes an empty table.
+        """Creates an empty table.
 
         Args:
-            forget_s: How long the dead are remembered, seconds.
+            forget_s: Retention time of dead hosts, seconds.
             now: Returns the monotonic time, seconds.
         """
         self._forget_s = forget_s
@@ -48,24 +49,25 @@
         return len(self._entries)
 
     def get(self, host: ids.HostId) -> record_module.Record | None:
-        """Returns the record of a host as it is to be told now."""
+        """Returns a host's record with its current age; None if unknown."""
         entry = self._entries.get(host)
         return None if entry is None else self._get_current_record(entry)
 
     def all(self) -> list[record_module.Record]:
-        """Returns all records as they are to be told now."""
+        """Returns all records with their current ages."""
         return [
             self._get_current_record(entry) for entry in self._entries.values()
         ]
 
     def merge_record(self, record: record_module.Record) -> bool:
-        """Takes in a record if it holds against the known one.
+        """Stores a record if it prevails over the known record of the host.
 
-        A death that others have forgotten, or are about to, is not taken in
-        from those that remember it a moment longer.
+        A DEAD record that has reached the retention time is ignored. This
+        host may have removed it already, while others still hold it.
 
         Returns:
-            True if it is news; an older age of a known death is none.
+            True if the record is an update to send to other hosts; a higher
+            age of a known death is not.
         """
         if record.age_s >= self._forget_s:
             return False
@@ -85,7 +87,7 @@
             self._digests[find_bucket(host)] ^= entry.digest
 
     def find_expired(self) -> list[ids.HostId]:
-        """Returns the hosts that died so long ago that they may go."""
+        """Returns the hosts that have been dead for the retention time."""
         limit = self._now() - self._forget_s
         return [
             host
@@ -94,13 +96,14 @@
         ]
 
     def digests(self) -> bytes:
-        """Returns the digests of all buckets."""
+        """Returns the digests of all buckets, four octets each."""
         return _DIGESTS.pack(*self._digests)
 
     def compare(self, digests: bytes) -> list[int]:
         """Returns the numbers of the buckets that differ.
 
-        A digest of another length is of another version: all differ then.
+        Digests of another length come from another version of the program;
+        all buckets then count as different.
         """
         if len(digests) != _DIGESTS.size:
             return list(range(BUCKET_COUNT))
@@ -112,7 +115,7 @@
         ]
 
     def select(self, buckets: Iterable[int]) -> list[record_module.Record]:
-        """Returns the records of some buckets."""
+        """Returns the records in the given buckets."""
         wanted = frozenset(buckets)
         return [
             self._get_current_record(entry)
@@ -139,5 +142,5 @@
 
 
 def find_bucket(host: ids.HostId) -> int:
-    """Returns the number of the bucket of a host."""
+    """Returns the number of the bucket to which a host is assigned."""
     return xxhash.xxh32_intdigest(host.encode()) % BUCKET_COUNT
--- a/persimmonhinge/membership/udp.py
+++ b/persimmonhinge/membership/udp.py
@@ -1,4 +1,4 @@
-"""A UDP port as `Datagrams`."""
+"""Implements the `Datagrams` interface on a UDP socket."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """Sends and receives on one bound UDP socket."""
 
     def __init__(self, bound: trio.socket.SocketType) -> None:
-        """Takes over a bound socket."""
+        """Creates an object that owns a bound socket."""
         self._socket = bound
 
     @property
@@ -32,7 +32,7 @@
         await self._socket.sendto(data, address)
 
     async def __aiter__(self) -> AsyncIterator[tuple[bytes, tuple[str, int]]]:
-        """Yields the datagrams that arrive, each with its source."""
+        """Yields the received datagrams, each with its source address."""
         while True:
             data, source = await self._socket.recvfrom(_MAX_OCTETS)
             yield data, (source[0], source[1])
@@ -43,10 +43,10 @@
 
 
 async def bind(address: str, port: int) -> UdpDatagrams:
-    """Binds a UDP socket; port 0 lets the kernel choose.
+    """Binds a UDP socket; port 0 lets the kernel choose the port.
 
     Raises:
-        OSError: The address or port can't be had.
+        OSError: The address or port is not available.
     """
     family = socket.AF_INET6 if ":" in address else socket.AF_INET
     bound = trio.socket.socket(family, socket.SOCK_DGRAM)
--- a/persimmonhinge/membership/view.py
+++ b/persimmonhinge/membership/view.py
@@ -1,4 +1,4 @@
-"""What one host believes of all hosts; read by all parts of the host."""
+"""This host's view of all hosts, read by all components of the host."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class View:
-    """The members that one host knows, itself included.
+    """The members that this host knows, including itself.
 
-    Only the membership part writes to it. Each change of a member's
-    incarnation, state or address announces `changed`.
+    Only membership modifies the view. Each change of a member's incarnation,
+    state or address announces `changed`.
 
     Attributes:
         me: Name of this host.
-        changed: Announced at each change.
-        silence: Tells whether this host hears any other one.
+        changed: Signal that is announced at each change.
+        isolation: Detects that this host receives nothing from other hosts.
     """
 
     def __init__(self, me: member_module.Member) -> None:
@@ -27,25 +27,27 @@
         self.changed = changes.ChangeSignal()
         self.isolation = isolation.IsolationDetector()
         self._members: dict[ids.HostId, member_module.Member] = {me.host: me}
-        # Each packet with a ticket asks for one: it is worked out once for
-        # each change, as a hash of every member for each packet is not.
+        # Each packet with a ticket needs a lookup by ref. The index is rebuilt
+        # once per change because hashing every member for each packet is too
+        # expensive.
         self._refs: dict[ids.HostRef, member_module.Member | None] = {}
         self._refs_version = -1
 
     @property
     def self_member(self) -> member_module.Member:
-        """This host."""
+        """The member that represents this host."""
         return self._members[self.me]
 
     def get(self, host: ids.HostId) -> member_module.Member | None:
-        """Returns a member by name, None if it is unknown."""
+        """Returns a member by name; None if it is unknown."""
         return self._members.get(host)
 
     def find_by_ref(self, ref: ids.HostRef) -> member_module.Member | None:
-        """Returns the member of an incarnation that answers, or None.
+        """Returns the member with a host ref; None if unknown or dead.
 
-        Two incarnations with the same ref (chance about 4e-5 at 610 hosts)
-        count as none: the outcome is then unknown rather than wrong.
+        If two incarnations have the same ref (probability about 4e-5 at 610
+        hosts), the result is None: the outcome of a request is then reported
+        as unknown instead of wrong.
         """
         if self._refs_version != self.changed.version:
             self._refs_version = self.changed.version
@@ -54,7 +56,7 @@
         return found if found is not None and found.is_alive else None
 
     def all(self) -> Iterable[member_module.Member]:
-        """Returns all members, dead ones included."""
+        """Returns all members, including dead ones."""
         return tuple(self._members.values())
 
     def role_candidates(self) -> list[member_module.Member]:
@@ -69,7 +71,7 @@
         self.changed.announce()
 
     def remove(self, host: ids.HostId) -> None:
-        """Forgets a member that died long ago."""
+        """Removes another host from the view; ignores this host."""
         if host == self.me or host not in self._members:
             return
         del self._members[host]
@@ -79,7 +81,7 @@
 def _index_refs(
     all_members: Iterable[member_module.Member],
 ) -> dict[ids.HostRef, member_module.Member | None]:
-    """Returns the member of each ref; None where two share it."""
+    """Returns the member of each ref; None where two members share it."""
     found: dict[ids.HostRef, member_module.Member | None] = {}
     for member in all_members:
         ref = member.ref
