--- a/persimmonhinge/membership/channel.py
+++ b/persimmonhinge/membership/channel.py
@@ -48,10 +48,10 @@
             address: IP address and UDP port of the recipient.
             recipient: The host at that address, if known.
         """
-        rumors = self._roster.gossip.choose_records(recipient=recipient)
+        other_records = self._roster.gossip.choose_records(recipient=recipient)
         sender = self._roster.identity.record
         data = self._codec.encode(
-            codec_module.Heartbeat(sender, rumors, message)
+            codec_module.Heartbeat(sender, other_records, message)
         )
         try:
             await self._datagrams.send(data, address)
@@ -70,10 +70,10 @@
             self._counts.add("heartbeat_datagrams_received_total")
             self._counts.add("heartbeat_octets_received_total", len(data))
             try:
-                letter = self._codec.decode(data)
+                heartbeat = self._codec.decode(data)
             except codec_module.RefusedDatagramError as error:
                 self._counts.add(
                     "heartbeat_datagrams_refused_total", cause=error.cause.value
                 )
                 continue
-            yield letter, source
+            yield heartbeat, source
--- a/persimmonhinge/membership/contacts.py
+++ b/persimmonhinge/membership/contacts.py
@@ -105,10 +105,10 @@
         retry.wait_s = min(_MAX_RETRY_WAIT_S, retry.wait_s * 2)
 
     def _refresh(self) -> None:
-        wanted = self._find_contacts()
-        for contact in [c for c in self._retries if c not in wanted]:
+        contacts = self._find_contacts()
+        for contact in [c for c in self._retries if c not in contacts]:
             del self._retries[contact]
-        for contact in wanted:
+        for contact in contacts:
             if contact not in self._retries:
                 self._retries[contact] = _Retry(
                     trio.current_time(), self._first_wait_s
@@ -119,8 +119,8 @@
         found = {
             _make_member_contact(m): None for m in self._roster.dead_members()
         }
-        for hint in (*self._seeds, *self._platform_hosts()):
-            contact = _make_seed_contact(hint)
+        for seed in (*self._seeds, *self._platform_hosts()):
+            contact = _make_seed_contact(seed)
             if not self._roster.is_alive(contact.host):
                 found[contact] = None
         return found
@@ -130,5 +130,5 @@
     return Contact(member.host, (member.address, member.heartbeat_port))
 
 
-def _make_seed_contact(hint: entry.SeedHost) -> Contact:
-    return Contact(ids.HostId(hint.host), (hint.address, hint.heartbeat_port))
+def _make_seed_contact(seed: entry.SeedHost) -> Contact:
+    return Contact(ids.HostId(seed.host), (seed.address, seed.heartbeat_port))
--- a/persimmonhinge/membership/exchange.py
+++ b/persimmonhinge/membership/exchange.py
@@ -18,7 +18,7 @@
 
 # Heartbeat intervals between exchanges: while the compared states differ, and
 # after a comparison found them equal.
-_DIFFERENT_STATE_INTERVALS = 2
+_UNEQUAL_STATE_INTERVALS = 2
 _EQUAL_STATE_INTERVALS = 16
 _MAX_CHUNK_OCTETS = 700
 # Budget charged for one digest datagram, with the gossip it carries.
@@ -56,8 +56,8 @@
             measure: Returns the encoded size of a record, octets.
             randomness: Source of random choices.
         """
-        self._different_state_interval_s = (
-            _DIFFERENT_STATE_INTERVALS * peers.heartbeat_interval_s
+        self._unequal_state_interval_s = (
+            _UNEQUAL_STATE_INTERVALS * peers.heartbeat_interval_s
         )
         self._equal_state_interval_s = (
             _EQUAL_STATE_INTERVALS * peers.heartbeat_interval_s
@@ -85,7 +85,7 @@
         if not self._budget.try_spend(_DIGEST_OCTETS):
             return
         self._next_exchange_at = (
-            trio.current_time() + self._different_state_interval_s
+            trio.current_time() + self._unequal_state_interval_s
         )
         digest = messages.Digest(self._roster.table.digests())
         await self._channel.send(
@@ -100,8 +100,10 @@
         if not differing:
             await self._channel.send(messages.State(equal=True), address)
             return
-        wanted = bytes(differing)
-        await self._send_state(differing, address, requested_buckets=wanted)
+        requested_buckets = bytes(differing)
+        await self._send_state(
+            differing, address, requested_buckets=requested_buckets
+        )
 
     async def apply_state(
         self, state: messages.State, address: tuple[str, int]
--- a/persimmonhinge/membership/gossip.py
+++ b/persimmonhinge/membership/gossip.py
@@ -82,7 +82,7 @@
                 refute the claim.
         """
         chosen: list[record_module.Record] = []
-        room = _MAX_OCTETS_PER_DATAGRAM
+        remaining_octets = _MAX_OCTETS_PER_DATAGRAM
         if recipient is not None:
             record = self._table.get(recipient)
             if (
@@ -90,39 +90,44 @@
                 and record.claim is not record_module.Claim.ALIVE
             ):
                 chosen.append(record)
-                room -= self._measure(record)
-        told: list[_QueueEntry] = []
-        while self._queue and room > 0:
-            news = heapq.heappop(self._queue)
-            if self._latest_sequences.get(news.host) != news.sequence:
+                remaining_octets -= self._measure(record)
+        sent: list[_QueueEntry] = []
+        while self._queue and remaining_octets > 0:
+            queue_entry = heapq.heappop(self._queue)
+            if (
+                self._latest_sequences.get(queue_entry.host)
+                != queue_entry.sequence
+            ):
                 continue  # A newer entry of this host is queued.
-            record = self._table.get(news.host)
+            record = self._table.get(queue_entry.host)
             if record is None:
-                del self._latest_sequences[news.host]
+                del self._latest_sequences[queue_entry.host]
                 continue
             octets = self._measure(record)
             if not self._budget.try_spend(octets):
-                heapq.heappush(self._queue, news)
+                heapq.heappush(self._queue, queue_entry)
                 break
-            told.append(news)
-            room -= octets
-            if news.host != recipient:
+            sent.append(queue_entry)
+            remaining_octets -= octets
+            if queue_entry.host != recipient:
                 chosen.append(record)
-        self._requeue(told)
+        self._requeue(sent)
         return tuple(chosen)
 
     def _requeue(self, sent: list[_QueueEntry]) -> None:
-        most = _SPREAD_FACTOR * math.ceil(math.log2(len(self._table) + 1))
-        for news in sent:
-            if news.send_count + 1 < most:
-                self._push_entry(news.send_count + 1, news.host)
+        max_sends = _SPREAD_FACTOR * math.ceil(math.log2(len(self._table) + 1))
+        for queue_entry in sent:
+            if queue_entry.send_count + 1 < max_sends:
+                self._push_entry(queue_entry.send_count + 1, queue_entry.host)
             else:
-                del self._latest_sequences[news.host]
+                del self._latest_sequences[queue_entry.host]
 
     def _push_entry(self, send_count: int, host: ids.HostId) -> None:
         self._last_sequence += 1
         self._latest_sequences[host] = self._last_sequence
         record = self._table.get(host)
         urgent = record is not None and record.claim in _URGENT_CLAIMS
-        news = _QueueEntry(not urgent, send_count, self._last_sequence, host)
-        heapq.heappush(self._queue, news)
+        queue_entry = _QueueEntry(
+            not urgent, send_count, self._last_sequence, host
+        )
+        heapq.heappush(self._queue, queue_entry)
--- a/persimmonhinge/membership/placement.py
+++ b/persimmonhinge/membership/placement.py
@@ -39,10 +39,10 @@
         hash_name = xxhash.xxh3_64_intdigest
         scores = [hash_name(name, key) for name in self.names]
         best = max(scores)
-        place = scores.index(best)
-        found = [(best, self.hosts[place])]
+        index = scores.index(best)
+        found = [(best, self.hosts[index])]
         if len(scores) > 1:
-            scores[place] = _NO_SCORE
+            scores[index] = _NO_SCORE
             second = max(scores)
             found.append((second, self.hosts[scores.index(second)]))
         return found
@@ -103,9 +103,9 @@
         if not found:
             return []
         home = max(found, key=_get_first_score).pop(0)
-        rest = [scored[0] for scored in found if scored]
-        rest.sort(key=_get_score, reverse=True)
-        return [home[1], *[member for _, member in rest]]
+        alternatives = [scored[0] for scored in found if scored]
+        alternatives.sort(key=_get_score, reverse=True)
+        return [home[1], *[member for _, member in alternatives]]
 
     def find_keeper(
         self, upstream: ids.UpstreamId, domain: str
@@ -150,8 +150,8 @@
             return
         self._version = self._view.changed.version
         self._domains = {}
-        takers = sorted(self._view.role_candidates(), key=lambda m: m.host)
-        for member in takers:
+        candidates = sorted(self._view.role_candidates(), key=lambda m: m.host)
+        for member in candidates:
             domain = self._domains.setdefault(member.domain, _Domain())
             domain.names.append(member.host.encode())
             domain.hosts.append(member)
--- a/persimmonhinge/membership/probe_ring.py
+++ b/persimmonhinge/membership/probe_ring.py
@@ -41,5 +41,5 @@
         """Inserts a new member at a random position in the current round."""
         if not appeared:
             return
-        place = self._randomness.randint(0, len(self._remaining))
-        self._remaining.insert(place, host)
+        index = self._randomness.randint(0, len(self._remaining))
+        self._remaining.insert(index, host)
--- a/persimmonhinge/membership/probes.py
+++ b/persimmonhinge/membership/probes.py
@@ -179,13 +179,13 @@
         )
         candidates = [c for c in candidates if c.host != target]
         chosen: dict[ids.DomainId, member.Member] = {}
-        spare = []
+        same_domain = []
         for candidate in candidates:
             if candidate.domain in chosen:
-                spare.append(candidate)
+                same_domain.append(candidate)
             else:
                 chosen[candidate.domain] = candidate
-        return [*chosen.values(), *spare][:count]
+        return [*chosen.values(), *same_domain][:count]
 
     def _register_probe(self, host: ids.HostId) -> tuple[int, _PendingProbe]:
         sequence = self._next_sequence()
--- a/persimmonhinge/membership/receiver.py
+++ b/persimmonhinge/membership/receiver.py
@@ -41,19 +41,19 @@
         Raises:
             NameTakenError: Another process started later under this name.
         """
-        async for letter, source in self._parts.channel.receive():
+        async for heartbeat, source in self._parts.channel.receive():
             self._parts.pauses.check()
             self._isolation.record_datagram(trio.current_time())
-            await self._apply_records(letter)
-            await self._handle_message(letter, source)
+            await self._apply_records(heartbeat)
+            await self._handle_message(heartbeat, source)
 
-    async def _apply_records(self, letter: codec.Heartbeat) -> None:
+    async def _apply_records(self, heartbeat: codec.Heartbeat) -> None:
         roster = self._parts.roster
-        appeared = roster.apply_record(letter.sender, sent_by_subject=True)
-        for rumor in letter.other_records:
-            roster.apply_record(rumor)
+        appeared = roster.apply_record(heartbeat.sender, sent_by_subject=True)
+        for other_record in heartbeat.other_records:
+            roster.apply_record(other_record)
         if appeared:
-            await self._synchronize_with(letter.sender)
+            await self._synchronize_with(heartbeat.sender)
 
     async def _synchronize_with(self, sender: record.Record) -> None:
         """Starts a state exchange with a host that was unknown or dead."""
@@ -61,14 +61,14 @@
         await self._parts.exchange.start_exchange(sender)
 
     async def _handle_message(
-        self, letter: codec.Heartbeat, source: tuple[str, int]
+        self, heartbeat: codec.Heartbeat, source: tuple[str, int]
     ) -> None:
         parts = self._parts
-        message = letter.message
+        message = heartbeat.message
         if isinstance(message, messages.Ping):
-            await parts.probes.answer_ping(message, source, letter.sender)
+            await parts.probes.answer_ping(message, source, heartbeat.sender)
         elif isinstance(message, messages.Ack):
-            self._handle_ack(message, letter.sender)
+            self._handle_ack(message, heartbeat.sender)
         elif isinstance(message, messages.PingRequest):
             parts.roster.apply_record(message.target)
             self._nursery.start_soon(parts.probes.relay_ping, message, source)
--- a/persimmonhinge/membership/service.py
+++ b/persimmonhinge/membership/service.py
@@ -154,10 +154,10 @@
             self._context.counts.watch(
                 "membership_news_queued", lambda: len(parts.roster.gossip)
             )
-            silence = self._context.view.isolation
-            silence.limit_s = _ISOLATION_INTERVALS * self._interval_s
+            isolation = self._context.view.isolation
+            isolation.limit_s = _ISOLATION_INTERVALS * self._interval_s
             receiver = receiver_module.Receiver(
-                parts, silence, self._context.counts, nursery
+                parts, isolation, self._context.counts, nursery
             )
             nursery.start_soon(receiver.run)
             nursery.start_soon(self._run_heartbeats, parts)
@@ -214,12 +214,12 @@
         if parts.roster.identity.record.claim is claim:
             return
         parts.roster.announce_claim(claim)
-        told = self._sample_recipients(parts)
+        recipients = self._sample_recipients(parts)
         async with trio.open_nursery() as nursery:
-            for member in told:
+            for member in recipients:
                 nursery.start_soon(parts.probes.probe, member.host)
         others = len(parts.roster.live_members())
-        if others > len(told):
+        if others > len(recipients):
             rounds = math.ceil(math.log2(others))
             await trio.sleep(rounds * self._interval_s)
 
--- a/persimmonhinge/membership/table.py
+++ b/persimmonhinge/membership/table.py
@@ -107,20 +107,20 @@
         """
         if len(digests) != _DIGESTS.size:
             return list(range(BUCKET_COUNT))
-        theirs = _DIGESTS.unpack(digests)
+        other_digests = _DIGESTS.unpack(digests)
         return [
             number
             for number in range(BUCKET_COUNT)
-            if theirs[number] != self._digests[number]
+            if other_digests[number] != self._digests[number]
         ]
 
     def select(self, buckets: Iterable[int]) -> list[record_module.Record]:
         """Returns the records in the given buckets."""
-        wanted = frozenset(buckets)
+        numbers = frozenset(buckets)
         return [
             self._get_current_record(entry)
             for host, entry in self._entries.items()
-            if find_bucket(host) in wanted
+            if find_bucket(host) in numbers
         ]
 
     def _store_record(self, record: record_module.Record) -> None:
--- a/tests/test_membership/hosts.py
+++ b/tests/test_membership/hosts.py
@@ -214,10 +214,10 @@
         Args:
             **states: State by name (`host_1`) where it isn't alive.
         """
-        wanted = {host.name: "alive" for host in self.hosts.values()}
+        expected = {host.name: "alive" for host in self.hosts.values()}
         for name, state in states.items():
-            wanted[ids.HostId(name.replace("_", "-"))] = state
-        return all(host.states() == wanted for host in self.hosts.values())
+            expected[ids.HostId(name.replace("_", "-"))] = state
+        return all(host.states() == expected for host in self.hosts.values())
 
     def count(self, name: str) -> int:
         """Returns the sum of a counter over the running hosts."""
@@ -259,8 +259,8 @@
         start = trio.current_time()
         while not condition():
             if trio.current_time() - start > limit_s:
-                believed = {n: h.states() for n, h in self.hosts.items()}
-                raise AssertionError(f"still not so: {believed}")
+                states = {n: h.states() for n, h in self.hosts.items()}
+                raise AssertionError(f"still not so: {states}")
             await trio.sleep(0.05)
         return trio.current_time() - start
 
--- a/tests/test_membership/test_membership_codec.py
+++ b/tests/test_membership/test_membership_codec.py
@@ -31,7 +31,7 @@
     return None
 
 
-def test_a_letter_comes_back_as_it_was() -> None:
+def test_heartbeat_round_trip() -> None:
     for codec in (
         codec_module.DatagramCodec(None),
         codec_module.DatagramCodec(_SECRET),
@@ -57,8 +57,8 @@
     packed = [[*body, "new"], [[*body, "new"]], [7, "new"], "new"]
     for kind, message in (("hb-ping", messages.Ping(7)), ("hb-new", None)):
         data = b"\x01" + msgspec.msgpack.encode([kind, *packed])
-        letter = codec_module.DatagramCodec(None).decode(data)
-        assert letter == codec_module.Heartbeat(_RECORD, (_RECORD,), message)
+        heartbeat = codec_module.DatagramCodec(None).decode(data)
+        assert heartbeat == codec_module.Heartbeat(_RECORD, (_RECORD,), message)
 
 
 @_REPEATABLE
@@ -94,7 +94,9 @@
 
 @_REPEATABLE
 @hypothesis.given(strategies.integers(1, 200), strategies.integers(0, 100))
-def test_gossip_is_bounded_and_complete(count: int, about: int) -> None:
+def test_gossip_is_bounded_and_complete(
+    count: int, recipient_number: int
+) -> None:
     codec = codec_module.DatagramCodec(_SECRET)
     table = table_module.Table(100.0, lambda: 0.0)
     times = itertools.count()
@@ -105,16 +107,18 @@
         )
         table.merge_record(record)
         gossip.add(record.host)
-    target = test_membership_record.make_record(f"host-{about}").host
-    told = set()
+    target = test_membership_record.make_record(f"host-{recipient_number}").host
+    sent_hosts = set()
     for _ in range(40 * count):
-        rumors = gossip.choose_records(recipient=target)
-        letter = codec_module.Heartbeat(_RECORD, rumors, messages.Ping(1))
-        size = len(codec.encode(letter))
+        other_records = gossip.choose_records(recipient=target)
+        heartbeat = codec_module.Heartbeat(
+            _RECORD, other_records, messages.Ping(1)
+        )
+        size = len(codec.encode(heartbeat))
         assert size <= codec_module.MAX_DATAGRAM_OCTETS / 2
-        told |= {rumor.host for rumor in rumors}
+        sent_hosts |= {rumor.host for rumor in other_records}
     assert not len(gossip)
-    assert told | {target} >= {record.host for record in table.all()}
+    assert sent_hosts | {target} >= {record.host for record in table.all()}
 
 
 def test_a_suspicion_does_not_wait_behind_hosts_that_started() -> None:
--- a/tests/test_membership/test_membership_pauses.py
+++ b/tests/test_membership/test_membership_pauses.py
@@ -27,7 +27,7 @@
         assert process.stdout is not None
         self._process = process
         self._stdout = process.stdout
-        self._rest = b""
+        self._buffer = b""
         self.port = 0
 
     async def wait_until(
@@ -36,20 +36,20 @@
         """Reads on until it reports what satisfies a condition."""
         with trio.fail_after(_LIMIT_S):
             while True:
-                self.port, believed = json.loads(await self._read_line())
-                if condition(believed):
-                    return believed
+                self.port, states = json.loads(await self._read_line())
+                if condition(states):
+                    return states
 
     def signal(self, number: signal.Signals) -> None:
         """Sends a signal to this process alone."""
         self._process.send_signal(number)
 
     async def _read_line(self) -> bytes:
-        while b"\n" not in self._rest:
+        while b"\n" not in self._buffer:
             data = await self._stdout.receive_some()
             assert data, "the process ended"
-            self._rest += data
-        line, _, self._rest = self._rest.partition(b"\n")
+            self._buffer += data
+        line, _, self._buffer = self._buffer.partition(b"\n")
         return line
 
 
@@ -95,11 +95,11 @@
         assert after["host-2"][1] > before["host-2"][1]
         seen: list[HostStates] = []
 
-        def note(believed: HostStates) -> bool:
+        def record_states(believed: HostStates) -> bool:
             seen.append(believed)
             return believed["host-2"] == after["host-2"]
 
-        await paused.wait_until(note)
+        await paused.wait_until(record_states)
         states = {state for b in seen for state, _ in b.values()}
         assert "dead" not in states
 
--- a/tests/test_membership/test_membership_record.py
+++ b/tests/test_membership/test_membership_record.py
@@ -37,11 +37,13 @@
     claim=strategies.sampled_from(record_module.Claim),
     age_s=strategies.integers(0, 2),
 )
-one_host = record_strategy.map(lambda r: msgspec.structs.replace(r, host="h"))
+one_host_strategy = record_strategy.map(
+    lambda r: msgspec.structs.replace(r, host="h")
+)
 
 
 @_REPEATABLE
-@hypothesis.given(one_host, one_host, one_host)
+@hypothesis.given(one_host_strategy, one_host_strategy, one_host_strategy)
 def test_merge_is_a_maximum(
     one: record_module.Record,
     two: record_module.Record,
@@ -54,7 +56,7 @@
 
 
 @_REPEATABLE
-@hypothesis.given(one_host, one_host)
+@hypothesis.given(one_host_strategy, one_host_strategy)
 def test_merge_never_goes_back(
     one: record_module.Record, two: record_module.Record
 ) -> None:
@@ -70,13 +72,13 @@
 @_REPEATABLE
 @hypothesis.given(strategies.lists(record_strategy, max_size=8))
 def test_tables_that_heard_the_same_are_equal(
-    heard: list[record_module.Record],
+    received: list[record_module.Record],
 ) -> None:
     one = table_module.Table(_FORGET_S, lambda: 50.0)
     other = table_module.Table(_FORGET_S, lambda: 50.0)
-    for record in heard:
+    for record in received:
         one.merge_record(record)
-    for record in reversed([*heard, *heard]):
+    for record in reversed([*received, *received]):
         other.merge_record(record)
     assert {r.host: r for r in one.all()} == {r.host: r for r in other.all()}
     assert one.digests() == other.digests()
@@ -106,14 +108,14 @@
     now = 0.0
     pair = [table_module.Table(_FORGET_S, lambda: now) for _ in range(2)]
     pair[0].merge_record(make_record(claim=record_module.Claim.DEAD))
-    for teller, listener in itertools.islice(
+    for sender, receiver in itertools.islice(
         itertools.cycle([(pair[0], pair[1]), (pair[1], pair[0])]), 10
     ):
         now += _FORGET_S / 4
         for table in pair:
             for host in table.find_expired():
                 table.remove(host)
-        for record in teller.all():
-            listener.merge_record(record)
+        for record in sender.all():
+            receiver.merge_record(record)
     assert not len(pair[0])
     assert not len(pair[1])
