--- a/tests/test_membership/hosts.py
+++ b/tests/test_membership/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts that run membership, on a network in memory or on loopback."""
+"""Hosts that run membership on an in-memory network or on loopback."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
     """One running host.
 
     Attributes:
-        name: Its name.
-        settings: Its settings.
-        view: What it believes.
-        counts: Its counters.
-        membership: The part under test.
-        scope: Cancels it.
-        error: Why it stopped of itself, if it did.
+        name: Name of the host.
+        settings: Settings of the host.
+        view: The host's view of all hosts.
+        counts: Counters of the host.
+        membership: The membership service under test.
+        scope: Cancel scope that stops the host.
+        error: Error that stopped the host; None if there was none.
     """
 
     name: ids.HostId
@@ -51,7 +51,7 @@
     error: errors.PersimmonhingeError | None = None
 
     def states(self) -> dict[str, str]:
-        """Returns what it believes of each host."""
+        """Returns the state of each host in the view, by host name."""
         return {m.host: m.state.value for m in self.view.all()}
 
     async def run(
@@ -74,7 +74,7 @@
     seeds: list[dict[str, Any]],
     **peers: Any,
 ) -> entry.EntrySettings:
-    """Returns settings of a host; hosts go round over the domains."""
+    """Returns settings of a host; domains are assigned round-robin."""
     defaults = {
         "address": f"10.0.0.{number + 1}",
         "port": _PORT,
@@ -92,7 +92,7 @@
 
 
 def make_seed(number: int, name: str = "", **fields: Any) -> dict[str, Any]:
-    """Returns the seed entry of a host by its number."""
+    """Returns the seed entry of the host with a number."""
     defaults = {
         "host": name or f"host-{number}",
         "domain": DOMAINS[number % len(DOMAINS)],
@@ -109,7 +109,7 @@
     randomness: random.Random,
     **options: Any,
 ) -> Host:
-    """Returns a host that does not run yet."""
+    """Returns a host that is not yet running."""
     me = member_module.Member(
         host=ids.HostId(settings.host),
         domain=ids.DomainId(settings.domain),
@@ -127,12 +127,12 @@
 
 
 class Fleet:
-    """Hosts on a network in memory; all that is random hangs on one seed.
+    """Hosts on an in-memory network; one seed determines all random choices.
 
     Attributes:
         network: The network.
         hosts: Running hosts by number.
-        peers: Settings of heartbeats of hosts that are started.
+        peers: Heartbeat settings of the hosts that are started.
     """
 
     def __init__(
@@ -160,7 +160,7 @@
         seeds: list[dict[str, Any]] | None = None,
         platform_hosts: Sequence[dict[str, Any]] = (),
     ) -> Host:
-        """Starts a host; its seeds are hosts 0 and 1 if not told."""
+        """Starts a host; by default, its seeds are hosts 0 and 1."""
         self._starts += 1
         if seeds is None:
             seeds = [make_seed(0), make_seed(1)]
@@ -183,19 +183,24 @@
         return host
 
     def kill(self, number: int) -> None:
-        """Ends a host without a word."""
+        """Stops a host abruptly, without a farewell."""
         host = self.hosts.pop(number)
         self.network.close((host.settings.peers.address, _PORT))
         host.scope.cancel()
 
     def pause_all_hosts(self, duration_s: float) -> None:
-        """Lets time pass in which no host runs."""
+        """Advances the clock without running any host."""
         clock = trio.lowlevel.current_clock()
         assert isinstance(clock, trio.testing.MockClock)
         clock.jump(duration_s)
 
     def cut(self, is_cut: Callable[[int, int], bool]) -> None:
-        """Cuts datagrams between hosts, told by their numbers."""
+        """Drops datagrams between hosts for which the predicate is true.
+
+        Args:
+            is_cut: Returns whether datagrams are dropped, given the numbers
+                of the sending and the receiving host.
+        """
 
         def blocks(
             source: lossy_network.Address, target: lossy_network.Address
@@ -205,14 +210,15 @@
         self.network.blocks = blocks
 
     def heal(self) -> None:
-        """Ends all cuts."""
+        """Ends all partitions."""
         self.network.blocks = lambda a, b: False
 
     def agrees(self, **states: str) -> bool:
-        """Tells whether all running hosts believe the same.
+        """Returns whether the views of all running hosts are as expected.
 
         Args:
-            **states: State by name (`host_1`) where it isn't alive.
+            **states: Expected states other than alive, by host name with an
+                underscore (`host_1`).
         """
         expected = {host.name: "alive" for host in self.hosts.values()}
         for name, state in states.items():
@@ -226,7 +232,14 @@
     async def watch(
         self, duration_s: float
     ) -> AsyncIterator[tuple[Host, member_module.Member]]:
-        """Yields each change that a running host sees, for some seconds."""
+        """Yields each change in the view of a running host.
+
+        Args:
+            duration_s: How long changes are yielded, seconds.
+
+        Yields:
+            The host whose view changed, and the new or changed member.
+        """
         send, receive = trio.open_memory_channel[
             tuple[Host, member_module.Member]
         ](math.inf)
@@ -251,22 +264,22 @@
     async def wait_until(
         self, condition: Callable[[], bool], limit_s: float
     ) -> float:
-        """Waits until a condition holds and returns how long it took.
+        """Waits until a condition holds and returns how long it took, seconds.
 
         Raises:
-            AssertionError: It did not hold within the limit.
+            AssertionError: The condition did not hold within the limit.
         """
         start = trio.current_time()
         while not condition():
             if trio.current_time() - start > limit_s:
                 states = {n: h.states() for n, h in self.hosts.items()}
-                raise AssertionError(f"still not so: {states}")
+                raise AssertionError(f"condition not met in time: {states}")
             await trio.sleep(0.05)
         return trio.current_time() - start
 
 
 def _seed_scheduler(seed: int) -> None:
-    """Has trio run tasks that are ready together in an order that repeats."""
+    """Makes trio schedule simultaneously ready tasks deterministically."""
     scheduler: Any = trio._core._run
     scheduler._ALLOW_DETERMINISTIC_SCHEDULING = True
     scheduler._r.seed(seed)
--- a/tests/test_membership/lossy_network.py
+++ b/tests/test_membership/lossy_network.py
@@ -1,4 +1,4 @@
-"""A datagram network in memory that loses, delays and cuts, by a seed."""
+"""An in-memory network with seeded random loss, delays and duplicates."""
 
 from __future__ import annotations
 
@@ -17,13 +17,14 @@
 
 
 class LossyNetwork:
-    """Carries datagrams between ports, late, twice or not at all.
+    """Carries datagrams between ports with delay, duplication and loss.
 
     Attributes:
-        loss: Part of the datagrams that is lost, 0 to 1.
-        blocks: Tells whether datagrams from one address to another are cut.
-        sent: Number of datagrams that were sent.
-        sent_octets: Their octets.
+        loss: Fraction of the datagrams that is lost, 0 to 1.
+        blocks: Returns whether datagrams from one address to another are
+            dropped.
+        sent: Number of datagrams sent.
+        sent_octets: Total size of the datagrams sent, octets.
     """
 
     def __init__(self, randomness: random.Random, loss: float = 0.0) -> None:
@@ -46,22 +47,22 @@
             await trio.sleep_forever()
 
     def record(self) -> Recording:
-        """Begins to record what is sent."""
+        """Starts to record the datagrams that are sent."""
         self._recording = Recording(self)
         return self._recording
 
     def open(self, address: Address) -> LossyPort:
-        """Opens a port; one that had the address gets nothing any more."""
+        """Opens a port; replaces an earlier port with the same address."""
         port = LossyPort(self, address)
         self._ports[address] = port
         return port
 
     def close(self, address: Address) -> None:
-        """Closes the port at an address, as when its process died."""
+        """Closes the port at an address, as if its process had died."""
         self._ports.pop(address, None)
 
     def carry(self, data: bytes, source: Address, target: Address) -> None:
-        """Takes a datagram."""
+        """Sends a datagram, subject to blocking, loss and duplication."""
         self.sent += 1
         self.sent_octets += len(data)
         if self._recording is not None:
@@ -74,7 +75,7 @@
                 self.deliver(data, source, target)
 
     def deliver(self, data: bytes, source: Address, target: Address) -> None:
-        """Delivers a datagram a little later."""
+        """Delivers a datagram after a random delay."""
         assert self._nursery is not None
         self._nursery.start_soon(self._deliver, data, source, target)
 
@@ -88,7 +89,7 @@
 
 
 class Recording:
-    """Datagrams that can be sent once more."""
+    """Recorded datagrams that can be delivered again."""
 
     def __init__(self, network: LossyNetwork) -> None:
         self._network = network
@@ -101,17 +102,17 @@
             self._datagrams.append((data, source, target))
 
     def stop(self) -> None:
-        """Ends the recording."""
+        """Stops the recording."""
         self._stopped = True
 
     def replay(self) -> None:
-        """Delivers all that was recorded once more."""
+        """Delivers all recorded datagrams again."""
         for data, source, target in self._datagrams:
             self._network.deliver(data, source, target)
 
 
 class LossyPort:
-    """One port of the network, as `Datagrams`."""
+    """A port of the network that implements the `Datagrams` interface."""
 
     def __init__(self, network: LossyNetwork, address: Address) -> None:
         self._network = network
@@ -126,10 +127,10 @@
         self._network.carry(data, self._address, address)
 
     def push(self, data: bytes, source: Address) -> None:
-        """Delivers one datagram."""
+        """Queues one datagram for the receiver."""
         self._send.send_nowait((data, source))
 
     async def __aiter__(self) -> AsyncIterator[tuple[bytes, Address]]:
-        """Yields the datagrams that arrive."""
+        """Yields the received datagrams with their source addresses."""
         async for item in self._receive:
             yield item
--- a/tests/test_membership/pausable_host.py
+++ b/tests/test_membership/pausable_host.py
@@ -1,9 +1,9 @@
-"""A program that runs membership alone and reports what it believes.
+"""A program that runs only membership and prints its view of the hosts.
 
 Usage: python -m tests.test_membership.pausable_host NAME SEED_PORT
 
-Each line on standard output is the UDP port, the own incarnation, and the
-state and incarnation of each host.
+Each line on standard output is a JSON array of the UDP port and an object
+that maps each host name to the host's state and incarnation.
 """
 
 from __future__ import annotations
--- a/tests/test_membership/test_membership_codec.py
+++ b/tests/test_membership/test_membership_codec.py
@@ -1,4 +1,4 @@
-"""Heartbeat datagrams: authentication, newer versions, hostile input."""
+"""Tests of heartbeat datagrams: authentication, versions, invalid input."""
 
 from __future__ import annotations
 
@@ -52,7 +52,11 @@
 
 
 def test_newer_versions_are_tolerated() -> None:
-    """A host of a newer version was dropped by all older ones."""
+    """Guards against older hosts refusing the datagrams of a newer version.
+
+    A newer version may append fields to records and messages and may send
+    unknown message kinds.
+    """
     body = msgspec.msgpack.decode(msgspec.msgpack.encode(_RECORD))
     packed = [[*body, "new"], [[*body, "new"]], [7, "new"], "new"]
     for kind, message in (("hb-ping", messages.Ping(7)), ("hb-new", None)):
@@ -122,9 +126,10 @@
 
 
 def test_a_suspicion_does_not_wait_behind_hosts_that_started() -> None:
-    """A dead host was noticed seconds later on the far side of a big fleet.
+    """Guards against delayed failure detection in a large fleet.
 
-    Hundreds of hosts had just started, and the suspicion queued behind them.
+    If hundreds of hosts have just started, a suspicion queued behind their
+    updates reaches some hosts only seconds later.
     """
     codec = codec_module.DatagramCodec(None)
     table = table_module.Table(100.0, lambda: 0.0)
--- a/tests/test_membership/test_membership_convergence.py
+++ b/tests/test_membership/test_membership_convergence.py
@@ -1,4 +1,4 @@
-"""Whatever happens to hosts, in the end all of them agree."""
+"""Tests that the views of all hosts converge after arbitrary failures."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     deadline=None, derandomize=True, max_examples=15
 )
 _COUNT = 5
-# The longest wait between tries to reach a host that was cut off, with
-# jitter, and time for what follows.
+# Time for convergence: the longest retry delay for contacting a partitioned
+# host, with jitter, and the exchange of state that follows.
 _MAX_CONVERGENCE_S = 40.0
 
 number_strategy = strategies.integers(0, _COUNT - 1)
@@ -31,7 +31,14 @@
 
 
 async def apply_event(fleet: hosts.Fleet, event: str, number: int) -> None:
-    """Lets one thing happen; for cuts the number is a set of hosts."""
+    """Applies one event to the fleet.
+
+    Args:
+        fleet: The hosts.
+        event: Kind of event.
+        number: Number of the host; for partitions ("cut" and "one-way"), a
+            bit set of the hosts on one side; for "wait", tenths of a second.
+    """
     if event == "wait":
         await trio.sleep(number / 10)
     elif event == "cut":
--- a/tests/test_membership/test_membership_isolation.py
+++ b/tests/test_membership/test_membership_isolation.py
@@ -1,4 +1,4 @@
-"""Tests of whether a host hears any other one."""
+"""Tests of the detection that a host receives nothing from other hosts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,11 @@
 
 
 def test_isolation_is_reported_until_shortly_after_its_end() -> None:
-    """A host takes others for dead as soon as its own cut has healed."""
+    """Guards against declaring hosts dead just after a partition ends.
+
+    The answers of the other hosts arrive only some time after an isolated
+    host is connected again, so isolation must still be reported until then.
+    """
     detector = _make_detector()
     assert not detector.was_recently_isolated(10.9, 3.0)
     assert detector.was_recently_isolated(11.1, 3.0)
--- a/tests/test_membership/test_membership_pauses.py
+++ b/tests/test_membership/test_membership_pauses.py
@@ -1,4 +1,4 @@
-"""Processes that are stopped and run on."""
+"""Tests of processes that are paused and resumed."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from tests.support import trios
 
 _LIMIT_S = 60
-# State and incarnation by host.
+# State and incarnation of each host, by host name.
 HostStates = dict[str, tuple[str, int]]
 
 
 class Process:
-    """A process that runs membership alone."""
+    """A process that runs only membership."""
 
     def __init__(self, process: trio.Process) -> None:
         assert process.stdout is not None
@@ -33,7 +33,7 @@
     async def wait_until(
         self, condition: Callable[[HostStates], bool]
     ) -> HostStates:
-        """Reads on until it reports what satisfies a condition."""
+        """Reads reported states until one satisfies the condition."""
         with trio.fail_after(_LIMIT_S):
             while True:
                 self.port, states = json.loads(await self._read_line())
@@ -41,7 +41,7 @@
                     return states
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends a signal to this process alone."""
+        """Sends a signal to this process only."""
         self._process.send_signal(number)
 
     async def _read_line(self) -> bytes:
@@ -55,7 +55,7 @@
 
 @contextlib.asynccontextmanager
 async def run_process(name: str, seed_port: int) -> AsyncIterator[Process]:
-    """Runs one process and ends it."""
+    """Runs a process and kills it on exit."""
     module = "tests.test_membership.pausable_host"
     command = [sys.executable, "-m", module, name, str(seed_port)]
     process = await trio.lowlevel.open_process(command, stdout=subprocess.PIPE)
@@ -69,11 +69,12 @@
 
 @trios.trio_test
 async def test_a_paused_host_wakes_as_a_new_incarnation() -> None:
-    """A host that was stopped woke up and went on as if nothing happened.
+    """Guards against a resumed host continuing in its old incarnation.
 
-    Its peers had declared it dead and given its roles to others. It has to
-    learn of that, come back as another incarnation, and must not take its
-    peers for dead because it could not read their answers meanwhile.
+    While the host was paused, its peers declared it dead and assigned its
+    roles to others. It must learn this and return with a new incarnation. It
+    must not declare its peers dead because it could not read their answers
+    during the pause.
     """
     async with (
         run_process("host-0", 0) as first,
@@ -117,7 +118,11 @@
 
 
 def test_pause_that_lies_back_is_forgotten() -> None:
-    """A host takes a new incarnation in a cut for a pause of long ago."""
+    """Guards against a new incarnation because of a pause long ago.
+
+    A partitioned host that is suspected for another reason must keep its
+    incarnation, so a pause has to be forgotten after the retention time.
+    """
     times = iter([0.0, 5.0, 6.0, 7.0, 8.0])
     pauses = pauses_module.PauseDetector(
         1.0, lambda: next(times), retention_s=2.0
--- a/tests/test_membership/test_membership_placement.py
+++ b/tests/test_membership/test_membership_placement.py
@@ -1,4 +1,4 @@
-"""Placement: even, the same on every host, and moved by as little as can be."""
+"""Tests that placement is even, consistent and moves as little as possible."""
 
 from __future__ import annotations
 
@@ -48,7 +48,11 @@
 
 
 def test_flows_are_spread_evenly_over_uneven_domains() -> None:
-    """Hosts of a small domain had half as many flows again as the others."""
+    """Guards against uneven load of hosts in domains of different size.
+
+    Hosts of a small domain must not get more flows than the others; in the
+    failure, they got half as many flows again.
+    """
     for numbers in (range(6), range(7), range(24), (0, 1, 2, 3, 6)):
         counts = collections.Counter(place_flows(make_placement(numbers)))
         mean = len(_FLOWS) / len(numbers)
@@ -90,11 +94,11 @@
 def test_the_second_home_takes_the_place_of_a_dead_one(
     numbers: list[int],
 ) -> None:
-    """A caller sees an older tick after its home died.
+    """Guards against a caller receiving older events after its home died.
 
-    Until the death is known, hosts pass the home over and use the second in
-    rank. That must be who becomes home once it is known, or both are home
-    of the same feed for a while.
+    Until the death is known, hosts skip the home and use the second host in
+    the ranking. If another host became home once the death is known, two
+    hosts would be home of the same feed for a while.
     """
     placement = make_placement(numbers)
     without = {
--- a/tests/test_membership/test_membership_record.py
+++ b/tests/test_membership/test_membership_record.py
@@ -1,4 +1,4 @@
-"""The rule by which records of one host merge."""
+"""Tests of the rule that merges records of a host, and of record tables."""
 
 from __future__ import annotations
 
@@ -100,10 +100,10 @@
 
 
 def test_a_death_that_is_passed_on_still_ends() -> None:
-    """The dead were remembered for ever, passed from host to host.
+    """Guards against hosts remembering a dead host forever.
 
-    Two hosts tell each other of a death in turn, each just before it would
-    have forgotten it itself.
+    Two hosts alternately send each other the DEAD record. If each transfer
+    restarted the retention time, neither host would ever remove the record.
     """
     now = 0.0
     pair = [table_module.Table(_FORGET_S, lambda: now) for _ in range(2)]
--- a/tests/test_membership/test_membership_service.py
+++ b/tests/test_membership/test_membership_service.py
@@ -1,4 +1,4 @@
-"""Membership as a whole, on a network in memory with a mock clock."""
+"""Tests of the membership service on an in-memory network with a mock clock."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from tests.support import trios
 from tests.test_membership import hosts
 
-# What the default settings promise, seconds: all hosts know of a join, of a
-# death and of the end of a cut after at most so long.
+# Maximum times with the default settings, seconds, after which the views of
+# all hosts show a join, a death and the end of a partition.
 _MAX_JOIN_S = 3.0
 _MAX_DEATH_DETECTION_S = 4.0
 _MAX_HEAL_S = 20.0
@@ -27,7 +27,7 @@
 async def run_fleet(
     count: int, seed: int, loss: float = 0.0, **peers: Any
 ) -> AsyncIterator[hosts.Fleet]:
-    """Runs hosts that have found each other."""
+    """Runs hosts and waits until each has discovered all others."""
     async with trio.open_nursery() as nursery:
         fleet = hosts.Fleet(nursery, seed, loss, **peers)
         await fleet.start(count)
@@ -54,12 +54,13 @@
 
 @trios.clock_test
 async def test_no_false_death_under_loss() -> None:
-    """Under 10% loss a healthy host was dropped and its flows moved.
+    """Guards against declaring a healthy host dead under 10% packet loss.
 
-    The ping and all that was asked through others got lost, the suspicion
-    spread, and the refutation did not reach one host before its time ran
-    out. That host must try the member itself before it gives it up. (Three
-    times the loss is there to have suspicions at all.)
+    The failure moved the flows of the host. The ping and the indirect pings
+    were lost, the suspicion spread, and the refutation did not reach one host
+    before its suspicion timeout. That host must probe the member itself
+    before it declares the member dead. The run with three times the loss
+    makes sure that suspicions occur at all.
     """
     for loss in (0.1, 0.3):
         async with run_fleet(count=6, seed=1, loss=loss) as fleet:
@@ -71,10 +72,12 @@
 
 @trios.clock_test
 async def test_no_false_death_under_a_one_way_cut_of_two_hosts() -> None:
-    """A host stopped relaying to one that it could not reach directly.
+    """Guards against declaring a host dead that one host cannot reach.
 
-    Datagrams from host 0 to host 1 are lost, those back arrive. Both are
-    well and others reach them, so neither may be given up by anyone.
+    In the failure, a host stopped relaying to one that it could not reach
+    directly. Datagrams from host 0 to host 1 are lost, but those in the other
+    direction arrive. Both hosts are healthy and reachable through others, so
+    no host may declare either of them dead.
     """
     async with run_fleet(count=6, seed=4, loss=0.05) as fleet:
         fleet.cut(lambda source, target: (source, target) == (0, 1))
@@ -84,10 +87,10 @@
 
 @trios.clock_test
 async def test_no_false_death_under_a_one_way_cut_of_two_domains() -> None:
-    """All hosts of a domain were given up by those of another.
+    """Guards against one domain declaring all hosts of another domain dead.
 
-    Nothing from domain a arrives in domain b, all else does. Only the third
-    domain can pass answers on, so it has to be among those asked for help.
+    Datagrams from domain a to domain b are lost; all others arrive. Only the
+    third domain can relay answers, so helpers must include a host of it.
     """
     async with run_fleet(count=9, seed=5) as fleet:
         fleet.cut(lambda source, target: source % 3 == 0 and target % 3 == 1)
@@ -97,10 +100,11 @@
 
 @trios.clock_test
 async def test_a_deaf_host_convinces_nobody() -> None:
-    """One host with a broken receiver made all others drop each other.
+    """Guards against one host with a broken receiver splitting the fleet.
 
-    Host 0 hears nothing, so it declares host after host dead and says so to
-    all. The others reach each other and must not believe it.
+    Host 0 receives nothing, so it declares one host after another dead and
+    gossips this to all. In the failure, the other hosts then removed each
+    other. They can reach each other and must not accept the claims.
     """
     async with run_fleet(count=6, seed=6) as fleet:
         fleet.cut(lambda source, target: target == 0)
@@ -117,11 +121,13 @@
 
 @trios.clock_test
 async def test_cut_domains_heal_without_flapping() -> None:
-    """After a cut hosts came back, were lost again and came back again.
+    """Guards against flapping after a partition ends.
 
-    Domain a is cut off for a while. Each side gives the other up, then
-    claims of both sides meet. A host that is alive on one side must never
-    be given up there, and each comes back exactly once on the other.
+    Domain a is partitioned for a while. Each side declares the other dead,
+    and after the partition both sides receive each other's claims. In the
+    failure, hosts returned, were declared dead again and returned again. A
+    host that is alive on one side must never be declared dead there, and each
+    host must return exactly once on the other side.
     """
     async with run_fleet(count=9, seed=7) as fleet:
         fleet.cut(lambda source, target: (source % 3 == 0) != (target % 3 == 0))
@@ -145,10 +151,10 @@
 
 @trios.clock_test
 async def test_a_cut_heals_when_the_seeds_are_gone() -> None:
-    """Two halves never found each other again.
+    """Guards against a partition that lasts forever because no seed is left.
 
-    The hosts that the settings name as seeds were replaced long ago, so only
-    who is believed to be dead tells where the other half may be.
+    The hosts that the settings name as seeds no longer exist, so only the
+    addresses of dead members lead to the other half.
     """
     async with run_fleet(count=6, seed=21) as fleet:
         fleet.kill(0)
@@ -164,10 +170,10 @@
 
 @trios.clock_test
 async def test_a_restart_is_a_new_incarnation() -> None:
-    """Tickets of a former process were taken for those of the new one.
+    """Guards against attributing tickets of a former process to the new one.
 
-    A host is killed and starts under the same name and address before
-    anyone noticed; all must see that it is another process.
+    A host is killed and restarts with the same name and address before any
+    host detects the death. All hosts must see that it is another process.
     """
     async with run_fleet(count=4, seed=8) as fleet:
         former = fleet.hosts[2].view.self_member
@@ -185,10 +191,12 @@
 
 @trios.clock_test
 async def test_a_restart_with_a_clock_that_went_back() -> None:
-    """A restarted host stayed unknown until its clock had caught up.
+    """Guards against a restarted host being ignored because of its clock.
 
-    Its incarnation is below that of its former process, so peers take its
-    heartbeats for old ones; it has to learn of it and go above.
+    The clock went back, so the incarnation of the host is lower than that of
+    its former process, and peers treat its records as outdated. The host must
+    learn of the former incarnation and start a higher one. Otherwise it stays
+    unknown until its clock catches up.
     """
     async with run_fleet(count=4, seed=9) as fleet:
         former = fleet.hosts[2].view.self_member
@@ -205,10 +213,11 @@
 
 @trios.clock_test
 async def test_a_replaced_host_gives_way() -> None:
-    """Two hosts of one name outbid each other and each role moved for ever.
+    """Guards against two hosts with one name competing for roles forever.
 
-    Host 2 is cut off, and a new host gets its name at another address. When
-    the cut ends the old one has to stop, not the new one.
+    Host 2 is partitioned, and a new host with its name starts at another
+    address. After the partition, the old host has to stop, not the new one.
+    If both kept raising their incarnations, each role would keep moving.
     """
     async with run_fleet(count=4, seed=10) as fleet:
         await trio.sleep(30)
@@ -245,10 +254,10 @@
 
 @trios.clock_test
 async def test_a_host_that_leaves_and_dies_takes_no_role_again() -> None:
-    """A host that had handed its roles over was given new ones.
+    """Guards against assigning roles to a host that has handed them over.
 
-    It dies while it leaves; were it shown as suspect meanwhile, it would
-    count among the hosts that may be home or keeper.
+    The host dies while it leaves. If the view showed it as SUSPECT until its
+    death is confirmed, it would again be a candidate for home or keeper.
     """
     async with run_fleet(count=6, seed=13) as fleet:
         await fleet.hosts[3].membership.leave()
@@ -260,10 +269,11 @@
 
 @trios.clock_test
 async def test_old_gossip_does_not_revive_the_dead() -> None:
-    """A dead host got flows again because a late datagram named it.
+    """Guards against a late datagram making a dead host appear alive.
 
-    What a peer said while the host lived arrives again after the others
-    have buried it, and once more after they have forgotten it.
+    In the failure, the dead host got flows again. Datagrams that were sent
+    while the host was alive are delivered again after the other hosts have
+    declared it dead. The host must stay dead and then be forgotten.
     """
     async with run_fleet(count=5, seed=14, forget_s=60) as fleet:
         recorded = fleet.network.record()
@@ -283,11 +293,11 @@
 
 @trios.clock_test
 async def test_a_gap_in_running_is_no_evidence() -> None:
-    """Each host gave all others up after the whole machine had stood still.
+    """Guards against suspicions after a pause of the whole machine.
 
-    All processes do not run for ten seconds, as on a machine that is
-    suspended or overloaded. Then all timers have run out, and answers that
-    nobody could read look like answers that never came.
+    No process runs for ten seconds, as on a suspended or overloaded machine.
+    Afterwards, all timers have expired, and unread answers look like missing
+    answers. In the failure, each host declared all others dead.
     """
     async with run_fleet(count=6, seed=19) as fleet:
         for _ in range(20):
@@ -300,9 +310,10 @@
 
 @trios.clock_test
 async def test_a_host_that_was_away_for_long_starts_anew() -> None:
-    """A host that woke after an hour brought a forgotten host back to life.
+    """Guards against a long-paused host reporting a forgotten host as alive.
 
-    It still believed it to live, and nobody else remembered its death.
+    In the failure, a host resumed after an hour. Its view still contained the
+    dead host as alive, and no other host remembered the death.
     """
     async with run_fleet(count=4, seed=20, forget_s=60) as fleet:
         former = {n: h.view.self_member for n, h in fleet.hosts.items()}
@@ -318,10 +329,12 @@
 
 @trios.clock_test
 async def test_the_platform_list_is_only_a_hint() -> None:
-    """A lagging list kept a dead host alive, and a missing entry killed one.
+    """Guards against treating the platform's host list as authoritative.
 
-    The list names a host that never was and lacks one that lives; without
-    seeds it is still enough to find the others.
+    In the failure, an outdated entry kept a dead host alive, and a missing
+    entry caused a live host to be declared dead. The list here names a host
+    that never existed and lacks live hosts. Without seeds, the list must
+    still suffice to discover the others.
     """
     listed = [hosts.make_seed(0), hosts.make_seed(9, "ghost")]
     async with run_fleet(count=4, seed=15) as fleet:
@@ -334,10 +347,10 @@
 
 @trios.clock_test
 async def test_a_host_with_another_secret_is_no_member() -> None:
-    """A host of another deployment was given flows.
+    """Guards against assigning flows to a host of another deployment.
 
-    Its settings name seeds of this deployment by mistake; both sides have
-    heartbeats with a secret, but not the same one.
+    The settings of that host name seeds of this deployment by mistake. Both
+    deployments authenticate heartbeats, but with different secrets.
     """
     with tempfile.TemporaryDirectory() as folder:
         paths = [pathlib.Path(folder, name) for name in ("ours", "theirs")]
@@ -358,7 +371,7 @@
 
 @trios.clock_test
 async def test_two_changes_at_once_under_loss() -> None:
-    """A host dies while another restarts and a third one joins, with loss."""
+    """Checks a death, a restart and a join at the same time under loss."""
     async with run_fleet(count=6, seed=16, loss=0.1) as fleet:
         fleet.kill(1)
         fleet.kill(2)
