--- a/persimmonhinge/membership/codec.py
+++ b/persimmonhinge/membership/codec.py
@@ -15,9 +15,9 @@
 from persimmonhinge.peers.messages import base
 
 MAX_DATAGRAM_OCTETS = 1400
-_PLAIN = b"\x01"
-_SIGNED = b"\x02"
-_TAG_OCTETS = 16
+_UNSIGNED_PREFIX = b"\x01"
+_SIGNED_PREFIX = b"\x02"
+_HMAC_OCTETS = 16
 
 assert messages is not None
 
@@ -98,8 +98,8 @@
         )
         payload = self._encoder.encode(envelope)
         if self._secret is None:
-            return _PLAIN + payload
-        return _SIGNED + self._sign(payload) + payload
+            return _UNSIGNED_PREFIX + payload
+        return _SIGNED_PREFIX + self._sign(payload) + payload
 
     def decode(self, data: bytes) -> Heartbeat:
         """Returns the heartbeat that a datagram contains.
@@ -129,13 +129,13 @@
 
     def _verify_payload(self, data: bytes) -> bytes:
         if self._secret is None:
-            if data[:1] != _PLAIN:
+            if data[:1] != _UNSIGNED_PREFIX:
                 raise RefusedDatagramError(RefusalCause.MALFORMED)
             return data[1:]
-        if data[:1] != _SIGNED:
+        if data[:1] != _SIGNED_PREFIX:
             raise RefusedDatagramError(RefusalCause.UNSIGNED)
-        tag = data[1 : 1 + _TAG_OCTETS]
-        payload = data[1 + _TAG_OCTETS :]
+        tag = data[1 : 1 + _HMAC_OCTETS]
+        payload = data[1 + _HMAC_OCTETS :]
         if not hmac.compare_digest(tag, self._sign(payload)):
             raise RefusedDatagramError(RefusalCause.BAD_SIGNATURE)
         return payload
@@ -143,4 +143,4 @@
     def _sign(self, payload: bytes) -> bytes:
         assert self._secret is not None
         digest = hmac.digest(self._secret, payload, hashlib.sha256)
-        return digest[:_TAG_OCTETS]
+        return digest[:_HMAC_OCTETS]
--- a/persimmonhinge/membership/contacts.py
+++ b/persimmonhinge/membership/contacts.py
@@ -17,7 +17,7 @@
 PlatformHosts = Callable[[], Iterable[entry.SeedHost]]
 
 _MAX_CONTACTS_PER_CALL = 3
-_MAX_RETRY_WAIT_S = 10.0
+_MAX_RETRY_DELAY_S = 10.0
 _REFRESH_INTERVAL_S = 1.0
 
 
@@ -37,7 +37,7 @@
 @dataclasses.dataclass(slots=True)
 class _Retry:
     due_at: float
-    wait_s: float
+    delay_s: float
 
 
 class Contacts:
@@ -67,7 +67,7 @@
             randomness: Source of jitter.
         """
         self._seeds = settings.seeds
-        self._first_wait_s = settings.peers.heartbeat_interval_s
+        self._first_retry_delay_s = settings.peers.heartbeat_interval_s
         self._roster = roster
         self._platform_hosts = platform_hosts
         self._randomness = randomness
@@ -94,15 +94,15 @@
         become reachable at the same time.
         """
         for retry in self._retries.values():
-            retry.wait_s = self._first_wait_s
+            retry.delay_s = self._first_retry_delay_s
             retry.due_at = min(
-                retry.due_at, trio.current_time() + self._first_wait_s
+                retry.due_at, trio.current_time() + self._first_retry_delay_s
             )
 
     def _schedule_retry(self, retry: _Retry) -> None:
         jitter = self._randomness.uniform(0.5, 1.5)
-        retry.due_at = trio.current_time() + retry.wait_s * jitter
-        retry.wait_s = min(_MAX_RETRY_WAIT_S, retry.wait_s * 2)
+        retry.due_at = trio.current_time() + retry.delay_s * jitter
+        retry.delay_s = min(_MAX_RETRY_DELAY_S, retry.delay_s * 2)
 
     def _refresh(self) -> None:
         contacts = self._find_contacts()
@@ -111,19 +111,19 @@
         for contact in contacts:
             if contact not in self._retries:
                 self._retries[contact] = _Retry(
-                    trio.current_time(), self._first_wait_s
+                    trio.current_time(), self._first_retry_delay_s
                 )
 
     def _find_contacts(self) -> dict[Contact, None]:
         """Returns the contacts as dictionary keys, in deterministic order."""
-        found = {
+        contacts = {
             _make_member_contact(m): None for m in self._roster.dead_members()
         }
         for seed in (*self._seeds, *self._platform_hosts()):
             contact = _make_seed_contact(seed)
             if not self._roster.is_alive(contact.host):
-                found[contact] = None
-        return found
+                contacts[contact] = None
+        return contacts
 
 
 def _make_member_contact(member: member_module.Member) -> Contact:
--- a/persimmonhinge/membership/exchange.py
+++ b/persimmonhinge/membership/exchange.py
@@ -96,7 +96,7 @@
         self, digest: messages.Digest, address: tuple[str, int]
     ) -> None:
         """Answers the digests of another host with the differing buckets."""
-        differing = self._roster.table.compare(digest.buckets)
+        differing = self._roster.table.compare(digest.bucket_digests)
         if not differing:
             await self._channel.send(messages.State(equal=True), address)
             return
@@ -129,11 +129,11 @@
         *,
         requested_buckets: bytes,
     ) -> None:
-        known = self._roster.table.select(buckets)
+        selected = self._roster.table.select(buckets)
         # If the budget does not cover all records, each exchange sends a
         # different subset.
-        self._randomness.shuffle(known)
-        for chunk in self._split(known):
+        self._randomness.shuffle(selected)
+        for chunk in self._split(selected):
             octets = sum(self._measure(record) for record in chunk)
             if not self._budget.try_spend(octets):
                 break
@@ -142,7 +142,7 @@
             requested_buckets = b""
 
     def _split(
-        self, known: list[record_module.Record]
+        self, records: list[record_module.Record]
     ) -> Iterator[list[record_module.Record]]:
         """Yields lists of records that fit into a datagram.
 
@@ -150,7 +150,7 @@
         """
         chunk: list[record_module.Record] = []
         octets = 0
-        for record in known:
+        for record in records:
             size = self._measure(record)
             if octets + size > _MAX_CHUNK_OCTETS:
                 yield chunk
--- a/persimmonhinge/membership/identity.py
+++ b/persimmonhinge/membership/identity.py
@@ -111,8 +111,10 @@
         )
         self._pauses.clear()
         logger.info("This host started incarnation %d.", incarnation)
-        before = former.to_member(record_module.STATES[former.claim])
-        after = self.record.to_member(record_module.STATES[former.claim])
+        before = former.to_member(record_module.STATES_BY_CLAIM[former.claim])
+        after = self.record.to_member(
+            record_module.STATES_BY_CLAIM[former.claim]
+        )
         for hook in self._hooks:
             hook(before, after)
 
--- a/persimmonhinge/membership/isolation.py
+++ b/persimmonhinge/membership/isolation.py
@@ -20,12 +20,12 @@
     def __init__(self) -> None:
         self.limit_s = math.inf
         self._last_received_at = math.inf
-        self._ended_at = -math.inf
+        self._isolation_ended_at = -math.inf
 
     def record_datagram(self, now: float) -> None:
         """Records that a datagram of another host was received."""
         if self._is_isolated(now):
-            self._ended_at = now
+            self._isolation_ended_at = now
         self._last_received_at = now
 
     def was_recently_isolated(self, now: float, within_s: float) -> bool:
@@ -36,7 +36,9 @@
             within_s: An isolation that ended less than this time ago is
                 recent, seconds.
         """
-        return self._is_isolated(now) or now - self._ended_at < within_s
+        return (
+            self._is_isolated(now) or now - self._isolation_ended_at < within_s
+        )
 
     def _is_isolated(self, now: float) -> bool:
         return now - self._last_received_at > self.limit_s
--- a/persimmonhinge/membership/messages.py
+++ b/persimmonhinge/membership/messages.py
@@ -55,10 +55,10 @@
     """Starts a state exchange; answered by `State`.
 
     Attributes:
-        buckets: Digests of all buckets of records, four octets each.
+        bucket_digests: Digests of all buckets of records, four octets each.
     """
 
-    buckets: bytes
+    bucket_digests: bytes
 
 
 @base.message_kind("hb-state")
--- a/persimmonhinge/membership/record.py
+++ b/persimmonhinge/membership/record.py
@@ -33,7 +33,7 @@
     DEAD = 3
 
 
-STATES = {
+STATES_BY_CLAIM = {
     Claim.ALIVE: member_module.MemberState.ALIVE,
     Claim.SUSPECT: member_module.MemberState.SUSPECT,
     Claim.LEAVING: member_module.MemberState.LEAVING,
@@ -43,7 +43,7 @@
 
 # First claim of a host that starts. LEAVING means that it accepts no roles
 # yet; all other states result in ALIVE.
-_FIRST_CLAIMS = {member_module.MemberState.LEAVING: Claim.LEAVING}
+_FIRST_CLAIMS_BY_STATE = {member_module.MemberState.LEAVING: Claim.LEAVING}
 
 
 class Record(base.Message, array_like=True, frozen=True):
@@ -88,7 +88,7 @@
             peer_port=member.peer_port,
             heartbeat_port=member.heartbeat_port,
             incarnation=member.incarnation,
-            claim=_FIRST_CLAIMS.get(member.state, Claim.ALIVE),
+            claim=_FIRST_CLAIMS_BY_STATE.get(member.state, Claim.ALIVE),
         )
 
     def to_member(
--- a/persimmonhinge/membership/roster.py
+++ b/persimmonhinge/membership/roster.py
@@ -76,7 +76,9 @@
         """Updates the table and the view from the record of this host."""
         record = self.identity.record
         self.table.merge_record(record)
-        self._view.put(record.to_member(record_module.STATES[record.claim]))
+        self._view.put(
+            record.to_member(record_module.STATES_BY_CLAIM[record.claim])
+        )
 
     def get(self, host: ids.HostId) -> record_module.Record | None:
         """Returns the record of a host; None if it is unknown."""
@@ -173,7 +175,9 @@
         ):
             return
         self._counts.add("membership_deaths_total")
-        logger.warning("Host %s did not answer the last probe; is dead.", host)
+        logger.warning(
+            "Host %s did not answer the final probe; declaring it dead.", host
+        )
         dead = msgspec.structs.replace(record, claim=_Claim.DEAD)
         if self.table.merge_record(dead):
             self.gossip.add(host)
@@ -220,7 +224,7 @@
             self._unconfirmed_deaths[record.host] = record.full_version
 
     def _publish_member(self, record: record_module.Record) -> None:
-        state = record_module.STATES[record.claim]
+        state = record_module.STATES_BY_CLAIM[record.claim]
         if record.host in self._unconfirmed_deaths:
             state = self._find_unconfirmed_state(record.host)
         self._view.put(record.to_member(state))
--- a/persimmonhinge/membership/service.py
+++ b/persimmonhinge/membership/service.py
@@ -79,7 +79,7 @@
         )
         self._datagrams = datagrams
         self._codec = codec.DatagramCodec(secret.read_secret(settings.peers))
-        self._hooks: list[identity.IncarnationHook] = []
+        self._incarnation_hooks: list[identity.IncarnationHook] = []
         self._interval_s = settings.peers.heartbeat_interval_s
         self._started = trio.Event()
         self._parts: parts_module.Parts | None = None
@@ -94,7 +94,7 @@
         incarnation, before the view changes, and must not block. Hooks must
         be registered before `run`.
         """
-        self._hooks.append(hook)
+        self._incarnation_hooks.append(hook)
 
     async def run(
         self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED
@@ -147,7 +147,7 @@
             parts = parts_module.make_parts(
                 self._context, self._codec, datagrams, nursery
             )
-            for hook in self._hooks:
+            for hook in self._incarnation_hooks:
                 parts.roster.identity.add_hook(hook)
             self._parts = parts
             self._nursery = nursery
--- a/persimmonhinge/membership/suspicions.py
+++ b/persimmonhinge/membership/suspicions.py
@@ -43,8 +43,8 @@
             probes: Probes members.
             nursery: Runs the tasks.
         """
-        wait_s = peers.suspicion_s - peers.heartbeat_interval_s
-        self._wait_s = max(0.0, wait_s)
+        timeout_s = peers.suspicion_s - peers.heartbeat_interval_s
+        self._timeout_s = max(0.0, timeout_s)
         self._roster = roster
         self._probes = probes
         self._nursery = nursery
@@ -96,7 +96,7 @@
     async def _wait_for_update(self, host: ids.HostId) -> None:
         """Waits for the suspicion timeout or an update of the host's record."""
         self._update_events[host] = trio.Event()
-        with trio.move_on_after(self._wait_s):
+        with trio.move_on_after(self._timeout_s):
             await self._update_events[host].wait()
 
     async def _wait_for_probe_rate(self) -> None:
--- a/tests/test_membership/hosts.py
+++ b/tests/test_membership/hosts.py
@@ -143,7 +143,7 @@
         self._nursery = nursery
         self._seed = seed
         self.peers = peers
-        self._starts = 0
+        self._start_count = 0
         _seed_scheduler(seed)
 
     async def start(self, count: int) -> None:
@@ -161,7 +161,7 @@
         platform_hosts: Sequence[dict[str, Any]] = (),
     ) -> Host:
         """Starts a host; by default, its seeds are hosts 0 and 1."""
-        self._starts += 1
+        self._start_count += 1
         if seeds is None:
             seeds = [make_seed(0), make_seed(1)]
         settings = make_settings(
@@ -173,8 +173,8 @@
         port = self.network.open((settings.peers.address, _PORT))
         host = make_host(
             settings,
-            incarnation or 1000 + self._starts,
-            random.Random(self._seed * 1000 + self._starts),
+            incarnation or 1000 + self._start_count,
+            random.Random(self._seed * 1000 + self._start_count),
             datagrams=port,
             platform_hosts=lambda: listed,
         )
@@ -194,24 +194,24 @@
         assert isinstance(clock, trio.testing.MockClock)
         clock.jump(duration_s)
 
-    def cut(self, is_cut: Callable[[int, int], bool]) -> None:
+    def partition(self, is_blocked: Callable[[int, int], bool]) -> None:
         """Drops datagrams between hosts for which the predicate is true.
 
         Args:
-            is_cut: Returns whether datagrams are dropped, given the numbers
+            is_blocked: Returns whether datagrams are dropped, given the numbers
                 of the sending and the receiving host.
         """
 
         def blocks(
             source: lossy_network.Address, target: lossy_network.Address
         ) -> bool:
-            return is_cut(_get_number(source), _get_number(target))
+            return is_blocked(_get_number(source), _get_number(target))
 
-        self.network.blocks = blocks
+        self.network.is_blocked = blocks
 
     def heal(self) -> None:
         """Ends all partitions."""
-        self.network.blocks = lambda a, b: False
+        self.network.is_blocked = lambda a, b: False
 
     def agrees(self, **states: str) -> bool:
         """Returns whether the views of all running hosts are as expected.
--- a/tests/test_membership/lossy_network.py
+++ b/tests/test_membership/lossy_network.py
@@ -21,7 +21,7 @@
 
     Attributes:
         loss: Fraction of the datagrams that is lost, 0 to 1.
-        blocks: Returns whether datagrams from one address to another are
+        is_blocked: Returns whether datagrams from one address to another are
             dropped.
         sent: Number of datagrams sent.
         sent_octets: Total size of the datagrams sent, octets.
@@ -29,7 +29,7 @@
 
     def __init__(self, randomness: random.Random, loss: float = 0.0) -> None:
         self.loss = loss
-        self.blocks: Callable[[Address, Address], bool] = lambda a, b: False
+        self.is_blocked: Callable[[Address, Address], bool] = lambda a, b: False
         self.sent = 0
         self.sent_octets = 0
         self._randomness = randomness
@@ -67,7 +67,7 @@
         self.sent_octets += len(data)
         if self._recording is not None:
             self._recording.add(data, source, target)
-        if source not in self._ports or self.blocks(source, target):
+        if source not in self._ports or self.is_blocked(source, target):
             return
         copies = 1 + (self._randomness.random() < _DUPLICATE_RATE)
         for _ in range(copies):
--- a/tests/test_membership/test_membership_convergence.py
+++ b/tests/test_membership/test_membership_convergence.py
@@ -42,9 +42,9 @@
     if event == "wait":
         await trio.sleep(number / 10)
     elif event == "cut":
-        fleet.cut(lambda a, b: (number >> a & 1) != (number >> b & 1))
+        fleet.partition(lambda a, b: (number >> a & 1) != (number >> b & 1))
     elif event == "one-way":
-        fleet.cut(lambda a, b: (number >> a & 1) > (number >> b & 1))
+        fleet.partition(lambda a, b: (number >> a & 1) > (number >> b & 1))
     elif event == "heal":
         fleet.heal()
     elif event == "start" and number not in fleet.hosts:
--- a/tests/test_membership/test_membership_service.py
+++ b/tests/test_membership/test_membership_service.py
@@ -80,7 +80,7 @@
     no host may declare either of them dead.
     """
     async with run_fleet(count=6, seed=4, loss=0.05) as fleet:
-        fleet.cut(lambda source, target: (source, target) == (0, 1))
+        fleet.partition(lambda source, target: (source, target) == (0, 1))
         await trio.sleep(40)
         assert fleet.count("membership_deaths_total") == 0
 
@@ -93,7 +93,9 @@
     third domain can relay answers, so helpers must include a host of it.
     """
     async with run_fleet(count=9, seed=5) as fleet:
-        fleet.cut(lambda source, target: source % 3 == 0 and target % 3 == 1)
+        fleet.partition(
+            lambda source, target: source % 3 == 0 and target % 3 == 1
+        )
         await trio.sleep(40)
         assert fleet.count("membership_deaths_total") == 0
 
@@ -107,7 +109,7 @@
     other. They can reach each other and must not accept the claims.
     """
     async with run_fleet(count=6, seed=6) as fleet:
-        fleet.cut(lambda source, target: target == 0)
+        fleet.partition(lambda source, target: target == 0)
         changes = [
             (host.name, member.host, member.state)
             async for host, member in fleet.watch(duration_s=30)
@@ -130,7 +132,9 @@
     host must return exactly once on the other side.
     """
     async with run_fleet(count=9, seed=7) as fleet:
-        fleet.cut(lambda source, target: (source % 3 == 0) != (target % 3 == 0))
+        fleet.partition(
+            lambda source, target: (source % 3 == 0) != (target % 3 == 0)
+        )
         await trio.sleep(40)
         assert fleet.hosts[0].states()["host-1"] == "dead"
         assert fleet.hosts[0].states()["host-3"] == "alive"
@@ -159,7 +163,7 @@
     async with run_fleet(count=6, seed=21) as fleet:
         fleet.kill(0)
         fleet.kill(1)
-        fleet.cut(lambda source, target: (source < 4) != (target < 4))
+        fleet.partition(lambda source, target: (source < 4) != (target < 4))
         await trio.sleep(20)
         assert fleet.hosts[2].states()["host-4"] == "dead"
         fleet.heal()
@@ -222,7 +226,7 @@
     async with run_fleet(count=4, seed=10) as fleet:
         await trio.sleep(30)
         old = fleet.hosts.pop(2)
-        fleet.cut(lambda source, target: 2 in (source, target))
+        fleet.partition(lambda source, target: 2 in (source, target))
         await trio.sleep(10)
         new = await fleet.start_host(7, name="host-2")
         await fleet.wait_until(fleet.agrees, _MAX_JOIN_S)
