--- a/persimmonhinge/membership/exchange.py
+++ b/persimmonhinge/membership/exchange.py
@@ -113,10 +113,11 @@
             self._roster.apply_record(record)
         if state.equal:
             self._roster.identity.is_synchronized = True
-            calm_s = self._equal_state_interval_s * self._randomness.uniform(
-                0.5, 1.5
+            interval_s = (
+                self._equal_state_interval_s
+                * self._randomness.uniform(0.5, 1.5)
             )
-            self._next_exchange_at = trio.current_time() + calm_s
+            self._next_exchange_at = trio.current_time() + interval_s
         if state.requested_buckets:
             await self._send_state(
                 state.requested_buckets, address, requested_buckets=b""
--- a/persimmonhinge/membership/service.py
+++ b/persimmonhinge/membership/service.py
@@ -218,9 +218,9 @@
         async with trio.open_nursery() as nursery:
             for member in recipients:
                 nursery.start_soon(parts.probes.probe, member.host)
-        others = len(parts.roster.live_members())
-        if others > len(recipients):
-            rounds = math.ceil(math.log2(others))
+        live_count = len(parts.roster.live_members())
+        if live_count > len(recipients):
+            rounds = math.ceil(math.log2(live_count))
             await trio.sleep(rounds * self._interval_s)
 
     async def _send_farewell(self, parts: parts_module.Parts) -> None:
--- a/persimmonhinge/membership/suspicions.py
+++ b/persimmonhinge/membership/suspicions.py
@@ -85,8 +85,8 @@
         if record.claim is not record_module.Claim.DEAD:
             await self._wait_for_update(host)
         await self._wait_for_probe_rate()
-        present = self._roster.get(host)
-        if present is None or present.full_version != record.full_version:
+        current = self._roster.get(host)
+        if current is None or current.full_version != record.full_version:
             return False
         if await self._probes.probe(host, _FINAL_PROBE_HELPERS):
             return False
