--- a/tests/test_membership/test_membership_codec.py
+++ b/tests/test_membership/test_membership_codec.py
@@ -120,7 +120,7 @@
         )
         size = len(codec.encode(heartbeat))
         assert size <= codec_module.MAX_DATAGRAM_OCTETS / 2
-        sent_hosts |= {record.host for record in other_records}
+        sent_hosts |= {other.host for other in other_records}
     assert not len(gossip)
     assert sent_hosts | {target} >= {record.host for record in table.all()}
 
--- a/tests/test_membership/test_membership_pauses.py
+++ b/tests/test_membership/test_membership_pauses.py
@@ -80,7 +80,7 @@
         run_process("host-0", 0) as first,
         contextlib.AsyncExitStack() as stack,
     ):
-        await first.wait_until(lambda states: True)
+        await first.wait_until(lambda reported: True)
         others = [
             await stack.enter_async_context(run_process(name, first.port))
             for name in ("host-1", "host-2")
@@ -96,9 +96,9 @@
         assert after["host-2"][1] > before["host-2"][1]
         seen: list[HostStates] = []
 
-        def record_states(states: HostStates) -> bool:
-            seen.append(states)
-            return states["host-2"] == after["host-2"]
+        def record_states(reported: HostStates) -> bool:
+            seen.append(reported)
+            return reported["host-2"] == after["host-2"]
 
         await paused.wait_until(record_states)
         states = {state for b in seen for state, _ in b.values()}
