--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -195,7 +195,7 @@
     memory, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     codec = codecs.DatagramCodec(None)
-    wire = sum(codec.measure(record) for record in table.all())
+    wire = sum(codec.measure_record(record) for record in table.all())
     return memory, wire
 
 
--- a/persimmonhinge/membership/codec.py
+++ b/persimmonhinge/membership/codec.py
@@ -123,7 +123,7 @@
             raise RefusedDatagramError(RefusalCause.MALFORMED) from error
         return Heartbeat(envelope.sender, envelope.other_records, message)
 
-    def measure(self, record: record_module.Record) -> int:
+    def measure_record(self, record: record_module.Record) -> int:
         """Returns the encoded size of a record, octets."""
         return len(self._encoder.encode(record))
 
--- a/persimmonhinge/membership/contacts.py
+++ b/persimmonhinge/membership/contacts.py
@@ -1,4 +1,4 @@
-"""Addresses to ping for unknown hosts: seeds, platform list, dead members."""
+"""Addresses to ping in search of hosts that this host does not see alive."""
 
 from __future__ import annotations
 
@@ -43,7 +43,8 @@
 class Contacts:
     """Selects contacts to ping, with exponential back-off per contact.
 
-    No source is authoritative: the platform's list lags behind, and a seed
+    Contacts come from the seeds, the platform's list and the dead members. No
+    source is authoritative: the platform's list lags behind, and a seed
     may have been removed. Contacts are therefore only pinged, and a host
     that answers identifies itself. Dead members are also pinged: a host that
     was partitioned is seen as dead, and no other mechanism would find it
--- a/persimmonhinge/membership/exchange.py
+++ b/persimmonhinge/membership/exchange.py
@@ -44,7 +44,7 @@
         peers: entry.PeerSettings,
         channel: channel_module.Channel,
         roster: roster_module.Roster,
-        measure: Callable[[record_module.Record], int],
+        measure_record: Callable[[record_module.Record], int],
         randomness: random.Random,
     ) -> None:
         """Creates the state exchange of a host.
@@ -53,7 +53,7 @@
             peers: Settings of heartbeats.
             channel: Sends the datagrams.
             roster: Members and their records.
-            measure: Returns the encoded size of a record, octets.
+            measure_record: Returns the encoded size of a record, octets.
             randomness: Source of random choices.
         """
         self._unequal_state_interval_s = (
@@ -64,7 +64,7 @@
         )
         self._channel = channel
         self._roster = roster
-        self._measure = measure
+        self._measure_record = measure_record
         self._randomness = randomness
         self._budget = budgets.OctetBudget(
             _OCTETS_PER_S, _BURST_OCTETS, trio.current_time
@@ -96,7 +96,9 @@
         self, digest: messages.Digest, address: tuple[str, int]
     ) -> None:
         """Answers the digests of another host with the differing buckets."""
-        differing = self._roster.table.compare(digest.bucket_digests)
+        differing = self._roster.table.find_differing_buckets(
+            digest.bucket_digests
+        )
         if not differing:
             await self._channel.send(messages.State(equal=True), address)
             return
@@ -130,12 +132,12 @@
         *,
         requested_buckets: bytes,
     ) -> None:
-        selected = self._roster.table.select(buckets)
+        selected = self._roster.table.select_records(buckets)
         # If the budget does not cover all records, each exchange sends a
         # different subset.
         self._randomness.shuffle(selected)
         for chunk in self._split(selected):
-            octets = sum(self._measure(record) for record in chunk)
+            octets = sum(self._measure_record(record) for record in chunk)
             if not self._budget.try_spend(octets):
                 break
             state = messages.State(tuple(chunk), requested_buckets)
@@ -152,7 +154,7 @@
         chunk: list[record_module.Record] = []
         octets = 0
         for record in records:
-            size = self._measure(record)
+            size = self._measure_record(record)
             if octets + size > _MAX_CHUNK_OCTETS:
                 yield chunk
                 chunk = []
--- a/persimmonhinge/membership/gossip.py
+++ b/persimmonhinge/membership/gossip.py
@@ -47,18 +47,18 @@
     def __init__(
         self,
         table: table_module.Table,
-        measure: Callable[[record_module.Record], int],
+        measure_record: Callable[[record_module.Record], int],
         now: Callable[[], float],
     ) -> None:
         """Creates an empty queue.
 
         Args:
             table: Holds the records of all hosts.
-            measure: Returns the encoded size of a record, octets.
+            measure_record: Returns the encoded size of a record, octets.
             now: Returns the monotonic time, seconds.
         """
         self._table = table
-        self._measure = measure
+        self._measure_record = measure_record
         self._budget = budgets.OctetBudget(_OCTETS_PER_S, _BURST_OCTETS, now)
         self._queue: list[_QueueEntry] = []
         self._latest_sequences: dict[ids.HostId, int] = {}
@@ -90,7 +90,7 @@
                 and record.claim is not record_module.Claim.ALIVE
             ):
                 chosen.append(record)
-                remaining_octets -= self._measure(record)
+                remaining_octets -= self._measure_record(record)
         sent: list[_QueueEntry] = []
         while self._queue and remaining_octets > 0:
             queue_entry = heapq.heappop(self._queue)
@@ -103,7 +103,7 @@
             if record is None:
                 del self._latest_sequences[queue_entry.host]
                 continue
-            octets = self._measure(record)
+            octets = self._measure_record(record)
             if not self._budget.try_spend(octets):
                 heapq.heappush(self._queue, queue_entry)
                 break
--- a/persimmonhinge/membership/identity.py
+++ b/persimmonhinge/membership/identity.py
@@ -22,7 +22,7 @@
 
 
 class NameTakenError(errors.PeerError):
-    """Another process with the name of this host was started later."""
+    """Another process was started later with the name of this host."""
 
 
 class Identity:
@@ -31,15 +31,15 @@
     Attributes:
         record: The record of this host, sent in each datagram.
         is_synchronized: True once the state of this host has been equal to
-            that of some peer. From then on, this host cannot learn of a
-            former process of its name for the first time.
+            that of some peer. This host has then received the record of any
+            former process with its name.
     """
 
     def __init__(
         self,
         me: member.Member,
         pauses: pauses_module.PauseDetector,
-        min_death_s: float,
+        min_detection_s: float,
         wall_ms: Callable[[], int],
     ) -> None:
         """Creates the record of a host that starts.
@@ -47,14 +47,14 @@
         Args:
             me: This host.
             pauses: Detects pauses of this process.
-            min_death_s: Shortest time without answers after which peers
-                declare a host dead, seconds.
+            min_detection_s: Shortest time after which peers declare a host
+                dead that does not answer, seconds.
             wall_ms: Returns the wall clock, milliseconds.
         """
         self.record = record_module.Record.from_member(me)
         self.is_synchronized = False
         self._pauses = pauses
-        self._min_death_s = min_death_s
+        self._min_detection_s = min_detection_s
         self._wall_ms = wall_ms
         self._hooks: list[IncarnationHook] = []
 
@@ -111,15 +111,17 @@
         )
         self._pauses.clear()
         logger.info("This host started incarnation %d.", incarnation)
-        before = former.to_member(record_module.STATES_BY_CLAIM[former.claim])
-        after = self.record.to_member(
+        former_member = former.to_member(
+            record_module.STATES_BY_CLAIM[former.claim]
+        )
+        new_member = self.record.to_member(
             record_module.STATES_BY_CLAIM[former.claim]
         )
         for hook in self._hooks:
-            hook(before, after)
+            hook(former_member, new_member)
 
     def _was_paused_too_long(self) -> bool:
-        return self._pauses.longest_pause_s >= self._min_death_s
+        return self._pauses.longest_pause_s >= self._min_detection_s
 
     def _resolve_name_conflict(self, record: record_module.Record) -> None:
         """Handles a higher incarnation that has the name of this host.
--- a/persimmonhinge/membership/messages.py
+++ b/persimmonhinge/membership/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from persimmonhinge.membership import record as records
+from persimmonhinge.membership import record as record_module
 from persimmonhinge.peers.messages import base
 
 _SEQUENCE = msgspec.Meta(ge=0, lt=2**32)
@@ -17,7 +17,7 @@
     """Asks the recipient to confirm that it is alive; answered by `Ack`.
 
     Attributes:
-        sequence: Number chosen by the sender to match the answer.
+        sequence: Number by which the sender matches the answer.
     """
 
     sequence: Annotated[int, _SEQUENCE]
@@ -34,7 +34,7 @@
     """
 
     sequence: Annotated[int, _SEQUENCE]
-    subject: records.Record | None = None
+    subject: record_module.Record | None = None
 
 
 @base.message_kind("hb-ping-request")
@@ -42,12 +42,12 @@
     """Asks the recipient to ping a third host and to relay the answer.
 
     Attributes:
-        sequence: Number chosen by the sender to match the answer.
+        sequence: Number by which the sender matches the answer.
         target: The sender's record of the host to ping.
     """
 
     sequence: Annotated[int, _SEQUENCE]
-    target: records.Record
+    target: record_module.Record
 
 
 @base.message_kind("hb-digest")
@@ -63,7 +63,7 @@
 
 @base.message_kind("hb-state")
 class State(base.Message, array_like=True, frozen=True):
-    """All or some records of the buckets that differ.
+    """Carries all or some records of the buckets that differ.
 
     Attributes:
         records: The records.
@@ -72,7 +72,7 @@
         equal: True if no bucket differed.
     """
 
-    records: tuple[records.Record, ...] = ()
+    records: tuple[record_module.Record, ...] = ()
     requested_buckets: bytes = b""
     equal: bool = False
 
--- a/persimmonhinge/membership/parts.py
+++ b/persimmonhinge/membership/parts.py
@@ -95,7 +95,7 @@
         probes=probes,
         suspicions=suspicions_module.Suspicions(peers, roster, probes, nursery),
         exchange=exchange_module.Exchange(
-            peers, channel, roster, codec.measure, randomness
+            peers, channel, roster, codec.measure_record, randomness
         ),
         ring=probe_ring.ProbeRing(roster, randomness),
         contacts=contacts_module.Contacts(
@@ -114,7 +114,9 @@
         context.view.self_member, pauses, peers.suspicion_s, _read_wall_ms
     )
     table = table_module.Table(peers.forget_s, trio.current_time)
-    gossip = gossip_module.Gossip(table, codec.measure, trio.current_time)
+    gossip = gossip_module.Gossip(
+        table, codec.measure_record, trio.current_time
+    )
     return roster_module.Roster(
         context.view, identity, table, gossip, context.counts
     )
--- a/persimmonhinge/membership/pauses.py
+++ b/persimmonhinge/membership/pauses.py
@@ -14,10 +14,10 @@
 class PauseDetector:
     """Measures the time between checks, which run at least every heartbeat.
 
-    A process that was stopped, or got no CPU time, does not notice it
-    otherwise, and would treat suspicions that its peers raised meanwhile as
-    errors. Peers report the consequences of a pause within a limited time.
-    A pause is forgotten after that time, because any later suspicion has
+    A process cannot otherwise detect that it was stopped or got no CPU time,
+    and would treat suspicions that its peers raised during the pause as
+    errors. Peers report the consequences of a pause within a limited time. A
+    pause is forgotten after that time, because any later suspicion has
     another cause.
     """
 
@@ -35,7 +35,7 @@
             retention_s: How long a pause is remembered after its end,
                 seconds.
         """
-        self._limit_s = _MIN_PAUSE_INTERVALS * interval_s
+        self._min_pause_s = _MIN_PAUSE_INTERVALS * interval_s
         self._now = now
         self._retention_s = retention_s
         self._last_check_at = now()
@@ -48,11 +48,11 @@
         return self._longest_pause_s
 
     def check(self) -> None:
-        """Checks for a pause since the last check."""
+        """Records a pause if the last check was too long ago."""
         now = self._now()
         gap_s = now - self._last_check_at
         self._last_check_at = now
-        if gap_s > self._limit_s:
+        if gap_s > self._min_pause_s:
             self._longest_pause_s = max(self._longest_pause_s, gap_s)
             self._last_pause_ended_at = now
             logger.warning("This process did not run for %.1f s.", gap_s)
--- a/persimmonhinge/membership/placement.py
+++ b/persimmonhinge/membership/placement.py
@@ -90,12 +90,12 @@
         The alternatives, used while the home is unreachable, are the
         highest-scoring host of each domain, excluding the home.
 
-        The second host is thus the home once the first is known to be dead.
-        This prevents two homes during that transition. Otherwise, while hosts
-        still wait for answers of a dead home, a caller's feed could open at a
-        third host, and the feed's keeper would then pass the feed to the
-        correct home as well. The caller would receive events from both and
-        see values go back to older ones.
+        The second host in the ranking becomes the home once the first is
+        known to be dead. This prevents two homes during that transition.
+        Otherwise, while hosts still wait for answers of a dead home, a
+        caller's feed could open at a third host, and the feed's keeper would
+        then pass the feed to the correct home as well. The caller would
+        receive events from both and see values go back to older ones.
         """
         self._refresh()
         key = _hash_flow(service, caller)
--- a/persimmonhinge/membership/probes.py
+++ b/persimmonhinge/membership/probes.py
@@ -15,8 +15,8 @@
 from persimmonhinge.membership import roster as roster_module
 from persimmonhinge.settings import entry
 
-ATTEMPTS = 3
-_DEFAULT_HELPERS = 3
+MAX_ATTEMPTS = 3
+_DEFAULT_HELPER_COUNT = 3
 _MAX_HELPER_CANDIDATES = 12
 _MAX_CONCURRENT_RELAYS = 256
 
@@ -64,17 +64,17 @@
         self._randomness = randomness
         self._sequence = randomness.getrandbits(32)
         self._pending_probes: dict[int, _PendingProbe] = {}
-        self._active_relays = 0
+        self._active_relay_count = 0
 
     async def probe(
-        self, host: ids.HostId, helpers: int = _DEFAULT_HELPERS
+        self, host: ids.HostId, helper_count: int = _DEFAULT_HELPER_COUNT
     ) -> bool:
         """Probes a member.
 
         Args:
             host: The member.
-            helpers: Number of other members that are asked to ping the member
-                at each attempt after the first.
+            helper_count: Number of other members that are asked to ping the
+                member at each attempt after the first.
 
         Returns:
             False if the host is unknown or no answer arrived in time, neither
@@ -83,14 +83,14 @@
         target = self._roster.get(host)
         if target is None:
             return False
-        sequence, wait = self._register_probe(host)
+        sequence, pending_probe = self._register_probe(host)
         try:
-            for attempt in range(ATTEMPTS):
+            for attempt in range(MAX_ATTEMPTS):
                 await self._send_attempt(
-                    sequence, target, helpers if attempt else 0
+                    sequence, target, helper_count if attempt else 0
                 )
-                with trio.move_on_after(self._timeout_s / ATTEMPTS):
-                    await wait.answered.wait()
+                with trio.move_on_after(self._timeout_s / MAX_ATTEMPTS):
+                    await pending_probe.answered.wait()
                     return True
         finally:
             del self._pending_probes[sequence]
@@ -99,7 +99,10 @@
     async def ping_address(
         self, address: tuple[str, int], host: ids.HostId | None
     ) -> None:
-        """Pings an address at which a host may be; does not wait."""
+        """Pings an address at which a host may be running.
+
+        Returns without waiting for an answer.
+        """
         message = messages.Ping(self._next_sequence())
         await self._channel.send(message, address, recipient=host)
 
@@ -109,7 +112,7 @@
         address: tuple[str, int],
         sender: record_module.Record,
     ) -> None:
-        """Answers a ping."""
+        """Sends the acknowledgement of a ping to its sender."""
         ack = messages.Ack(ping.sequence)
         await self._channel.send(ack, address, recipient=sender.host)
 
@@ -117,10 +120,10 @@
         self, request: messages.PingRequest, address: tuple[str, int]
     ) -> None:
         """Pings a target for another host and relays the answer."""
-        if self._active_relays >= _MAX_CONCURRENT_RELAYS:
+        if self._active_relay_count >= _MAX_CONCURRENT_RELAYS:
             return
-        self._active_relays += 1
-        sequence, wait = self._register_probe(request.target.host)
+        self._active_relay_count += 1
+        sequence, pending_probe = self._register_probe(request.target.host)
         try:
             await self._channel.send(
                 messages.Ping(sequence),
@@ -128,27 +131,27 @@
                 recipient=request.target.host,
             )
             with trio.move_on_after(self._timeout_s):
-                await wait.answered.wait()
+                await pending_probe.answered.wait()
         finally:
             del self._pending_probes[sequence]
-            self._active_relays -= 1
-        if wait.record is not None:
-            answer = messages.Ack(request.sequence, wait.record)
+            self._active_relay_count -= 1
+        if pending_probe.record is not None:
+            answer = messages.Ack(request.sequence, pending_probe.record)
             await self._channel.send(answer, address)
 
     def handle_ack(
         self, ack: messages.Ack, sender: record_module.Record
     ) -> None:
         """Completes the pending probe that an acknowledgement answers."""
-        wait = self._pending_probes.get(ack.sequence)
+        pending_probe = self._pending_probes.get(ack.sequence)
         record = ack.subject or sender
-        if wait is None or wait.host != record.host:
+        if pending_probe is None or pending_probe.host != record.host:
             return
-        wait.record = record
-        wait.answered.set()
+        pending_probe.record = record
+        pending_probe.answered.set()
 
     async def _send_attempt(
-        self, sequence: int, target: record_module.Record, helpers: int
+        self, sequence: int, target: record_module.Record, helper_count: int
     ) -> None:
         target = self._roster.get(target.host) or target
         await self._channel.send(
@@ -157,7 +160,7 @@
             recipient=target.host,
         )
         request = messages.PingRequest(sequence, target)
-        for helper in self._choose_helpers(target.host, helpers):
+        for helper in self._choose_helpers(target.host, helper_count):
             await self._channel.send(
                 request,
                 (helper.address, helper.heartbeat_port),
@@ -165,33 +168,33 @@
             )
 
     def _choose_helpers(
-        self, target: ids.HostId, count: int
+        self, target: ids.HostId, helper_count: int
     ) -> list[member.Member]:
         """Chooses helpers from as many failure domains as possible.
 
         A one-way partition between two domains can be bypassed only through a
         third one, so three helpers in one domain are no better than one.
         """
-        if not count:
+        if not helper_count:
             return []
         candidates = self._roster.sample_members(
             _MAX_HELPER_CANDIDATES, self._randomness
         )
         candidates = [c for c in candidates if c.host != target]
         chosen: dict[ids.DomainId, member.Member] = {}
-        same_domain = []
+        further_candidates = []
         for candidate in candidates:
             if candidate.domain in chosen:
-                same_domain.append(candidate)
+                further_candidates.append(candidate)
             else:
                 chosen[candidate.domain] = candidate
-        return [*chosen.values(), *same_domain][:count]
+        return [*chosen.values(), *further_candidates][:helper_count]
 
     def _register_probe(self, host: ids.HostId) -> tuple[int, _PendingProbe]:
         sequence = self._next_sequence()
-        wait = _PendingProbe(host, trio.Event())
-        self._pending_probes[sequence] = wait
-        return sequence, wait
+        pending_probe = _PendingProbe(host, trio.Event())
+        self._pending_probes[sequence] = pending_probe
+        return sequence, pending_probe
 
     def _next_sequence(self) -> int:
         self._sequence = (self._sequence + 1) % 2**32
--- a/persimmonhinge/membership/receiver.py
+++ b/persimmonhinge/membership/receiver.py
@@ -26,7 +26,7 @@
 
         Args:
             parts: The components of membership.
-            isolation: Detector that is informed of each received datagram.
+            isolation: Detector to which each received datagram is reported.
             counts: Counters of this host.
             nursery: Runs the tasks that relay pings.
         """
--- a/persimmonhinge/membership/roster.py
+++ b/persimmonhinge/membership/roster.py
@@ -33,8 +33,8 @@
     appears in the view as a suspicion until this host has probed the member.
     This prevents flapping when a partition ends: the other side has declared
     all hosts of this side dead and reports this, and hosts of this side would
-    remove each other until each has refuted the claim. The probe carries the
-    claim to the member, and its answer carries the refutation.
+    remove each other until each has refuted the claim about itself. The probe
+    carries the claim to the member, and its answer carries the refutation.
 
     Attributes:
         identity: The record of this host.
@@ -198,7 +198,7 @@
             if member.host != self._view.me:
                 self._remove_host(member.host)
 
-    def announce_claim(self, claim: record_module.Claim) -> None:
+    def set_own_claim(self, claim: record_module.Claim) -> None:
         """Sets the claim on this host and updates the view."""
         self.identity.set_claim(claim)
         self.publish_own_record()
@@ -218,9 +218,9 @@
         self, record: record_module.Record, *, sent_by_subject: bool
     ) -> None:
         self._unconfirmed_deaths.pop(record.host, None)
-        shown = self._view.get(record.host)
-        answers = shown is not None and shown.is_alive
-        if record.claim is _Claim.DEAD and answers and not sent_by_subject:
+        member = self._view.get(record.host)
+        was_alive = member is not None and member.is_alive
+        if record.claim is _Claim.DEAD and was_alive and not sent_by_subject:
             self._unconfirmed_deaths[record.host] = record.full_version
 
     def _publish_member(self, record: record_module.Record) -> None:
@@ -232,10 +232,10 @@
     def _find_unconfirmed_state(
         self, host: ids.HostId
     ) -> member_module.MemberState:
-        shown = self._view.get(host)
+        member = self._view.get(host)
         if (
-            shown is not None
-            and shown.state is member_module.MemberState.LEAVING
+            member is not None
+            and member.state is member_module.MemberState.LEAVING
         ):
             return member_module.MemberState.LEAVING
         return member_module.MemberState.SUSPECT
--- a/persimmonhinge/membership/service.py
+++ b/persimmonhinge/membership/service.py
@@ -27,7 +27,8 @@
 
 logger = logging.getLogger(__name__)
 
-# Members to which this host sends its claim to leave or stop directly.
+# Number of members to which this host itself sends its announcement that it
+# leaves, rejoins or stops; the other members receive it by gossip.
 _MAX_DIRECT_RECIPIENTS = 8
 # Heartbeat intervals without a received datagram after which this host counts
 # as isolated. In each interval, it probes one member and is probed by about
@@ -115,7 +116,9 @@
             bound.close()
 
     async def leave(self) -> None:
-        """Announces that this host will stop; waits until this has spread.
+        """Announces that this host will stop.
+
+        Returns once the announcement has had time to reach all members.
 
         The host continues to answer heartbeats until `run` is cancelled. It
         then sends a farewell, so that peers do not have to detect that it
@@ -213,7 +216,7 @@
         parts = await self._get_parts()
         if parts.roster.identity.record.claim is claim:
             return
-        parts.roster.announce_claim(claim)
+        parts.roster.set_own_claim(claim)
         recipients = self._sample_recipients(parts)
         async with trio.open_nursery() as nursery:
             for member in recipients:
@@ -229,7 +232,7 @@
             is not record_module.Claim.LEAVING
         ):
             return
-        parts.roster.announce_claim(record_module.Claim.DEAD)
+        parts.roster.set_own_claim(record_module.Claim.DEAD)
         with trio.CancelScope(shield=True):
             for member in self._sample_recipients(parts):
                 address = (member.address, member.heartbeat_port)
--- a/persimmonhinge/membership/suspicions.py
+++ b/persimmonhinge/membership/suspicions.py
@@ -15,7 +15,7 @@
 # many hosts.
 _FINAL_PROBES_PER_S = 20.0
 _MAX_FINAL_PROBE_BURST = 20
-_FINAL_PROBE_HELPERS = 1
+_FINAL_PROBE_HELPER_COUNT = 1
 
 
 class Suspicions:
@@ -34,7 +34,7 @@
         probes: probes_module.Probes,
         nursery: trio.Nursery,
     ) -> None:
-        """Creates the suspicion handling of a host.
+        """Creates the object that resolves the suspicions of a host.
 
         Args:
             peers: Settings of heartbeats; the suspicion timeout includes the
@@ -74,7 +74,7 @@
             del self._update_events[host]
 
     async def _try_to_resolve(self, host: ids.HostId) -> bool:
-        """Waits, probes the host and declares it dead if it is silent.
+        """Waits, probes the host and declares it dead if it does not answer.
 
         Returns:
             False if the host answered or its record changed in the meantime.
@@ -84,11 +84,11 @@
             return True
         if record.claim is not record_module.Claim.DEAD:
             await self._wait_for_update(host)
-        await self._wait_for_probe_rate()
+        await self._wait_for_rate_limit()
         current = self._roster.get(host)
         if current is None or current.full_version != record.full_version:
             return False
-        if await self._probes.probe(host, _FINAL_PROBE_HELPERS):
+        if await self._probes.probe(host, _FINAL_PROBE_HELPER_COUNT):
             return False
         self._roster.declare_dead(host, record.full_version)
         return True
@@ -99,7 +99,7 @@
         with trio.move_on_after(self._timeout_s):
             await self._update_events[host].wait()
 
-    async def _wait_for_probe_rate(self) -> None:
+    async def _wait_for_rate_limit(self) -> None:
         earliest = (
             trio.current_time() - _MAX_FINAL_PROBE_BURST / _FINAL_PROBES_PER_S
         )
--- a/persimmonhinge/membership/table.py
+++ b/persimmonhinge/membership/table.py
@@ -99,7 +99,7 @@
         """Returns the digests of all buckets, four octets each."""
         return _DIGESTS.pack(*self._digests)
 
-    def compare(self, digests: bytes) -> list[int]:
+    def find_differing_buckets(self, digests: bytes) -> list[int]:
         """Returns the numbers of the buckets that differ.
 
         Digests of another length come from another version of the program;
@@ -114,7 +114,9 @@
             if other_digests[number] != self._digests[number]
         ]
 
-    def select(self, buckets: Iterable[int]) -> list[record_module.Record]:
+    def select_records(
+        self, buckets: Iterable[int]
+    ) -> list[record_module.Record]:
         """Returns the records in the given buckets."""
         numbers = frozenset(buckets)
         return [
--- a/persimmonhinge/membership/udp.py
+++ b/persimmonhinge/membership/udp.py
@@ -7,7 +7,7 @@
 
 import trio
 
-_MAX_OCTETS = 65_535
+_MAX_DATAGRAM_OCTETS = 65_535
 
 
 class UdpDatagrams:
@@ -27,14 +27,14 @@
         """Sends one datagram.
 
         Raises:
-            OSError: The kernel refused it.
+            OSError: The kernel refused the datagram.
         """
         await self._socket.sendto(data, address)
 
     async def __aiter__(self) -> AsyncIterator[tuple[bytes, tuple[str, int]]]:
         """Yields the received datagrams, each with its source address."""
         while True:
-            data, source = await self._socket.recvfrom(_MAX_OCTETS)
+            data, source = await self._socket.recvfrom(_MAX_DATAGRAM_OCTETS)
             yield data, (source[0], source[1])
 
     def close(self) -> None:
--- a/persimmonhinge/membership/view.py
+++ b/persimmonhinge/membership/view.py
@@ -30,8 +30,8 @@
         # Each packet with a ticket needs a lookup by ref. The index is rebuilt
         # once per change because hashing every member for each packet is too
         # expensive.
-        self._refs: dict[ids.HostRef, member_module.Member | None] = {}
-        self._refs_version = -1
+        self._ref_index: dict[ids.HostRef, member_module.Member | None] = {}
+        self._ref_index_version = -1
 
     @property
     def self_member(self) -> member_module.Member:
@@ -49,10 +49,10 @@
         hosts), the result is None: the outcome of a request is then reported
         as unknown instead of wrong.
         """
-        if self._refs_version != self.changed.version:
-            self._refs_version = self.changed.version
-            self._refs = _index_refs(self._members.values())
-        found = self._refs.get(ref)
+        if self._ref_index_version != self.changed.version:
+            self._ref_index_version = self.changed.version
+            self._ref_index = _index_refs(self._members.values())
+        found = self._ref_index.get(ref)
         return found if found is not None and found.is_alive else None
 
     def all(self) -> Iterable[member_module.Member]:
@@ -64,7 +64,7 @@
         return [m for m in self._members.values() if m.accepts_roles]
 
     def put(self, member: member_module.Member) -> None:
-        """Adds or replaces a member."""
+        """Adds a member or replaces the one of the same name."""
         if self._members.get(member.host) == member:
             return
         self._members[member.host] = member
--- a/tests/test_membership/hosts.py
+++ b/tests/test_membership/hosts.py
@@ -92,7 +92,7 @@
 
 
 def make_seed(number: int, name: str = "", **fields: Any) -> dict[str, Any]:
-    """Returns the seed entry of the host with a number."""
+    """Returns the seed entry of the host with the given number."""
     defaults = {
         "host": name or f"host-{number}",
         "domain": DOMAINS[number % len(DOMAINS)],
@@ -202,12 +202,12 @@
                 of the sending and the receiving host.
         """
 
-        def blocks(
+        def is_address_blocked(
             source: lossy_network.Address, target: lossy_network.Address
         ) -> bool:
             return is_blocked(_get_number(source), _get_number(target))
 
-        self.network.is_blocked = blocks
+        self.network.is_blocked = is_address_blocked
 
     def heal(self) -> None:
         """Ends all partitions."""
--- a/tests/test_membership/test_membership_codec.py
+++ b/tests/test_membership/test_membership_codec.py
@@ -104,7 +104,9 @@
     codec = codec_module.DatagramCodec(_SECRET)
     table = table_module.Table(100.0, lambda: 0.0)
     times = itertools.count()
-    gossip = gossip_module.Gossip(table, codec.measure, lambda: next(times))
+    gossip = gossip_module.Gossip(
+        table, codec.measure_record, lambda: next(times)
+    )
     for number in range(count):
         record = test_membership_record.make_record(
             f"host-{number}", claim=record_module.Claim(number % 4)
@@ -134,7 +136,9 @@
     codec = codec_module.DatagramCodec(None)
     table = table_module.Table(100.0, lambda: 0.0)
     times = itertools.count()
-    gossip = gossip_module.Gossip(table, codec.measure, lambda: next(times))
+    gossip = gossip_module.Gossip(
+        table, codec.measure_record, lambda: next(times)
+    )
     suspect = test_membership_record.make_record(
         claim=record_module.Claim.SUSPECT
     )
--- a/tests/test_membership/test_membership_pauses.py
+++ b/tests/test_membership/test_membership_pauses.py
@@ -68,7 +68,7 @@
 
 
 @trios.trio_test
-async def test_a_paused_host_wakes_as_a_new_incarnation() -> None:
+async def test_resumed_host_starts_new_incarnation() -> None:
     """Guards against a resumed host continuing in its old incarnation.
 
     While the host was paused, its peers declared it dead and assigned its
@@ -86,13 +86,15 @@
             for name in ("host-1", "host-2")
         ]
         paused = others[1]
-        before = await first.wait_until(lambda b: len(b) == 3)
+        before = await first.wait_until(lambda reported: len(reported) == 3)
         for process in others:
-            await process.wait_until(lambda b: len(b) == 3)
+            await process.wait_until(lambda reported: len(reported) == 3)
         paused.signal(signal.SIGSTOP)
-        await first.wait_until(lambda b: b["host-2"][0] == "dead")
+        await first.wait_until(lambda reported: reported["host-2"][0] == "dead")
         paused.signal(signal.SIGCONT)
-        after = await first.wait_until(lambda b: b["host-2"][0] == "alive")
+        after = await first.wait_until(
+            lambda reported: reported["host-2"][0] == "alive"
+        )
         assert after["host-2"][1] > before["host-2"][1]
         seen: list[HostStates] = []
 
@@ -101,7 +103,7 @@
             return reported["host-2"] == after["host-2"]
 
         await paused.wait_until(record_states)
-        states = {state for b in seen for state, _ in b.values()}
+        states = {state for reported in seen for state, _ in reported.values()}
         assert "dead" not in states
 
 
@@ -117,7 +119,7 @@
     assert pauses.longest_pause_s == 0
 
 
-def test_pause_that_lies_back_is_forgotten() -> None:
+def test_pause_is_forgotten_after_retention_time() -> None:
     """Guards against a new incarnation because of a pause long ago.
 
     A partitioned host that is suspected for another reason must keep its
--- a/tests/test_membership/test_membership_placement.py
+++ b/tests/test_membership/test_membership_placement.py
@@ -91,7 +91,7 @@
 
 @_REPEATABLE
 @hypothesis.given(numbers_strategy)
-def test_the_second_home_takes_the_place_of_a_dead_one(
+def test_second_home_replaces_dead_home(
     numbers: list[int],
 ) -> None:
     """Guards against a caller receiving older events after its home died.
@@ -113,7 +113,7 @@
         assert home == placement.find_home(_SERVICE, flow)
 
 
-def test_homes_are_ranked_beyond_each_domain() -> None:
+def test_alternative_homes_cover_all_domains() -> None:
     placement = make_placement(range(9))
     for flow in _FLOWS[:100]:
         home, *others = placement.rank_homes(_SERVICE, flow)
@@ -122,7 +122,7 @@
         assert home not in others
 
 
-def test_the_keeper_stands_in_the_domain_of_the_upstream() -> None:
+def test_keeper_is_in_domain_of_upstream() -> None:
     placement = make_placement(range(6))
     for number in range(50):
         upstream = ids.UpstreamId(f"floor-trading/u-{number}")
--- a/tests/test_membership/test_membership_record.py
+++ b/tests/test_membership/test_membership_record.py
@@ -71,7 +71,7 @@
 
 @_REPEATABLE
 @hypothesis.given(strategies.lists(record_strategy, max_size=8))
-def test_tables_that_heard_the_same_are_equal(
+def test_tables_with_same_records_are_equal(
     received: list[record_module.Record],
 ) -> None:
     one = table_module.Table(_FORGET_S, lambda: 50.0)
@@ -82,12 +82,12 @@
         other.merge_record(record)
     assert {r.host: r for r in one.all()} == {r.host: r for r in other.all()}
     assert one.digests() == other.digests()
-    assert one.compare(other.digests()) == []
+    assert one.find_differing_buckets(other.digests()) == []
 
 
 @_REPEATABLE
 @hypothesis.given(record_strategy, record_strategy)
-def test_digests_tell_records_apart(
+def test_digests_distinguish_records(
     one: record_module.Record, two: record_module.Record
 ) -> None:
     tables_of = []
@@ -99,11 +99,12 @@
     assert (tables_of[0].digests() == tables_of[1].digests()) is same
 
 
-def test_a_death_that_is_passed_on_still_ends() -> None:
+def test_exchanged_death_is_still_forgotten() -> None:
     """Guards against hosts remembering a dead host forever.
 
-    Two hosts alternately send each other the DEAD record. If each transfer
-    restarted the retention time, neither host would ever remove the record.
+    Two hosts alternately send each other the DEAD record, each before its own
+    retention time for the record ends. If each transfer restarted the
+    retention time, neither host would ever remove the record.
     """
     now = 0.0
     pair = [table_module.Table(_FORGET_S, lambda: now) for _ in range(2)]
--- a/tests/test_membership/test_membership_service.py
+++ b/tests/test_membership/test_membership_service.py
@@ -16,8 +16,8 @@
 from tests.support import trios
 from tests.test_membership import hosts
 
-# Maximum times with the default settings, seconds, after which the views of
-# all hosts show a join, a death and the end of a partition.
+# Times, seconds, within which the views of all hosts must show a join, a death
+# and the end of a partition with the default settings.
 _MAX_JOIN_S = 3.0
 _MAX_DEATH_DETECTION_S = 4.0
 _MAX_HEAL_S = 20.0
@@ -43,7 +43,7 @@
 
 
 @trios.clock_test
-async def test_a_death_is_seen_in_time() -> None:
+async def test_death_is_detected_in_time() -> None:
     for count in (6, 20):
         async with run_fleet(count=count, seed=count) as fleet:
             fleet.kill(3)
@@ -71,7 +71,7 @@
 
 
 @trios.clock_test
-async def test_no_false_death_under_a_one_way_cut_of_two_hosts() -> None:
+async def test_no_false_death_under_one_way_partition_of_two_hosts() -> None:
     """Guards against declaring a host dead that one host cannot reach.
 
     In the failure, a host stopped relaying to one that it could not reach
@@ -86,7 +86,7 @@
 
 
 @trios.clock_test
-async def test_no_false_death_under_a_one_way_cut_of_two_domains() -> None:
+async def test_no_false_death_under_one_way_partition_of_two_domains() -> None:
     """Guards against one domain declaring all hosts of another domain dead.
 
     Datagrams from domain a to domain b are lost; all others arrive. Only the
@@ -101,7 +101,7 @@
 
 
 @trios.clock_test
-async def test_a_deaf_host_convinces_nobody() -> None:
+async def test_host_that_receives_nothing_does_not_split_fleet() -> None:
     """Guards against one host with a broken receiver splitting the fleet.
 
     Host 0 receives nothing, so it declares one host after another dead and
@@ -122,7 +122,7 @@
 
 
 @trios.clock_test
-async def test_cut_domains_heal_without_flapping() -> None:
+async def test_partition_of_domains_heals_without_flapping() -> None:
     """Guards against flapping after a partition ends.
 
     Domain a is partitioned for a while. Each side declares the other dead,
@@ -154,7 +154,7 @@
 
 
 @trios.clock_test
-async def test_a_cut_heals_when_the_seeds_are_gone() -> None:
+async def test_partition_heals_without_seeds() -> None:
     """Guards against a partition that lasts forever because no seed is left.
 
     The hosts that the settings name as seeds no longer exist, so only the
@@ -216,7 +216,7 @@
 
 
 @trios.clock_test
-async def test_a_replaced_host_gives_way() -> None:
+async def test_replaced_host_stops() -> None:
     """Guards against two hosts with one name competing for roles forever.
 
     Host 2 is partitioned, and a new host with its name starts at another
@@ -238,7 +238,7 @@
 
 
 @trios.clock_test
-async def test_a_planned_stop_is_told_before_it_happens() -> None:
+async def test_planned_stop_is_announced() -> None:
     async with run_fleet(count=6, seed=11) as fleet:
         await fleet.hosts[3].membership.leave()
         assert fleet.agrees(host_3="leaving")
@@ -249,7 +249,7 @@
 
 
 @trios.clock_test
-async def test_a_drained_host_comes_back() -> None:
+async def test_leaving_host_rejoins() -> None:
     async with run_fleet(count=6, seed=12) as fleet:
         await fleet.hosts[3].membership.leave()
         await fleet.hosts[3].membership.rejoin()
@@ -257,7 +257,7 @@
 
 
 @trios.clock_test
-async def test_a_host_that_leaves_and_dies_takes_no_role_again() -> None:
+async def test_leaving_host_that_dies_accepts_no_roles() -> None:
     """Guards against assigning roles to a host that has handed them over.
 
     The host dies while it leaves. If the view showed it as SUSPECT until its
@@ -272,7 +272,7 @@
 
 
 @trios.clock_test
-async def test_old_gossip_does_not_revive_the_dead() -> None:
+async def test_replayed_datagrams_do_not_revive_dead_host() -> None:
     """Guards against a late datagram making a dead host appear alive.
 
     In the failure, the dead host got flows again. Datagrams that were sent
@@ -296,7 +296,7 @@
 
 
 @trios.clock_test
-async def test_a_gap_in_running_is_no_evidence() -> None:
+async def test_pause_of_all_hosts_raises_no_suspicions() -> None:
     """Guards against suspicions after a pause of the whole machine.
 
     No process runs for ten seconds, as on a suspended or overloaded machine.
@@ -313,7 +313,7 @@
 
 
 @trios.clock_test
-async def test_a_host_that_was_away_for_long_starts_anew() -> None:
+async def test_host_paused_too_long_starts_new_incarnation() -> None:
     """Guards against a long-paused host reporting a forgotten host as alive.
 
     In the failure, a host resumed after an hour. Its view still contained the
@@ -332,7 +332,7 @@
 
 
 @trios.clock_test
-async def test_the_platform_list_is_only_a_hint() -> None:
+async def test_platform_list_is_not_authoritative() -> None:
     """Guards against treating the platform's host list as authoritative.
 
     In the failure, an outdated entry kept a dead host alive, and a missing
@@ -388,7 +388,7 @@
 
 
 @trios.clock_test
-async def test_a_check_speeds_up_the_discovery() -> None:
+async def test_probe_host_speeds_up_death_detection() -> None:
     async with run_fleet(count=6, seed=17) as fleet:
         fleet.kill(3)
         fleet.hosts[0].membership.probe_host(ids.HostId("host-3"))
