--- a/persimmonhinge/membership/identity.py
+++ b/persimmonhinge/membership/identity.py
@@ -32,7 +32,8 @@
         record: The record of this host, sent in each datagram.
         is_synchronized: True once the state of this host has been equal to
             that of some peer. This host has then received the record of any
-            former process with its name.
+            former process with its name, and a later record of a higher
+            incarnation comes from another process.
     """
 
     def __init__(
--- a/persimmonhinge/membership/isolation.py
+++ b/persimmonhinge/membership/isolation.py
@@ -13,12 +13,12 @@
     hosts shows the partition already at the first of these deaths.
 
     Attributes:
-        limit_s: Longest time without a datagram that does not count as
+        max_silence_s: Longest time without a datagram that does not count as
             isolation, seconds.
     """
 
     def __init__(self) -> None:
-        self.limit_s = math.inf
+        self.max_silence_s = math.inf
         self._last_received_at = math.inf
         self._isolation_ended_at = -math.inf
 
@@ -41,4 +41,4 @@
         )
 
     def _is_isolated(self, now: float) -> bool:
-        return now - self._last_received_at > self.limit_s
+        return now - self._last_received_at > self.max_silence_s
--- a/persimmonhinge/membership/service.py
+++ b/persimmonhinge/membership/service.py
@@ -107,11 +107,11 @@
             NameTakenError: Another process started later under this name.
         """
         if self._datagrams is not None:
-            await self._run_with(self._datagrams, task_status)
+            await self._run_on_port(self._datagrams, task_status)
             return
-        bound = await self._bind()
+        bound = await self._bind_port()
         try:
-            await self._run_with(bound, task_status)
+            await self._run_on_port(bound, task_status)
         finally:
             bound.close()
 
@@ -135,7 +135,7 @@
         if self._nursery is not None:
             self._nursery.start_soon(self._probe_and_suspect, host)
 
-    async def _bind(self) -> udp.UdpDatagrams:
+    async def _bind_port(self) -> udp.UdpDatagrams:
         view = self._context.view
         peers = self._context.settings.peers
         bound = await udp.bind(peers.own_address, peers.heartbeat_port)
@@ -143,7 +143,7 @@
         view.put(me)
         return bound
 
-    async def _run_with(
+    async def _run_on_port(
         self, datagrams: network.Datagrams, task_status: trio.TaskStatus[int]
     ) -> None:
         async with trio.open_nursery() as nursery:
@@ -158,7 +158,7 @@
                 "membership_news_queued", lambda: len(parts.roster.gossip)
             )
             isolation = self._context.view.isolation
-            isolation.limit_s = _ISOLATION_INTERVALS * self._interval_s
+            isolation.max_silence_s = _ISOLATION_INTERVALS * self._interval_s
             receiver = receiver_module.Receiver(
                 parts, isolation, self._context.counts, nursery
             )
--- a/tests/test_flows/test_flows_recovery.py
+++ b/tests/test_flows/test_flows_recovery.py
@@ -325,7 +325,7 @@
 def _make_connected_world() -> home_fakes.HomeWorld:
     """Returns a home that has just received a datagram of another host."""
     world = home_fakes.HomeWorld()
-    world.view.isolation.limit_s = 0.9
+    world.view.isolation.max_silence_s = 0.9
     world.view.isolation.record_datagram(trio.current_time())
     return world
 
--- a/tests/test_membership/hosts.py
+++ b/tests/test_membership/hosts.py
@@ -225,14 +225,14 @@
             expected[ids.HostId(name.replace("_", "-"))] = state
         return all(host.states() == expected for host in self.hosts.values())
 
-    def count(self, name: str) -> int:
+    def sum_counter(self, name: str) -> int:
         """Returns the sum of a counter over the running hosts."""
         return sum(host.counts.sum(name) for host in self.hosts.values())
 
-    async def watch(
+    async def watch_views(
         self, duration_s: float
     ) -> AsyncIterator[tuple[Host, member_module.Member]]:
-        """Yields each change in the view of a running host.
+        """Yields each change in the views of the running hosts.
 
         Args:
             duration_s: How long changes are yielded, seconds.
--- a/tests/test_membership/lossy_network.py
+++ b/tests/test_membership/lossy_network.py
@@ -46,7 +46,7 @@
             task_status.started()
             await trio.sleep_forever()
 
-    def record(self) -> Recording:
+    def start_recording(self) -> Recording:
         """Starts to record the datagrams that are sent."""
         self._recording = Recording(self)
         return self._recording
--- a/tests/test_membership/test_membership_codec.py
+++ b/tests/test_membership/test_membership_codec.py
@@ -88,9 +88,9 @@
 
 def test_records_out_of_range_are_refused() -> None:
     body = msgspec.msgpack.decode(msgspec.msgpack.encode(_RECORD))
-    wrong = ["", "x" * 64, b"\x0a", 70_000, -1, 2**53, -1, 9, -1]
-    for place, value in enumerate(wrong):
-        sender = [*body[:place], value, *body[place + 1 :]]
+    invalid = ["", "x" * 64, b"\x0a", 70_000, -1, 2**53, -1, 9, -1]
+    for index, value in enumerate(invalid):
+        sender = [*body[:index], value, *body[index + 1 :]]
         data = b"\x01" + msgspec.msgpack.encode(["hb-ping", sender, [], [1]])
         cause = find_cause(codec_module.DatagramCodec(None), data)
         assert cause is codec_module.RefusalCause.MALFORMED
--- a/tests/test_membership/test_membership_isolation.py
+++ b/tests/test_membership/test_membership_isolation.py
@@ -7,14 +7,14 @@
 
 def _make_detector() -> isolation.IsolationDetector:
     detector = isolation.IsolationDetector()
-    detector.limit_s = 1.0
+    detector.max_silence_s = 1.0
     detector.record_datagram(10.0)
     return detector
 
 
 def test_host_that_never_received_a_datagram_is_not_isolated() -> None:
     detector = isolation.IsolationDetector()
-    detector.limit_s = 1.0
+    detector.max_silence_s = 1.0
     assert not detector.was_recently_isolated(1000.0, 3.0)
 
 
--- a/tests/test_membership/test_membership_pauses.py
+++ b/tests/test_membership/test_membership_pauses.py
@@ -15,7 +15,7 @@
 from persimmonhinge.membership import pauses as pauses_module
 from tests.support import trios
 
-_LIMIT_S = 60
+_TIMEOUT_S = 60
 # State and incarnation of each host, by host name.
 HostStates = dict[str, tuple[str, int]]
 
@@ -34,7 +34,7 @@
         self, condition: Callable[[HostStates], bool]
     ) -> HostStates:
         """Reads reported states until one satisfies the condition."""
-        with trio.fail_after(_LIMIT_S):
+        with trio.fail_after(_TIMEOUT_S):
             while True:
                 self.port, states = json.loads(await self._read_line())
                 if condition(states):
--- a/tests/test_membership/test_membership_service.py
+++ b/tests/test_membership/test_membership_service.py
@@ -39,7 +39,7 @@
 @trios.clock_test
 async def test_hosts_find_each_other_by_seeds() -> None:
     async with run_fleet(count=16, seed=1) as fleet:
-        assert fleet.count("membership_suspicions_total") == 0
+        assert fleet.sum_counter("membership_suspicions_total") == 0
 
 
 @trios.clock_test
@@ -65,9 +65,9 @@
     for loss in (0.1, 0.3):
         async with run_fleet(count=6, seed=1, loss=loss) as fleet:
             await trio.sleep(100)
-            assert fleet.count("membership_deaths_total") == 0
+            assert fleet.sum_counter("membership_deaths_total") == 0
             await fleet.wait_until(fleet.agrees, _MAX_JOIN_S)
-    assert fleet.count("membership_suspicions_total") > 0
+    assert fleet.sum_counter("membership_suspicions_total") > 0
 
 
 @trios.clock_test
@@ -82,7 +82,7 @@
     async with run_fleet(count=6, seed=4, loss=0.05) as fleet:
         fleet.partition(lambda source, target: (source, target) == (0, 1))
         await trio.sleep(40)
-        assert fleet.count("membership_deaths_total") == 0
+        assert fleet.sum_counter("membership_deaths_total") == 0
 
 
 @trios.clock_test
@@ -97,7 +97,7 @@
             lambda source, target: source % 3 == 0 and target % 3 == 1
         )
         await trio.sleep(40)
-        assert fleet.count("membership_deaths_total") == 0
+        assert fleet.sum_counter("membership_deaths_total") == 0
 
 
 @trios.clock_test
@@ -112,7 +112,7 @@
         fleet.partition(lambda source, target: target == 0)
         changes = [
             (host.name, member.host, member.state)
-            async for host, member in fleet.watch(duration_s=30)
+            async for host, member in fleet.watch_views(duration_s=30)
             if host.name != "host-0" and member.host != "host-0"
         ]
         assert member_module.MemberState.DEAD not in {
@@ -142,12 +142,12 @@
         fleet.heal()
         deaths = [
             member
-            async for _, member in fleet.watch(duration_s=_MAX_HEAL_S)
+            async for _, member in fleet.watch_views(duration_s=_MAX_HEAL_S)
             if member.state is member_module.MemberState.DEAD
         ]
         assert not deaths
         assert fleet.agrees()
-        assert fleet.count("membership_deaths_total") == 2 * 3 * 6
+        assert fleet.sum_counter("membership_deaths_total") == 2 * 3 * 6
         assert {m.incarnation for m in fleet.hosts[0].view.all()} == {
             host.view.self_member.incarnation for host in fleet.hosts.values()
         }
@@ -266,7 +266,7 @@
     async with run_fleet(count=6, seed=13) as fleet:
         await fleet.hosts[3].membership.leave()
         fleet.kill(3)
-        async for _, member in fleet.watch(duration_s=10):
+        async for _, member in fleet.watch_views(duration_s=10):
             assert member.host != "host-3" or not member.accepts_roles
         assert fleet.agrees(host_3="dead")
 
@@ -280,7 +280,7 @@
     declared it dead. The host must stay dead and then be forgotten.
     """
     async with run_fleet(count=5, seed=14, forget_s=60) as fleet:
-        recorded = fleet.network.record()
+        recorded = fleet.network.start_recording()
         await trio.sleep(3)
         recorded.stop()
         fleet.kill(4)
@@ -309,7 +309,7 @@
             await trio.sleep(0.001)
             fleet.pause_all_hosts(duration_s=10)
             await trio.sleep(0.7)
-        assert fleet.count("membership_suspicions_total") == 0
+        assert fleet.sum_counter("membership_suspicions_total") == 0
 
 
 @trios.clock_test
@@ -363,9 +363,9 @@
         ours, theirs = (str(path) for path in paths)
         async with run_fleet(4, seed=22, heartbeat_secret_file=ours) as fleet:
             fleet.peers["heartbeat_secret_file"] = theirs
-            stranger = await fleet.start_host(5)
+            other_host = await fleet.start_host(5)
             await trio.sleep(10)
-            assert len(stranger.states()) == 1
+            assert len(other_host.states()) == 1
             del fleet.hosts[5]
             assert fleet.agrees()
             name = "heartbeat_datagrams_refused_total"
