--- a/tests/test_membership/test_membership_pauses.py
+++ b/tests/test_membership/test_membership_pauses.py
@@ -86,14 +86,18 @@
             for name in ("host-1", "host-2")
         ]
         paused = others[1]
-        before = await first.wait_until(lambda reported: len(reported) == 3)
+        before = await first.wait_until(
+            lambda host_states: len(host_states) == 3
+        )
         for process in others:
-            await process.wait_until(lambda reported: len(reported) == 3)
+            await process.wait_until(lambda host_states: len(host_states) == 3)
         paused.signal(signal.SIGSTOP)
-        await first.wait_until(lambda reported: reported["host-2"][0] == "dead")
+        await first.wait_until(
+            lambda host_states: host_states["host-2"][0] == "dead"
+        )
         paused.signal(signal.SIGCONT)
         after = await first.wait_until(
-            lambda reported: reported["host-2"][0] == "alive"
+            lambda host_states: host_states["host-2"][0] == "alive"
         )
         assert after["host-2"][1] > before["host-2"][1]
         seen: list[HostStates] = []
@@ -103,7 +107,9 @@
             return reported["host-2"] == after["host-2"]
 
         await paused.wait_until(record_states)
-        states = {state for reported in seen for state, _ in reported.values()}
+        states = {
+            state for host_states in seen for state, _ in host_states.values()
+        }
         assert "dead" not in states
 
 
