--- a/persimmonhinge/flows/chooser.py
+++ b/persimmonhinge/flows/chooser.py
@@ -74,9 +74,9 @@
         reachable = self._list_choices(entry, exclude, keeper_refs)
         if not reachable:
             return None
-        homes = self._placement.count_hosts()
+        home_count = self._placement.count_hosts()
         candidates = [
-            self._make_candidate(entry, choice.upstream, kind, homes)
+            self._make_candidate(entry, choice.upstream, kind, home_count)
             for choice in reachable.values()
         ]
         policy = self._get_policy(entry, kind)
@@ -93,10 +93,10 @@
     def pick_keepers(
         self, entry: store.ContractEntry, count: int
     ) -> tuple[ids.HostRef, ...]:
-        """Returns keeper incarnations for a ticket, in turn by capacity.
+        """Picks keepers for a ticket, in proportion to their capacity.
 
-        The load of the keepers is ignored. A ticket is used seconds after it
-        was minted, so all callers with a ticket from the same time would then
+        The load of the keepers is ignored, because a ticket is used seconds
+        after it was minted: all callers with tickets from the same time would
         send their requests to the keepers that were idle at that time.
 
         This host is picked only if no other host is the keeper of an
@@ -109,8 +109,8 @@
             weights[choice.keeper_ref] += self._compute_capacity(
                 entry, upstream
             )
-        me = self._view.self_member.ref
-        others = {ref: w for ref, w in weights.items() if ref != me}
+        own_ref = self._view.self_member.ref
+        others = {ref: w for ref, w in weights.items() if ref != own_ref}
         service = ids.ServiceName(entry.contract.service)
         return self._keeper_scheduler.pick(service, others or weights, count)
 
@@ -205,9 +205,10 @@
             return
         if isinstance(report, work.LoadReport):
             for load in report.loads:
-                self._record_load(load)
+                self._record_polled_load(load)
 
-    def _record_load(self, load: work.UpstreamLoad) -> None:
+    def _record_polled_load(self, load: work.UpstreamLoad) -> None:
+        """Records a load whose upstream id is prefixed with its service."""
         service, _, upstream = load.upstream.partition("/")
         self._load_tracker.record_load(
             ids.ServiceName(service),
@@ -221,7 +222,7 @@
         self,
         entry: store.ContractEntry,
         exclude: frozenset[ids.UpstreamId],
-        among: frozenset[ids.HostRef] | None,
+        keeper_refs: frozenset[ids.HostRef] | None,
     ) -> dict[ids.UpstreamId, port.Choice]:
         found: dict[ids.UpstreamId, port.Choice] = {}
         for upstream in entry.contract.upstreams:
@@ -233,7 +234,7 @@
             keeper = self._find_keeper(entry, upstream)
             if keeper is None:
                 continue
-            if among is not None and keeper.ref not in among:
+            if keeper_refs is not None and keeper.ref not in keeper_refs:
                 continue
             found[upstream_id] = port.Choice(upstream, keeper.host, keeper.ref)
         return found
@@ -260,14 +261,16 @@
         entry: store.ContractEntry,
         upstream: contract.Upstream,
         kind: contract.CallKind,
-        homes: int,
+        home_count: int,
     ) -> choice_module.Candidate:
         service = ids.ServiceName(entry.contract.service)
         upstream_id = ids.UpstreamId(upstream.id)
         return choice_module.Candidate(
             upstream_id,
             capacity=self._compute_capacity(entry, upstream, kind),
-            load=self._load_tracker.estimate(service, upstream_id, kind, homes),
+            load=self._load_tracker.estimate(
+                service, upstream_id, kind, home_count
+            ),
             own_load=self._load_tracker.count_own(service, upstream_id, kind),
             recent_load=self._load_tracker.count_recent(
                 service, upstream_id, kind
--- a/persimmonhinge/flows/liveness.py
+++ b/persimmonhinge/flows/liveness.py
@@ -1,4 +1,4 @@
-"""Whether a keeper that does not answer may become reachable again."""
+"""Estimates whether a silent keeper may become reachable again."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 # Time after the end of a network partition within which all hosts that declared
 # each other dead because of it have refuted that, seconds.
-PARTITION_RECOVERY_S = 3.0
+MAX_REFUTATION_DELAY_S = 3.0
 
 
 class Liveness(enum.Enum):
     """Assumed state of a keeper incarnation that does not answer.
 
-    ALIVE: This host's view does not have it as dead, so a link to it may open
-        again.
-    PARTITIONED: This host's view has it as dead, but a network partition
-        would look the same.
-    ENDED: It is dead, or was paused for so long that its host returns as
-        another incarnation.
+    ALIVE: This host's view does not list the keeper as dead, so a link to it
+        may open again.
+    PARTITIONED: This host's view lists the keeper as dead, but a network
+        partition would look the same.
+    ENDED: The keeper is dead, or was paused for so long that its host returns
+        as another incarnation.
     """
 
     ALIVE = "lives"
@@ -34,8 +34,8 @@
     """Distinguishes dead keepers from partitioned ones by this host's view.
 
     A network partition separates a whole failure domain, or this host. If
-    other hosts of a keeper's domain answer, a keeper that the view has as dead
-    is in fact dead. A keeper that is missing from the view has ended, too.
+    other hosts of a keeper's domain answer, a keeper that the view lists as
+    dead is in fact dead. A keeper that is missing from the view has ended, too.
     """
 
     def __init__(self, view: view_module.View) -> None:
@@ -71,5 +71,5 @@
         if all(member.domain == own_domain for member in self._view.all()):
             return False
         return self._view.silence.is_recent(
-            trio.current_time(), PARTITION_RECOVERY_S
+            trio.current_time(), MAX_REFUTATION_DELAY_S
         )
--- a/persimmonhinge/flows/loads.py
+++ b/persimmonhinge/flows/loads.py
@@ -18,6 +18,8 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Report:
+    """A load report, with this host's own work when it arrived."""
+
     load: work.UpstreamLoad
     own_requests: int
     own_feeds: int
@@ -25,6 +27,8 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _RecentWork:
+    """The decayed amount of started work at the time `counted_at`."""
+
     amount: float
     counted_at: float
 
@@ -44,9 +48,9 @@
             read_clock: Function that returns the current time, seconds.
         """
         self._read_clock = read_clock
-        self._recent: dict[_WorkKey, _RecentWork] = {}
+        self._recent_work: dict[_WorkKey, _RecentWork] = {}
         self._reports: dict[UpstreamKey, _Report] = {}
-        self._own: collections.Counter[_WorkKey] = collections.Counter()
+        self._own_work: collections.Counter[_WorkKey] = collections.Counter()
 
     def record_load(
         self, service: ids.ServiceName, load: work.UpstreamLoad
@@ -67,9 +71,9 @@
     ) -> None:
         """Counts a request or feed that this host has started."""
         key = (service, upstream, kind)
-        self._own[key] += 1
+        self._own_work[key] += 1
         amount = self.count_recent(service, upstream, kind) + 1
-        self._recent[key] = _RecentWork(amount, self._read_clock())
+        self._recent_work[key] = _RecentWork(amount, self._read_clock())
 
     def record_end(
         self,
@@ -79,9 +83,9 @@
     ) -> None:
         """Counts a request or feed that this host has ended."""
         key = (service, upstream, kind)
-        self._own[key] -= 1
-        if self._own[key] <= 0:
-            del self._own[key]
+        self._own_work[key] -= 1
+        if self._own_work[key] <= 0:
+            del self._own_work[key]
 
     def count_own(
         self,
@@ -89,8 +93,8 @@
         upstream: ids.UpstreamId,
         kind: contract.CallKind,
     ) -> int:
-        """Returns the number of this host's open requests or feeds."""
-        return self._own[(service, upstream, kind)]
+        """Returns how many requests or feeds of this host an upstream has."""
+        return self._own_work[(service, upstream, kind)]
 
     def count_recent(
         self,
@@ -104,7 +108,7 @@
         Without this decay, an upstream that returns after an absence would
         get all new work until its total equals that of the others.
         """
-        recent = self._recent.get((service, upstream, kind))
+        recent = self._recent_work.get((service, upstream, kind))
         if recent is None:
             return 0.0
         age_s = self._read_clock() - recent.counted_at
@@ -122,7 +126,7 @@
         service: ids.ServiceName,
         upstream: ids.UpstreamId,
         kind: contract.CallKind,
-        homes: int = 1,
+        home_count: int = 1,
     ) -> float:
         """Estimates the current load of an upstream.
 
@@ -131,10 +135,11 @@
             upstream: Upstream whose load is estimated.
             kind: REQUEST to count running and queued requests, FEED to count
                 open feeds.
-            homes: Number of hosts that choose from the same reports. Guards
-                against a burst of feeds that all hosts open at the upstream
-                with the fewest feeds: each of the other hosts has probably
-                opened as many feeds since the report as this host has.
+            home_count: Number of hosts that choose from the same reports.
+                Guards against a burst of feeds that all hosts open at the
+                upstream with the fewest feeds: each of the other hosts has
+                probably opened as many feeds since the report as this host
+                has.
 
         Returns:
             Number of requests or feeds.
@@ -146,7 +151,7 @@
         if kind is contract.CallKind.FEED:
             change = own - report.own_feeds
             if change > 0:
-                change *= homes
+                change *= home_count
             return max(0, report.load.feeds + change)
         load = report.load.busy + report.load.queued
         return max(0, load + own - report.own_requests)
--- a/persimmonhinge/flows/non_idempotent.py
+++ b/persimmonhinge/flows/non_idempotent.py
@@ -98,7 +98,7 @@
 
         Args:
             request: The request, with its ticket not yet set.
-            entry: Contract of the service.
+            entry: The service's contract, with its revision.
             echo: Value of the Echo option; empty if the request has none.
             has_capacity: False if this host can start no more requests.
         """
@@ -146,10 +146,10 @@
         entry: store.ContractEntry,
         echo: bytes,
     ) -> Admission:
-        """Recovers the answer to a request to serve its later blocks.
+        """Recovers an answer of which a caller requests a later block.
 
-        The body of the request is not available here, so the request is
-        never started. The keepers are queried by ticket and token alone.
+        The body of the original request is not available here, so the request
+        is never started. The keepers are queried by ticket and token alone.
         """
         try:
             ticket = self._mint.read(echo, request.flow)
--- a/persimmonhinge/flows/recovery.py
+++ b/persimmonhinge/flows/recovery.py
@@ -103,11 +103,11 @@
             unanswered = self._assess_unanswered(found)
             if Liveness.PARTITIONED in unanswered:
                 partition_seen_at = now
-            is_recovering = (
-                now < partition_seen_at + liveness.PARTITION_RECOVERY_S
+            is_partition_recent = (
+                now < partition_seen_at + liveness.MAX_REFUTATION_DELAY_S
             )
             may_change = bool(unanswered) and (
-                Liveness.ENDED not in unanswered or is_recovering
+                Liveness.ENDED not in unanswered or is_partition_recent
             )
             next_round_at = now + _ROUND_PAUSE_S
             if not may_change or next_round_at >= request.deadline:
@@ -143,7 +143,7 @@
             request.deadline - trio.current_time(),
             "another round could change the result"
             if may_change
-            else "no further round is needed",
+            else "no further round could change the result",
         )
 
     async def _query_each(
--- a/persimmonhinge/flows/replies.py
+++ b/persimmonhinge/flows/replies.py
@@ -12,7 +12,7 @@
 
 Code: TypeAlias = codes.Code
 
-_UNKNOWN = b"outcome unknown"
+_UNKNOWN_OUTCOME_TEXT = b"outcome unknown"
 
 
 def make_unavailable(
@@ -34,7 +34,9 @@
 
 def make_outcome_unknown(reason: str, echo: bytes = b"") -> codec.Message:
     """Returns 5.04: the request may have run."""
-    payload = _UNKNOWN + (f": {reason}".encode() if reason else b"")
+    payload = _UNKNOWN_OUTCOME_TEXT + (
+        f": {reason}".encode() if reason else b""
+    )
     reply = codec.Message(code=Code.GATEWAY_TIMEOUT, payload=payload)
     return _attach_ticket(reply, echo)
 
@@ -54,7 +56,7 @@
 def make_reply(code: Code, reason: str = "") -> codec.Message:
     """Returns a reply with a code and an optional human-readable reason.
 
-    It answers a request that can't be served as it was sent.
+    Most of its uses reject a request that can't be served as it was sent.
     """
     return codec.Message(code=code, payload=reason.encode())
 
--- a/persimmonhinge/flows/retries.py
+++ b/persimmonhinge/flows/retries.py
@@ -5,9 +5,9 @@
 from persimmonhinge import ids
 
 # A service with few requests would not accumulate a whole retry, so each
-# budget starts with some retries.
-_INITIAL_RETRIES = 10.0
-_MAX_RETRIES = 100.0
+# service's budget starts with some retries.
+_INITIAL_BUDGET_RETRIES = 10.0
+_MAX_BUDGET_RETRIES = 100.0
 
 
 class RetryBudget:
@@ -22,18 +22,18 @@
         self._remaining: dict[ids.ServiceName, float] = {}
 
     def refill(self, service: ids.ServiceName, ratio: float) -> None:
-        """Adds the share of one request to a service's budget.
+        """Adds the share of a retry that one request contributes.
 
         Args:
             service: Service that the request is for.
             ratio: Retries added per request, `Limits.retry_budget`.
         """
-        remaining = self._remaining.get(service, _INITIAL_RETRIES)
-        self._remaining[service] = min(remaining + ratio, _MAX_RETRIES)
+        remaining = self._remaining.get(service, _INITIAL_BUDGET_RETRIES)
+        self._remaining[service] = min(remaining + ratio, _MAX_BUDGET_RETRIES)
 
     def spend(self, service: ids.ServiceName) -> bool:
         """Spends one retry; returns False if less than one remains."""
-        remaining = self._remaining.get(service, _INITIAL_RETRIES)
+        remaining = self._remaining.get(service, _INITIAL_BUDGET_RETRIES)
         if remaining < 1.0:
             return False
         self._remaining[service] = remaining - 1.0
