--- a/tests/test_flows/test_flows_chooser.py
+++ b/tests/test_flows/test_flows_chooser.py
@@ -36,9 +36,9 @@
             self.view.put(home_fakes.make_member(host))
         self.network = home_fakes.FakeNetwork()
         contract = home_fakes.make_contract()
-        named = contract_module.Policies(choice=policy)
+        policies = contract_module.Policies(choice=policy)
         self.entry = store.ContractEntry(
-            contract.model_copy(update={"policies": named}), ids.Revision(1)
+            contract.model_copy(update={"policies": policies}), ids.Revision(1)
         )
         self.placement = placement.Placement(self.view)
         self.chooser = chooser.UpstreamChooser(
@@ -59,10 +59,10 @@
     def choose(
         self,
         kind: contract_module.CallKind = _REQUEST,
-        among: frozenset[ids.HostRef] | None = None,
+        keeper_refs: frozenset[ids.HostRef] | None = None,
     ) -> ids.UpstreamId:
         """Returns the id of the chosen upstream."""
-        choice = self.chooser.choose(self.entry, kind, keeper_refs=among)
+        choice = self.chooser.choose(self.entry, kind, keeper_refs=keeper_refs)
         assert choice is not None
         return ids.UpstreamId(choice.upstream.id)
 
@@ -177,21 +177,21 @@
         key = ids.UpstreamId(f"{_SERVICE}/{upstream.id}")
         keeper = fixture.placement.find_keeper(key, upstream.domain)
         assert keeper is not None
-        among = frozenset({keeper.ref})
+        keeper_refs = frozenset({keeper.ref})
         fixture.record_load(ids.UpstreamId(upstream.id), queued=9)
         choice = fixture.chooser.choose(
-            fixture.entry, _REQUEST, keeper_refs=among
+            fixture.entry, _REQUEST, keeper_refs=keeper_refs
         )
         assert choice is not None
         assert choice.keeper_ref == keeper.ref
-    none = frozenset({ids.HostRef(1)})
+    other_refs = frozenset({ids.HostRef(1)})
     assert (
-        fixture.chooser.choose(fixture.entry, _REQUEST, keeper_refs=none)
+        fixture.chooser.choose(fixture.entry, _REQUEST, keeper_refs=other_refs)
         is None
     )
 
 
-def test_free_slot_is_asked_for_only_where_that_can_help() -> None:
+def test_free_slot_is_queried_only_where_that_can_help() -> None:
     fixture = _ChooserFixture()
     choice = fixture.chooser.choose(fixture.entry, _REQUEST)
     assert choice is not None
@@ -232,7 +232,7 @@
 
 
 @trios.clock_test
-async def test_keepers_that_are_not_in_use_are_asked_seldom() -> None:
+async def test_keepers_that_are_not_in_use_are_queried_less_often() -> None:
     """Guards against an idle host that exceeds its CPU limit for control.
 
     The host dispatches no requests but queries the load of all keepers twice
--- a/tests/test_flows/test_flows_free_slot.py
+++ b/tests/test_flows/test_flows_free_slot.py
@@ -1,4 +1,4 @@
-"""Tests of dispatches that ask for a free slot instead of a queue place."""
+"""Tests of dispatches that require a free slot and may not be queued."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 
 @trios.clock_test
-async def test_second_question_for_one_upstream_leaves_later() -> None:
+async def test_second_dispatch_to_an_upstream_has_a_later_uptime() -> None:
     """Guards against a request that is refused although the queue is empty.
 
     A keeper detects copies of a refused dispatch by their home uptime. If the
--- a/tests/test_flows/test_flows_keeper_scheduler.py
+++ b/tests/test_flows/test_flows_keeper_scheduler.py
@@ -19,7 +19,7 @@
 
 
 @hypothesis.given(weights=_WEIGHTS, seed=strategies.integers(0, 9))
-def test_each_keeper_is_named_by_its_weight(
+def test_each_keeper_is_picked_in_proportion_to_its_weight(
     weights: list[float], seed: int
 ) -> None:
     """Guards against keepers that random choice names twice as often."""
--- a/tests/test_flows/test_flows_loads.py
+++ b/tests/test_flows/test_flows_loads.py
@@ -24,15 +24,15 @@
 
 
 def _estimate(
-    tracker: loads.LoadTracker, kind: contract.CallKind, homes: int = 1
+    tracker: loads.LoadTracker, kind: contract.CallKind, home_count: int = 1
 ) -> float:
-    return tracker.estimate(_SERVICE, _UPSTREAM, kind, homes)
+    return tracker.estimate(_SERVICE, _UPSTREAM, kind, home_count)
 
 
 @hypothesis.given(
     kind=_KINDS,
     steps=strategies.lists(
-        strategies.sampled_from(["begin", "end", "note"]), max_size=60
+        strategies.sampled_from(["start", "end", "report"]), max_size=60
     ),
 )
 def test_estimate_is_exact_while_no_other_host_works(
@@ -46,13 +46,13 @@
     tracker = loads.LoadTracker(lambda: 0.0)
     running = 0
     for step in steps:
-        if step == "begin":
+        if step == "start":
             running += 1
             tracker.record_start(_SERVICE, _UPSTREAM, kind)
         elif step == "end" and running:
             running -= 1
             tracker.record_end(_SERVICE, _UPSTREAM, kind)
-        elif step == "note":
+        elif step == "report":
             tracker.record_load(_SERVICE, _make_load(running, 0, running))
         assert _estimate(tracker, kind) == running
         assert tracker.count_own(_SERVICE, _UPSTREAM, kind) == running
@@ -61,19 +61,19 @@
 @hypothesis.given(
     kind=_KINDS,
     reported=strategies.integers(0, 9),
-    begun=strategies.integers(0, 9),
+    started=strategies.integers(0, 9),
     ended=strategies.integers(0, 9),
 )
 def test_estimate_is_never_negative(
-    kind: contract.CallKind, reported: int, begun: int, ended: int
+    kind: contract.CallKind, reported: int, started: int, ended: int
 ) -> None:
     tracker = loads.LoadTracker(lambda: 0.0)
-    for _ in range(begun):
+    for _ in range(started):
         tracker.record_start(_SERVICE, _UPSTREAM, kind)
     tracker.record_load(_SERVICE, _make_load(reported, 0, reported))
-    for _ in range(min(begun, ended)):
+    for _ in range(min(started, ended)):
         tracker.record_end(_SERVICE, _UPSTREAM, kind)
-    assert _estimate(tracker, kind, homes=6) >= 0
+    assert _estimate(tracker, kind, home_count=6) >= 0
 
 
 def test_queue_counts_as_load_and_feeds_of_other_hosts_too() -> None:
@@ -98,8 +98,8 @@
     for _ in range(2):
         tracker.record_start(_SERVICE, _UPSTREAM, _FEED)
         tracker.record_start(_SERVICE, _UPSTREAM, _REQUEST)
-    assert _estimate(tracker, _FEED, homes=6) == 22
-    assert _estimate(tracker, _REQUEST, homes=6) == 3
+    assert _estimate(tracker, _FEED, home_count=6) == 22
+    assert _estimate(tracker, _REQUEST, home_count=6) == 3
     tracker.record_load(_SERVICE, _make_load(busy=1, feeds=22))
     tracker.record_end(_SERVICE, _UPSTREAM, _FEED)
-    assert _estimate(tracker, _FEED, homes=6) == 21
+    assert _estimate(tracker, _FEED, home_count=6) == 21
--- a/tests/test_flows/test_flows_recovery.py
+++ b/tests/test_flows/test_flows_recovery.py
@@ -135,7 +135,7 @@
 
 
 @trios.clock_test
-async def test_request_of_a_living_home_is_left_to_it() -> None:
+async def test_request_of_an_alive_home_is_left_to_that_home() -> None:
     """Guards against an "unknown" reply shortly before the real answer.
 
     A copy of the request reaches a host whose link to the home is down
@@ -208,7 +208,7 @@
 
 
 @trios.clock_test
-async def test_keeper_that_can_be_reached_again_is_asked_again() -> None:
+async def test_keeper_that_becomes_reachable_is_queried_again() -> None:
     """Guards against an "unknown" reply for a request that runs elsewhere.
 
     A copy of the request reaches a host that a network partition separates
@@ -234,7 +234,7 @@
 
 
 @trios.clock_test
-async def test_keeper_that_is_never_reached_ends_at_the_deadline() -> None:
+async def test_queries_of_unreachable_keepers_end_at_the_deadline() -> None:
     echo = await _get_ticket_of_ended_home()
     world = home_fakes.HomeWorld(_SUCCESSOR)
     for host in home_fakes.KEEPERS:
@@ -340,16 +340,16 @@
         keep: Function by which its keepers answer calls.
 
     Returns:
-        Number of messages that were sent to callers before.
+        Number of messages that were sent to callers before the reservation.
     """
     echo = await world.get_ticket()
     world.handle_calls_with(keep)
-    before = len(world.sender.sent)
+    sent_before = len(world.sender.sent)
     message = home_fakes.make_request(
         POST, "/reserve", echo=echo, mtype=types.CON
     )
     world.home.handle(home_fakes.FLOW, message)
-    return before
+    return sent_before
 
 
 def _add_other_domain_host(world: home_fakes.HomeWorld) -> None:
@@ -361,7 +361,7 @@
 
 
 @trios.clock_test
-async def test_home_that_is_cut_off_waits_for_the_keeper() -> None:
+async def test_isolated_home_waits_for_the_keeper() -> None:
     """Guards against an "unknown" reply from an isolated home.
 
     The home is cut off from all other hosts for a few seconds. The keeper has
@@ -374,29 +374,32 @@
         raise errors.PeerLinkLostError("cut", step="call")
 
     async with world.running():
-        before = await _post_reservation(world, lose_link)
+        sent_before = await _post_reservation(world, lose_link)
         await trio.sleep(2)
         _set_all_states(world, State.DEAD, None)
         await trio.sleep(3)
-        assert _list_replies(world, before) == []
+        assert _list_replies(world, sent_before) == []
         _set_all_states(world, State.ALIVE, Outcome.ANSWERED)
         await trio.sleep(2)
-        (reply,) = _list_replies(world, before)
+        (reply,) = _list_replies(world, sent_before)
     assert reply.payload == b"kept"
 
 
 def _list_replies(
-    world: home_fakes.HomeWorld, before: int
+    world: home_fakes.HomeWorld, sent_before: int
 ) -> list[codec.Message]:
-    """Returns the messages sent since, without empty acknowledgements."""
-    sent = [message for _, message in world.sender.sent[before:]]
+    """Returns the messages sent to callers, without empty ones.
+
+    Args:
+        world: Home that sent the messages.
+        sent_before: Number of messages to leave out at the start.
+    """
+    sent = [message for _, message in world.sender.sent[sent_before:]]
     return [message for message in sent if message.code is not Code.EMPTY]
 
 
 @trios.clock_test
-async def test_home_waits_for_the_keeper_until_all_are_back_after_a_cut() -> (
-    None
-):
+async def test_home_waits_for_the_keeper_just_after_a_partition() -> None:
     """Guards against an "unknown" reply just after a partition has ended.
 
     The home receives datagrams of another domain again, while it still has
@@ -410,21 +413,21 @@
         raise errors.PeerLinkLostError("cut", step="call")
 
     async with world.running():
-        before = await _post_reservation(world, lose_link)
+        sent_before = await _post_reservation(world, lose_link)
         await trio.sleep(2)
         # A datagram of another domain is received first.
         world.view.silence.note_heard(trio.current_time())
         _add_other_domain_host(world)
         await trio.sleep(1)
-        assert _list_replies(world, before) == []
+        assert _list_replies(world, sent_before) == []
         _set_all_states(world, State.ALIVE, Outcome.ANSWERED)
         await trio.sleep(1)
-        (reply,) = _list_replies(world, before)
+        (reply,) = _list_replies(world, sent_before)
     assert reply.payload == b"kept"
 
 
 @trios.clock_test
-async def test_home_waits_for_the_first_host_that_it_takes_for_dead() -> None:
+async def test_home_waits_for_a_keeper_that_is_declared_dead_first() -> None:
     """Guards against an "unknown" reply at the start of a partition.
 
     Hosts are declared dead one after the other: the keeper counts as dead
@@ -439,12 +442,12 @@
         raise errors.PeerLinkLostError("cut", step="call")
 
     async with world.running():
-        before = await _post_reservation(world, lose_link)
+        sent_before = await _post_reservation(world, lose_link)
         await trio.sleep(4)
-        assert _list_replies(world, before) == []
+        assert _list_replies(world, sent_before) == []
         _set_all_states(world, State.ALIVE, Outcome.ANSWERED)
         await trio.sleep(1)
-        (reply,) = _list_replies(world, before)
+        (reply,) = _list_replies(world, sent_before)
     assert reply.payload == b"kept"
 
 
--- a/tests/test_flows/test_flows_requests_ends.py
+++ b/tests/test_flows/test_flows_requests_ends.py
@@ -18,7 +18,7 @@
 
 
 @trios.clock_test
-async def test_leaving_home_ends_what_runs_and_begins_nothing() -> None:
+async def test_leaving_home_finishes_running_requests_and_starts_none() -> None:
     world = home_fakes.HomeWorld()
 
     async def answer_late(message: base.Message) -> base.Message:
@@ -45,7 +45,7 @@
 
 
 @trios.clock_test
-async def test_last_caller_that_resets_cancels_the_work() -> None:
+async def test_request_is_cancelled_when_its_last_copy_is_reset() -> None:
     world = home_fakes.HomeWorld()
     cancelled: list[base.Message] = []
     world.handle_calls_with(home_fakes.make_hanging_keeper(cancelled))
@@ -71,8 +71,10 @@
     world.home.handle(home_fakes.FLOW, codec.decode(codec.encode(message)))
 
 
-def _list_payloads(world: home_fakes.HomeWorld, before: int) -> list[bytes]:
-    return [message.payload for _, message in world.sender.sent[before:]]
+def _list_payloads(
+    world: home_fakes.HomeWorld, sent_before: int
+) -> list[bytes]:
+    return [message.payload for _, message in world.sender.sent[sent_before:]]
 
 
 @trios.clock_test
@@ -89,13 +91,13 @@
         for mid, lot in ((1, b"lot 1"), (2, b"lot 2")):
             home_fakes.send_reservation(world, echo, b"a", mid, lot)
             await trio.sleep(0.1)
-        before = len(world.sender.sent)
+        sent_before = len(world.sender.sent)
         home_fakes.send_reservation(world, echo, b"a", 1, b"lot 1")
         await trio.sleep(0.1)
-        assert _list_payloads(world, before) == []
+        assert _list_payloads(world, sent_before) == []
         home_fakes.send_reservation(world, echo, b"a", 2, b"lot 2")
         await trio.sleep(0.1)
-        assert _list_payloads(world, before) == [b"lot 2"]
+        assert _list_payloads(world, sent_before) == [b"lot 2"]
 
 
 @trios.clock_test
@@ -116,10 +118,10 @@
         echo = await world.get_ticket()
         _post_confirmable(world, echo, 1, b"lot 1")
         await trio.sleep(2.5)
-        before = len(world.sender.sent)
+        sent_before = len(world.sender.sent)
         _post_confirmable(world, echo, 2, b"lot 2")
         await trio.sleep(30)
-        later = _list_payloads(world, before)
+        later = _list_payloads(world, sent_before)
         assert b"lot 1" not in later
         # The second answer is retransmitted until it is acknowledged.
         assert later.count(b"lot 2") > 1
@@ -139,10 +141,10 @@
         for mid, lot in ((1, b"lot 1"), (2, b"lot 2"), (3, b"lot 1")):
             home_fakes.send_reservation(world, echo, b"a", mid, lot)
             await trio.sleep(0.1)
-        before = len(world.sender.sent)
+        sent_before = len(world.sender.sent)
         home_fakes.send_reservation(world, echo, b"a", 2, b"lot 2")
         await trio.sleep(0.1)
-        assert _list_payloads(world, before) == [b"lot 2"]
+        assert _list_payloads(world, sent_before) == [b"lot 2"]
 
 
 async def _answer_body(message: base.Message) -> base.Message:
--- a/tests/test_flows/test_flows_requests_keepers.py
+++ b/tests/test_flows/test_flows_requests_keepers.py
@@ -38,7 +38,7 @@
 
 
 @trios.clock_test
-async def test_unreachable_keeper_is_passed_over() -> None:
+async def test_unreachable_keeper_is_skipped() -> None:
     world = home_fakes.HomeWorld()
     world.network.handlers[home_fakes.KEEPERS[1]] = home_fakes.answer_done
     async with world.running():
@@ -48,18 +48,18 @@
 
 
 def _make_keeper_with_failing_link(
-    found: work.Dispatched,
+    recovery_answer: work.Dispatched,
 ) -> home_fakes.CallHandler:
     async def keep(message: base.Message) -> base.Message:
         if isinstance(message, work.Dispatch):
             raise errors.PeerLinkLostError("cut", step="call")
-        return found
+        return recovery_answer
 
     return keep
 
 
 @trios.clock_test
-async def test_lost_link_is_resolved_by_asking_its_keeper() -> None:
+async def test_keeper_is_queried_after_a_link_failure() -> None:
     """Guards against an "unknown" reply although the keeper has the answer.
 
     The link fails after the dispatch and before the answer. The keeper is
@@ -77,7 +77,7 @@
 
 
 @trios.clock_test
-async def test_lost_link_to_a_restarted_keeper_is_unknown() -> None:
+async def test_link_failure_to_a_restarted_keeper_is_unknown() -> None:
     """Guards against a "not run" reply for a request that ran.
 
     The keeper dies after it ran the request, and a new process with the same
@@ -99,13 +99,13 @@
 
 
 @trios.clock_test
-async def test_unknown_outcome_is_never_tried_again() -> None:
+async def test_request_with_unknown_outcome_is_never_retried() -> None:
     world = home_fakes.HomeWorld()
 
-    async def fall_silent(message: base.Message) -> base.Message:
+    async def report_unknown(message: base.Message) -> base.Message:
         return work.Dispatched(work.Outcome.UNKNOWN)
 
-    world.handle_calls_with(fall_silent)
+    world.handle_calls_with(report_unknown)
     async with world.running():
         echo = await world.get_ticket()
         reply = await world.send_request(POST, "/reserve", echo=echo)
--- a/tests/test_flows/test_flows_table.py
+++ b/tests/test_flows/test_flows_table.py
@@ -8,7 +8,7 @@
 from tests.test_flows import home_fakes
 
 
-def test_table_never_drops_a_row_before_its_time() -> None:
+def test_row_stays_until_it_is_finished_and_its_ticket_expired() -> None:
     table = table_module.RequestTable(max_rows=2)
     keys = [_make_key(number) for number in range(3)]
     first = table.add(keys[0], 100)
