--- a/persimmonhinge/flows/chooser.py
+++ b/persimmonhinge/flows/chooser.py
@@ -80,15 +80,15 @@
             for choice in reachable.values()
         ]
         policy = self._get_policy(entry, kind)
-        chosen = policy.choose(candidates)
-        found = reachable[chosen.upstream]
-        self._recently_used_keepers.add(found.keeper)
+        candidate = policy.choose(candidates)
+        selected = reachable[candidate.upstream]
+        self._recently_used_keepers.add(selected.keeper)
         if kind is not contract.CallKind.REQUEST or len(reachable) < 2:
-            return found
+            return selected
         may_be_busy = policy.requires_free_slot and _may_be_busy(
-            found.upstream, chosen
+            selected.upstream, candidate
         )
-        return dataclasses.replace(found, may_be_busy=may_be_busy)
+        return dataclasses.replace(selected, may_be_busy=may_be_busy)
 
     def pick_keepers(
         self, entry: store.ContractEntry, count: int
@@ -224,7 +224,8 @@
         exclude: frozenset[ids.UpstreamId],
         keeper_refs: frozenset[ids.HostRef] | None,
     ) -> dict[ids.UpstreamId, port.Choice]:
-        found: dict[ids.UpstreamId, port.Choice] = {}
+        """Returns the upstreams that may be chosen, with their keepers."""
+        choices: dict[ids.UpstreamId, port.Choice] = {}
         for upstream in entry.contract.upstreams:
             upstream_id = ids.UpstreamId(upstream.id)
             if upstream_id in exclude or not self._accepts_work(
@@ -236,8 +237,10 @@
                 continue
             if keeper_refs is not None and keeper.ref not in keeper_refs:
                 continue
-            found[upstream_id] = port.Choice(upstream, keeper.host, keeper.ref)
-        return found
+            choices[upstream_id] = port.Choice(
+                upstream, keeper.host, keeper.ref
+            )
+        return choices
 
     def _find_keeper(
         self, entry: store.ContractEntry, upstream: contract.Upstream
--- a/persimmonhinge/flows/dispatcher.py
+++ b/persimmonhinge/flows/dispatcher.py
@@ -39,7 +39,7 @@
 _RETRY_AFTER_S = 1
 
 Outcome = work.Outcome
-Source = attempt_module.ResultSource
+ResultSource = attempt_module.ResultSource
 _REQUEST = contract.CallKind.REQUEST
 _NO_UPSTREAM = work.Dispatched(
     Outcome.NOT_RUN, retry_after_s=_RETRY_AFTER_S, reason="no upstream is free"
@@ -168,7 +168,7 @@
             return True
         state.last_result = attempt.dispatched
         state.excluded_upstreams.add(ids.UpstreamId(choice.upstream.id))
-        if attempt.source is Source.UNREACHABLE:
+        if attempt.source is ResultSource.UNREACHABLE:
             state.exclude_keeper(choice.keeper_ref)
             return True
         if self._budget.spend(request.service):
@@ -195,7 +195,10 @@
         the keeper may still be running and have the outcome, so it is
         queried.
         """
-        if attempt.source is not Source.LINK_FAILURE or request.ticket is None:
+        if (
+            attempt.source is not ResultSource.LINK_FAILURE
+            or request.ticket is None
+        ):
             return attempt.dispatched
         return await self._recovery.query_keeper(request, choice.keeper_ref)
 
@@ -214,17 +217,17 @@
         try:
             answer = await self._network.call(choice.keeper, message, timeout_s)
         except errors.PeerUnreachableError:
-            return _make_failure(Outcome.NOT_RUN, Source.UNREACHABLE)
+            return _make_failure(Outcome.NOT_RUN, ResultSource.UNREACHABLE)
         except errors.PeerError:
-            return _make_failure(Outcome.UNKNOWN, Source.LINK_FAILURE)
+            return _make_failure(Outcome.UNKNOWN, ResultSource.LINK_FAILURE)
         finally:
             self._chooser.record_end(request.service, upstream, _REQUEST)
         if not isinstance(answer, work.Dispatched):
-            return _make_failure(Outcome.UNKNOWN, Source.LINK_FAILURE)
+            return _make_failure(Outcome.UNKNOWN, ResultSource.LINK_FAILURE)
         if answer.load is not None:
             self._chooser.record_load(request.service, answer.load)
         self._counts.add("home_dispatched_total", outcome=answer.outcome.value)
-        return attempt_module.AttemptResult(answer, Source.KEEPER)
+        return attempt_module.AttemptResult(answer, ResultSource.KEEPER)
 
     def _build_dispatch(
         self,
@@ -287,7 +290,7 @@
 
 
 def _make_failure(
-    outcome: Outcome, source: Source
+    outcome: Outcome, source: ResultSource
 ) -> attempt_module.AttemptResult:
     reason = "keeper can't be reached"
     dispatched = work.Dispatched(
--- a/persimmonhinge/flows/recovery.py
+++ b/persimmonhinge/flows/recovery.py
@@ -226,13 +226,13 @@
         entry = self._contracts.get(service)
         if entry is None:
             return set()
-        found = set()
+        hosts = set()
         for upstream in entry.contract.upstreams:
             key = ids.UpstreamId(f"{service}/{upstream.id}")
             member = self._placement.find_keeper(key, upstream.domain)
             if member is not None:
-                found.add(member.host)
-        return found
+                hosts.add(member.host)
+        return hosts
 
     async def _query_host(
         self, host: ids.HostId, message: work.Recover, deadline: float
--- a/persimmonhinge/flows/table.py
+++ b/persimmonhinge/flows/table.py
@@ -73,8 +73,8 @@
             _, _, key = heapq.heappop(self._expiries)
             row = self._rows[key]
             if row.result is None:
-                retry = (uptime_ms + 1000, next(self._sequence_numbers), key)
-                heapq.heappush(self._expiries, retry)
+                recheck = (uptime_ms + 1000, next(self._sequence_numbers), key)
+                heapq.heappush(self._expiries, recheck)
                 continue
             self._answer_octets -= len(row.result.answer)
             del self._rows[key]
