--- a/persimmonhinge/flows/caller_sockets.py
+++ b/persimmonhinge/flows/caller_sockets.py
@@ -25,7 +25,7 @@
 _RECEIVE_BUFFER_OCTETS = 4 * 1024 * 1024
 _BIND_RETRY_S = 1.0
 
-ReceiveDatagram = Callable[[port.Flow, bytes], None]
+DatagramHandler = Callable[[port.Flow, bytes], None]
 
 
 class CallerSockets:
@@ -47,25 +47,28 @@
         self._sockets: dict[ids.ServiceName, socket.socket] = {}
         self._message_ids = message_ids.MessageIds()
 
-    async def run(self, receive: ReceiveDatagram) -> None:
+    async def run(self, handle_datagram: DatagramHandler) -> None:
         """Listens for the services of the contracts in force.
 
         Sockets are opened and closed as the contracts change.
 
         Args:
-            receive: Is called with the flow and the content of each datagram.
+            handle_datagram: Called with the flow and the content of each
+                datagram.
         """
         async with trio.open_nursery() as nursery:
             running: dict[tuple[ids.ServiceName, str, int], trio.CancelScope]
             running = {}
             while True:
                 version = self._contracts.changed.version
-                required = self._list_required()
+                required = self._list_required_sockets()
                 for key in set(running) - required:
                     running.pop(key).cancel()
                 for key in required - set(running):
                     running[key] = trio.CancelScope()
-                    nursery.start_soon(self._serve, key, running[key], receive)
+                    nursery.start_soon(
+                        self._serve, key, running[key], handle_datagram
+                    )
                 await self._contracts.changed.wait_beyond(version)
 
     def send(self, flow: port.Flow, message: codec.Message) -> None:
@@ -90,7 +93,7 @@
         """Returns a message id that the caller hasn't seen recently."""
         return self._message_ids.allocate_id(flow)
 
-    def _list_required(self) -> set[tuple[ids.ServiceName, str, int]]:
+    def _list_required_sockets(self) -> set[tuple[ids.ServiceName, str, int]]:
         required = set()
         for entry in self._contracts.entries():
             contract = entry.contract
@@ -103,14 +106,14 @@
         self,
         key: tuple[ids.ServiceName, str, int],
         scope: trio.CancelScope,
-        receive: ReceiveDatagram,
+        handle_datagram: DatagramHandler,
     ) -> None:
         service, host, service_port = key
         with scope:
             receiver = await self._bind(service, (host, service_port))
             self._sockets[service] = receiver
             try:
-                await self._receive_all(service, receiver, receive)
+                await self._receive_all(service, receiver, handle_datagram)
             finally:
                 if self._sockets.get(service) is receiver:
                     del self._sockets[service]
@@ -145,7 +148,7 @@
         self,
         service: ids.ServiceName,
         receiver: socket.socket,
-        receive: ReceiveDatagram,
+        handle_datagram: DatagramHandler,
     ) -> None:
         receive_datagram = functools.partial(
             receiver.recvfrom, codec.MAX_DATAGRAM_OCTETS + 1
@@ -162,4 +165,4 @@
                     # reports the ICMP error here. Datagrams that are queued
                     # are not affected.
                     continue
-                receive(port.Flow(service, source[:2]), data)
+                handle_datagram(port.Flow(service, source[:2]), data)
--- a/persimmonhinge/flows/exchange.py
+++ b/persimmonhinge/flows/exchange.py
@@ -26,8 +26,9 @@
         fingerprint: Hash of the datagram without its message id.
         received_at: Time at which the first copy was received, seconds on
             trio's clock.
-        acknowledged: Whether an empty ACK was sent, or none is to be sent.
-        reply: The reply as it was sent; None before.
+        acknowledged: True if an empty ACK was sent, or if none may be sent
+            any more.
+        reply: The reply as it was sent; None until it is sent.
         is_confirmed: Whether the caller has shown that it received the
             reply.
         cancel_scope: Cancels the task that runs the request; None if no
--- a/persimmonhinge/flows/exchanges.py
+++ b/persimmonhinge/flows/exchanges.py
@@ -26,8 +26,8 @@
 # caller's ACK of it carries no ticket, so it is routed by the hash and doesn't
 # reach a home that is leaving.
 PIGGYBACK_S = 1.0
-# Maximum number of exchanges whose replies are stored for copies of their
-# requests. Above it the oldest are removed: a copy of an idempotent request
+# Maximum number of stored exchanges, from which copies of requests get their
+# reply. Above it the oldest are removed: a copy of an idempotent request
 # then runs again, and a copy of any other request finds its row in the request
 # table.
 MAX_EXCHANGES = 10_000
@@ -211,7 +211,8 @@
             await self._ack_scheduled.wait()
             while self._unacknowledged:
                 exchange = self._unacknowledged.popleft()
-                # The delay is the same for all, so the queue is sorted.
+                # The delay is the same for all requests, so the queue is sorted
+                # by the time at which their ACKs are due.
                 await trio.sleep_until(exchange.received_at + PIGGYBACK_S)
                 if exchange.reply is None and not exchange.acknowledged:
                     self._send_empty_ack(exchange)
--- a/persimmonhinge/flows/home.py
+++ b/persimmonhinge/flows/home.py
@@ -64,7 +64,7 @@
         issuer = ticket_issuer.TicketIssuer(
             settings, view, mint, chooser, counts
         )
-        self._once = non_idempotent.NonIdempotentRequests(
+        self._non_idempotent = non_idempotent.NonIdempotentRequests(
             settings, view, mint, issuer, dispatcher, recovery, counts
         )
         reply_retention_s = settings.flows.answer_life_s
@@ -72,7 +72,7 @@
         self._server = server.RequestServer(
             self._exchanges,
             dispatcher,
-            self._once,
+            self._non_idempotent,
             issuer,
             feeds,
             counts,
@@ -88,7 +88,7 @@
     ) -> None:
         """Serves requests until it is cancelled."""
         async with trio.open_nursery() as nursery:
-            await nursery.start(self._once.run)
+            await nursery.start(self._non_idempotent.run)
             await nursery.start(self._server.run)
             nursery.start_soon(self._exchanges.run)
             task_status.started()
@@ -97,9 +97,9 @@
         """Starts no more non-idempotent requests; waits for all replies.
 
         The wait for callers to confirm their replies is limited to the time
-        of two retransmissions, because a caller may have ended.
+        of two retransmissions, because a caller may no longer be reachable.
         """
-        self._once.start_leaving()
+        self._non_idempotent.start_leaving()
         while self._server.count_running():
             await trio.sleep(_LEAVE_POLL_INTERVAL_S)
         with trio.move_on_after(_LEAVE_CONFIRM_TIMEOUT_S):
@@ -153,7 +153,7 @@
         message: codec.Message,
         entry: store.ContractEntry,
     ) -> bool:
-        """Passes a feed registration on; returns False for other requests."""
+        """Opens a feed if the request registers one; else returns False."""
         if message.code is not codes.Code.GET:
             return False
         if message.opt.observe != request.OBSERVE_REGISTER:
--- a/persimmonhinge/flows/large_replies.py
+++ b/persimmonhinge/flows/large_replies.py
@@ -12,9 +12,9 @@
 from persimmonhinge.flows import block_params
 from persimmonhinge.flows import blocks
 
-# Maximum total size of the stored replies of all callers. A reply that is
-# removed early is fetched from an upstream again, or requested from the
-# keepers.
+# Maximum total size of the stored replies of all callers. If a caller requests
+# a later block of a reply that was removed early, the home fetches the reply
+# from an upstream again or queries the keepers for it.
 MAX_STORED_OCTETS = 32 * 1024 * 1024
 
 
@@ -38,7 +38,7 @@
         self, reply: codec.Message, params: block_params.BlockParams
     ) -> codec.Message:
         """Returns the requested block of a reply."""
-        part = self._extract(reply, params)
+        part = self._extract_and_store(reply, params)
         if params.block1 is not None and part.opt.block1 is None:
             part.opt.block1 = params.block1
         return part
@@ -62,7 +62,7 @@
                 return
             self._remove_reply(key)
 
-    def _extract(
+    def _extract_and_store(
         self, reply: codec.Message, params: block_params.BlockParams
     ) -> codec.Message:
         size = 1 << (blocks.MAX_SIZE_EXPONENT + 4)
--- a/persimmonhinge/flows/non_idempotent.py
+++ b/persimmonhinge/flows/non_idempotent.py
@@ -103,7 +103,9 @@
             has_capacity: False if this host can start no more requests.
         """
         if not echo:
-            return self._issuer.require_ticket(request.flow, entry, "none")
+            return self._issuer.make_ticket_required_reply(
+                request.flow, entry, "none"
+            )
         try:
             ticket = self._mint.read(echo, request.flow)
         except tickets.RefusedTicketError as error:
@@ -129,15 +131,15 @@
             None if the block may be stored, else the decision on it.
         """
         if not echo:
-            return self._issuer.require_ticket(flow, entry, "none")
+            return self._issuer.make_ticket_required_reply(flow, entry, "none")
         try:
             ticket = self._mint.read(echo, flow)
         except tickets.RefusedTicketError as error:
             if error.fault in _UNUSABLE_TICKET_FAULTS:
-                return self._issuer.require_ticket(
+                return self._issuer.make_ticket_required_reply(
                     flow, entry, error.fault.value
                 )
-            return self._issuer.report_unverified(flow, entry, error.fault)
+            return self._issuer.make_unverified_reply(flow, entry, error.fault)
         return self._defer_to_home(ticket)
 
     def recover_answer(
@@ -154,7 +156,7 @@
         try:
             ticket = self._mint.read(echo, request.flow)
         except tickets.RefusedTicketError as error:
-            return self._issuer.report_unverified(
+            return self._issuer.make_unverified_reply(
                 request.flow, entry, error.fault
             )
         request = dataclasses.replace(request, ticket=ticket, digest=b"")
@@ -178,15 +180,17 @@
         key yet.
         """
         if fault in _UNUSABLE_TICKET_FAULTS:
-            return self._issuer.require_ticket(request.flow, entry, fault.value)
+            return self._issuer.make_ticket_required_reply(
+                request.flow, entry, fault.value
+            )
         home = tickets.peek_home(echo)
         if home is not None and self._mint.is_own(home):
             key = request.make_row_key(home, tickets.peek_id(echo))
             if self._table.find(key) is None:
-                return self._issuer.require_ticket(
+                return self._issuer.make_ticket_required_reply(
                     request.flow, entry, fault.value
                 )
-        return self._issuer.report_unverified(request.flow, entry, fault)
+        return self._issuer.make_unverified_reply(request.flow, entry, fault)
 
     def _start_request(
         self,
@@ -196,8 +200,10 @@
         has_capacity: bool,
     ) -> Admission:
         ticket = request.required_ticket
-        if not self._mint.may_start_work(ticket):
-            return self._issuer.require_ticket(request.flow, entry, "expired")
+        if not self._mint.may_start_request(ticket):
+            return self._issuer.make_ticket_required_reply(
+                request.flow, entry, "expired"
+            )
         if self._issuer.leaving:
             # A host that leaves never resumes service, so a late copy of
             # the request is refused, too.
--- a/persimmonhinge/flows/port.py
+++ b/persimmonhinge/flows/port.py
@@ -1,4 +1,4 @@
-"""Interfaces through which the home sends datagrams and picks upstreams."""
+"""Interfaces through which the home sends datagrams and chooses upstreams."""
 
 from __future__ import annotations
 
--- a/persimmonhinge/flows/server.py
+++ b/persimmonhinge/flows/server.py
@@ -11,7 +11,7 @@
 from persimmonhinge.contracts import contract
 from persimmonhinge.contracts import store
 from persimmonhinge.flows import block_params
-from persimmonhinge.flows import caller_request as order_module
+from persimmonhinge.flows import caller_request as caller_request_module
 from persimmonhinge.flows import digests
 from persimmonhinge.flows import dispatcher as dispatcher_module
 from persimmonhinge.flows import exchange as exchange_module
@@ -31,10 +31,11 @@
 logger = logging.getLogger(__name__)
 
 Code = codes.Code
-# A reply to send now, `Silence` to send none, or None if a task will send it.
+# A reply to send now, `NoReply` to send none, or None if a task will send it.
 ServeResult = codec.Message | no_reply.NoReply | None
 
-# Each request in progress needs about 10 kB for its task and messages.
+# Maximum number of running requests and unconfirmed replies of this host. Each
+# needs about 10 kB for its task and messages.
 MAX_IN_PROGRESS = 20_000
 _NO_CONTRACT_RETRY_S = 1
 _OVERLOAD_RETRY_S = 1
@@ -56,7 +57,7 @@
     ) -> None:
         self._exchanges = message_layer
         self._dispatcher = dispatcher
-        self._once = at_most_once
+        self._at_most_once = at_most_once
         self._issuer = issuer
         self._feeds = feeds
         self._counts = counts
@@ -71,7 +72,7 @@
         return self._running
 
     def count_unconfirmed(self) -> int:
-        """Returns the number of replies that wait for confirmation."""
+        """Returns the number of replies that callers haven't confirmed yet."""
         return self._unconfirmed
 
     async def run(
@@ -139,7 +140,7 @@
         *,
         closed: bool,
     ) -> codec.Message:
-        """Returns the reply to a plain GET of a path that serves feeds only."""
+        """Returns the reply to a plain GET of a path that only serves feeds."""
         requested = message.opt.block2
         if requested is not None and requested.block_number > 0:
             state = self._feeds.read_state(exchange.flow, message)
@@ -162,11 +163,11 @@
         body = self._collect_body(exchange, message, entry)
         if not isinstance(body, upload.CompleteRequest):
             return body
-        order = _make_order(exchange, body, call_class)
+        caller_request = _make_caller_request(exchange, body, call_class)
         exchange.block_params = block_params.BlockParams(
             message.opt.block1,
             message.opt.block2,
-            (block_params.ReplyKey(exchange.flow, order.digest),),
+            (block_params.ReplyKey(exchange.flow, caller_request.digest),),
         )
         stored = self._find_stored_reply(exchange)
         if stored is not None:
@@ -174,7 +175,7 @@
         if not self._has_free_capacity():
             self._counts.add("home_refused_total", cause="overload")
             return replies.make_unavailable(_OVERLOAD_RETRY_S, "host is full")
-        self._start_task(exchange, order, entry, None)
+        self._start_task(exchange, caller_request, entry, None)
         return None
 
     def _serve_at_most_once(
@@ -186,13 +187,13 @@
     ) -> ServeResult:
         echo = message.opt.echo or b""
         if message.opt.block1 is not None:
-            refusal = self._once.check_block(exchange.flow, entry, echo)
+            refusal = self._at_most_once.check_block(exchange.flow, entry, echo)
             if refusal is not None:
                 return refusal
         body = self._collect_body(exchange, message, entry)
         if not isinstance(body, upload.CompleteRequest):
             return body
-        order = _make_order(exchange, body, call_class)
+        caller_request = _make_caller_request(exchange, body, call_class)
         exchange.block_params = _make_at_most_once_params(
             exchange, message, echo
         )
@@ -200,13 +201,20 @@
         if stored is not None:
             return stored
         if exchange.block_params.is_later_block:
-            admission = self._once.recover_answer(order, entry, echo)
+            admission = self._at_most_once.recover_answer(
+                caller_request, entry, echo
+            )
         else:
-            admission = self._once.admit(
-                order, entry, echo, has_capacity=self._has_free_capacity()
+            admission = self._at_most_once.admit(
+                caller_request,
+                entry,
+                echo,
+                has_capacity=self._has_free_capacity(),
             )
         if isinstance(admission, row_module.Row):
-            return self._serve_from_row(exchange, order, entry, admission)
+            return self._serve_from_row(
+                exchange, caller_request, entry, admission
+            )
         return admission
 
     def _collect_body(
@@ -236,24 +244,24 @@
     def _serve_from_row(
         self,
         exchange: exchange_module.Exchange,
-        order: order_module.CallerRequest,
+        caller_request: caller_request_module.CallerRequest,
         entry: store.ContractEntry,
         row: row_module.Row,
     ) -> ServeResult:
         if row.result is not None:
-            echo = self._issuer.issue_ticket(order.flow, entry)
+            echo = self._issuer.issue_ticket(caller_request.flow, entry)
             return replies.convert_outcome(row.result, echo)
         if not self._has_free_capacity():
             # The request is running, so "not run" would be wrong. A later
             # copy of it finds its row.
             return no_reply.NoReply()
-        self._start_task(exchange, order, entry, row)
+        self._start_task(exchange, caller_request, entry, row)
         return None
 
     def _start_task(
         self,
         exchange: exchange_module.Exchange,
-        order: order_module.CallerRequest,
+        caller_request: caller_request_module.CallerRequest,
         entry: store.ContractEntry,
         row: row_module.Row | None,
     ) -> None:
@@ -265,24 +273,27 @@
             # stop the caller's retransmissions, through which it reaches a
             # host that has the outcome if this one can't find it.
             self._exchanges.schedule_empty_ack(exchange)
-        self._nursery.start_soon(self._run_request, exchange, order, entry, row)
+        self._nursery.start_soon(
+            self._run_request, exchange, caller_request, entry, row
+        )
 
     async def _run_request(
         self,
         exchange: exchange_module.Exchange,
-        order: order_module.CallerRequest,
+        caller_request: caller_request_module.CallerRequest,
         entry: store.ContractEntry,
         row: row_module.Row | None,
     ) -> None:
         assert exchange.cancel_scope is not None
         try:
             with exchange.cancel_scope as scope:
-                reply = await self._get_reply(order, entry, row)
+                reply = await self._get_reply(caller_request, entry, row)
         except Exception:
             # A bug that one request triggers must not stop the host and
             # with it all other flows.
             logger.exception(
-                "Handling a request to service %s failed.", order.service
+                "Handling a request to service %s failed.",
+                caller_request.service,
             )
             self._counts.add("home_faults_total")
             reply = replies.make_outcome_unknown("internal fault")
@@ -300,17 +311,17 @@
 
     async def _get_reply(
         self,
-        order: order_module.CallerRequest,
+        caller_request: caller_request_module.CallerRequest,
         entry: store.ContractEntry,
         row: row_module.Row | None,
     ) -> codec.Message:
         if row is None:
             return replies.convert_outcome(
-                await self._dispatcher.run_request(order)
+                await self._dispatcher.run_request(caller_request)
             )
         result = await row.wait()
         return replies.convert_outcome(
-            result, self._issuer.issue_ticket(order.flow, entry)
+            result, self._issuer.issue_ticket(caller_request.flow, entry)
         )
 
 
@@ -341,13 +352,13 @@
     )
 
 
-def _make_order(
+def _make_caller_request(
     exchange: exchange_module.Exchange,
     complete: upload.CompleteRequest,
     call_class: contract.CallClass,
-) -> order_module.CallerRequest:
+) -> caller_request_module.CallerRequest:
     deadline_s = request.get_deadline_s(complete.message, call_class)
-    return order_module.CallerRequest(
+    return caller_request_module.CallerRequest(
         exchange.flow,
         call_class.method,
         request.get_path(complete.message),
--- a/persimmonhinge/flows/ticket_issuer.py
+++ b/persimmonhinge/flows/ticket_issuer.py
@@ -20,7 +20,7 @@
     """Issues tickets that name keepers that can be reached now.
 
     Attributes:
-        leaving: True once this host issues no more tickets.
+        leaving: True if this host is leaving and issues no more tickets.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
     def issue_ticket(
         self, flow: port.Flow, entry: store.ContractEntry
     ) -> bytes:
-        """Returns a new ticket; empty if none can be issued."""
+        """Returns a new ticket, or empty octets if none can be issued."""
         if self.leaving:
             return b""
         keepers = self._pick_keepers(entry)
@@ -52,10 +52,10 @@
         except errors.TicketError:
             return b""
 
-    def require_ticket(
+    def make_ticket_required_reply(
         self, flow: port.Flow, entry: store.ContractEntry, cause: str
     ) -> codec.Message:
-        """Returns the reply that a ticket is required; nothing has run."""
+        """Returns the reply to a request that hasn't run and needs a ticket."""
         self._counts.add("tickets_asked_for_total", cause=cause)
         echo = self.issue_ticket(flow, entry)
         if not echo:
@@ -64,7 +64,7 @@
             )
         return replies.make_ticket_required(echo, self._ticket_life_s)
 
-    def report_unverified(
+    def make_unverified_reply(
         self,
         flow: port.Flow,
         entry: store.ContractEntry,
@@ -72,7 +72,7 @@
     ) -> codec.Message:
         """Returns the reply to a request whose ticket can't be verified.
 
-        The outcome is unknown: a former copy of the request may have run.
+        The outcome is unknown: an earlier copy of the request may have run.
         """
         self._counts.add("tickets_unverified_total", cause=fault.value)
         echo = self.issue_ticket(flow, entry)
--- a/persimmonhinge/flows/tickets.py
+++ b/persimmonhinge/flows/tickets.py
@@ -48,7 +48,7 @@
     OTHER_SERVICE: The ticket was minted for another service.
     UNKNOWN_KEY: The key of the ticket is retired, or this host hasn't
         received it yet; or a host with a newer version minted the ticket.
-    FORGED: The authentication code is wrong: the ticket is forged, or was
+    FORGED: The HMAC doesn't match: the ticket is forged, or was
         minted for another caller.
     """
 
@@ -138,8 +138,8 @@
                 first two are used.
 
         Raises:
-            TicketError: No current key, because the key ring hasn't been
-                received yet.
+            TicketError: This host has no current key, because it hasn't
+                received the key ring yet.
         """
         key = self._keys.ring.current()
         if key is None:
@@ -165,7 +165,8 @@
         """Verifies and decodes a ticket that a flow sent with a request.
 
         The expiry isn't checked here, because it is a time on the uptime
-        clock of the home that minted the ticket; see `may_start_work`.
+        clock of the home that minted the ticket, which only that home can
+        read; see `may_start_request`.
 
         Raises:
             RefusedTicketError: The octets aren't a ticket of this flow, or
@@ -218,7 +219,7 @@
         """Returns whether a host ref is the current one of this host."""
         return home == self._view.self_member.ref
 
-    def may_start_work(self, ticket: Ticket) -> bool:
+    def may_start_request(self, ticket: Ticket) -> bool:
         """Returns whether a ticket of this host may start a new request."""
         issued_ms = ticket.expiry_ms - ROW_RETENTION_MS - self._ticket_life_ms
         if issued_ms <= self._revoked_until_ms:
--- a/persimmonhinge/flows/token_uses.py
+++ b/persimmonhinge/flows/token_uses.py
@@ -16,7 +16,8 @@
 
     Attributes:
         latest: The latest request with this token.
-        former_fingerprints: Fingerprints of the earlier requests with it.
+        former_fingerprints: Fingerprints of the earlier requests with this
+            token.
     """
 
     latest: exchange_module.Exchange
@@ -24,11 +25,11 @@
 
 
 class TokenUses:
-    """Finds replies that a caller has received, as it used their token again.
+    """Detects reused tokens, which show that the caller received the reply.
 
     Callers may use a token again once they have received the reply to it (RFC
-    7252 section 5.3.1). The caller could match a later copy of that reply to
-    its next request.
+    7252 section 5.3.1). A copy of that reply that is sent later could be
+    matched to the caller's next request.
     """
 
     def __init__(self) -> None:
--- a/persimmonhinge/flows/upload.py
+++ b/persimmonhinge/flows/upload.py
@@ -1,4 +1,4 @@
-"""Records of a request body that a caller sends in blocks."""
+"""Data structures for request bodies that callers send in blocks."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UploadKey:
-    """What the requests for the blocks of one body have in common.
+    """Identifies the requests that carry the blocks of one body.
 
     Attributes:
-        flow: The flow that sends them.
-        options_digest: Hash of their code and options.
-        request_tags: Their Request-Tag options (RFC 9175 section 3).
+        flow: The flow that sends the requests.
+        options_digest: Hash of the code and the options of each request.
+        request_tags: Request-Tag options of each request (RFC 9175 section 3).
     """
 
     flow: port.Flow
@@ -31,10 +31,10 @@
         last_block_at: Time at which a block was last received, seconds on
             trio's clock.
         body: The octets received so far.
-        last_block_start: Offset of the final block, octets; None until it
+        final_block_start: Offset of the final block, octets; None until it
             is received.
         token: Token of the first copy of the final block.
-        echo: Ticket of that copy.
+        echo: Ticket that the first copy of the final block carried.
     """
 
     last_block_at: float
--- a/persimmonhinge/flows/uploads.py
+++ b/persimmonhinge/flows/uploads.py
@@ -25,7 +25,7 @@
 
 
 class Uploads:
-    """Reassembles bodies in order and never mixes two requests."""
+    """Reassembles each body in order, from the blocks of one request only."""
 
     def __init__(
         self, counts: counts_module.Counts, retention_s: float
@@ -53,7 +53,7 @@
             this block: 2.31 to request the next one, 4.00 if the block has an
             invalid size, 4.08 if earlier blocks are missing (another home
             received them, or they were removed here), 4.13 if the body is too
-            large; or `Silence` if there is no free capacity now.
+            large; or `NoReply` if there is no free capacity now.
         """
         refusal = _check_block(message, max_octets)
         if refusal is not None:
--- a/tests/test_flows/home_fakes.py
+++ b/tests/test_flows/home_fakes.py
@@ -132,14 +132,16 @@
     return codec.decode(codec.encode(message))
 
 
-def make_answer(payload: bytes, code: codes.Code = codes.Code.CHANGED) -> bytes:
+def encode_reply(
+    payload: bytes, code: codes.Code = codes.Code.CHANGED
+) -> bytes:
     reply = codec.Message(code=code, payload=payload)
     reply.mtype, reply.mid, reply.token = types.NON, 0, b""
     return codec.encode(reply)
 
 
 def make_answered(payload: bytes) -> work.Dispatched:
-    return work.Dispatched(work.Outcome.ANSWERED, make_answer(payload))
+    return work.Dispatched(work.Outcome.ANSWERED, encode_reply(payload))
 
 
 async def answer_done(message: base.Message) -> base.Message:
@@ -243,14 +245,14 @@
         self.calls.append("open")
 
     def close(self, flow: port.Flow, message: codec.Message) -> bool:
-        """Records the call."""
+        """Records the call and reports an open feed."""
         self.calls.append("close")
         return True
 
     def read_state(
         self, flow: port.Flow, message: codec.Message
     ) -> codec.Message | None:
-        """Returns a large notification."""
+        """Returns a notification that is larger than one block."""
         return codec.Message(code=codes.Code.CONTENT, payload=b"p" * 3000)
 
     def acknowledge(self, flow: port.Flow, message_id: int) -> bool:
--- a/tests/test_flows/test_flows_blocks.py
+++ b/tests/test_flows/test_flows_blocks.py
@@ -55,13 +55,14 @@
     swaps=strategies.integers(0, 3),
 )
 @trios.clock_test
-async def test_any_order_of_blocks_gives_the_body_or_a_clean_error(
+async def test_any_order_of_blocks_gives_the_body_or_an_error_reply(
     body: bytes, exponent: int, randomness: Any, extra: int, swaps: int
 ) -> None:
-    """Guards against a body with missing, repeated or foreign blocks.
+    """Guards against a body that lacks, repeats or mixes up blocks.
 
     The network duplicates, delays and loses blocks, while the same caller
-    sends another upload with its own Request-Tag.
+    sends another upload with its own Request-Tag, whose blocks must not get
+    into the body.
     """
     receiver = uploads.Uploads(counts.Counts(), 30)
     sent = _split(body, exponent, b"a")
@@ -95,7 +96,7 @@
     exponent=strategies.integers(0, 6),
 )
 @trios.clock_test
-async def test_blocks_of_an_answer_join_to_the_whole(
+async def test_blocks_of_a_reply_join_to_the_complete_body(
     body: bytes, exponent: int
 ) -> None:
     stored_replies = large_replies.LargeReplies(30)
@@ -125,7 +126,7 @@
     assert end.code is Code.BAD_REQUEST
 
 
-async def _answer(message: base.Message) -> base.Message:
+async def _answer_done(message: base.Message) -> base.Message:
     return home_fakes.make_answered(b"done")
 
 
@@ -147,9 +148,9 @@
 
 
 @trios.clock_test
-async def test_upload_reaches_the_upstream_whole() -> None:
+async def test_upload_reaches_the_upstream_complete() -> None:
     world = home_fakes.HomeWorld()
-    world.handle_calls_with(_answer)
+    world.handle_calls_with(_answer_done)
     body = bytes(range(250)) * 10
     async with world.running():
         reply = await _upload(world, _split(body, 6, b"t"), 50)
@@ -216,7 +217,7 @@
     clients do, and then the complete upload again.
     """
     world = home_fakes.HomeWorld()
-    world.handle_calls_with(_answer)
+    world.handle_calls_with(_answer_done)
     body = b"m" * 2500
     async with world.running():
         unauthorized = await _upload(
@@ -236,7 +237,7 @@
 
 
 @trios.clock_test
-async def test_later_blocks_cost_no_second_call() -> None:
+async def test_later_blocks_need_no_second_dispatch() -> None:
     world = home_fakes.HomeWorld()
     world.handle_calls_with(_answer_large)
     async with world.running():
@@ -271,7 +272,7 @@
 
 
 @trios.clock_test
-async def test_rest_of_an_answer_survives_its_home() -> None:
+async def test_later_blocks_of_a_reply_survive_its_home() -> None:
     """Guards against a large reply whose later blocks can't be read.
 
     The home fails between two blocks. The next home queries the keepers by
@@ -299,7 +300,7 @@
 
 
 @trios.clock_test
-async def test_missing_rest_of_an_answer_is_never_called_not_run() -> None:
+async def test_missing_later_block_is_not_reported_as_not_run() -> None:
     """Guards against "not run" for a request that ran, which invites a repeat.
 
     A plain CoAP client requests the second block of a reply with a new token
@@ -311,17 +312,17 @@
         echo = await world.get_ticket()
     successor = home_fakes.HomeWorld(home_fakes.ids.HostId("entry-4"))
 
-    async def deny(message: base.Message) -> base.Message:
+    async def answer_not_run(message: base.Message) -> base.Message:
         return work.Dispatched(work.Outcome.NOT_RUN)
 
-    successor.handle_calls_with(deny)
+    successor.handle_calls_with(answer_not_run)
     async with successor.running():
         await _request_block(successor, Code.POST, 1, echo)
     assert successor.sender.sent[-1][1].code is Code.GATEWAY_TIMEOUT
 
 
 @trios.clock_test
-async def test_rest_of_a_notification_comes_from_its_feed() -> None:
+async def test_later_block_of_a_notification_comes_from_its_feed() -> None:
     world = home_fakes.HomeWorld()
     message = home_fakes.make_request(Code.GET, "/prices")
     message.opt.block2 = (2, False, 6)
--- a/tests/test_flows/test_flows_home.py
+++ b/tests/test_flows/test_flows_home.py
@@ -26,14 +26,14 @@
 _LATE_REPLY_S = exchanges.PIGGYBACK_S + 0.5
 
 
-async def _answer(message: base.Message) -> base.Message:
+async def _answer_done(message: base.Message) -> base.Message:
     return home_fakes.make_answered(b"done")
 
 
 @trios.clock_test
 async def test_get_is_answered_by_an_upstream() -> None:
     world = home_fakes.HomeWorld()
-    world.handle_calls_with(_answer)
+    world.handle_calls_with(_answer_done)
     async with world.running():
         reply = await world.send_request(Code.GET, "/lots/7", token=b"tok")
     assert (reply.code, reply.payload) == (Code.CHANGED, b"done")
@@ -41,9 +41,9 @@
 
 
 @trios.clock_test
-async def test_post_without_ticket_is_asked_for_one_and_not_run() -> None:
+async def test_post_without_ticket_requires_one_and_is_not_run() -> None:
     world = home_fakes.HomeWorld()
-    world.handle_calls_with(_answer)
+    world.handle_calls_with(_answer_done)
     async with world.running():
         reply = await world.send_request(Code.POST, "/reserve")
         assert reply.code == Code.UNAUTHORIZED
@@ -54,7 +54,7 @@
 @trios.clock_test
 async def test_post_with_ticket_runs_and_renews_it() -> None:
     world = home_fakes.HomeWorld()
-    world.handle_calls_with(_answer)
+    world.handle_calls_with(_answer_done)
     async with world.running():
         echo = await world.get_ticket()
         reply = await world.send_request(Code.POST, "/reserve", echo=echo)
@@ -63,9 +63,9 @@
 
 
 @trios.clock_test
-async def test_copy_of_a_datagram_gets_the_same_answer() -> None:
+async def test_copy_of_a_datagram_gets_the_same_reply() -> None:
     world = home_fakes.HomeWorld()
-    world.handle_calls_with(_answer)
+    world.handle_calls_with(_answer_done)
     async with world.running():
         first = await world.send_request(Code.GET, "/lots", mid=9)
         second = await world.send_request(Code.GET, "/lots", mid=9)
@@ -82,7 +82,7 @@
     to the former caller's request.
     """
     world = home_fakes.HomeWorld()
-    world.handle_calls_with(_answer)
+    world.handle_calls_with(_answer_done)
     async with world.running():
         await world.send_request(Code.GET, "/lots/1", mid=9, token=b"a")
         reply = await world.send_request(Code.GET, "/lots/2", mid=9, token=b"b")
@@ -93,7 +93,7 @@
 @trios.clock_test
 async def test_quick_reply_is_piggybacked_on_the_ack() -> None:
     world = home_fakes.HomeWorld()
-    world.handle_calls_with(_answer)
+    world.handle_calls_with(_answer_done)
     async with world.running():
         reply = await world.send_request(
             Code.GET, "/lots", mid=5, mtype=types.CON
@@ -102,9 +102,7 @@
 
 
 @trios.clock_test
-async def test_slow_answer_is_separate_and_repeated_until_acknowledged() -> (
-    None
-):
+async def test_slow_reply_is_separate_and_resent_until_acknowledged() -> None:
     world = home_fakes.HomeWorld()
 
     async def answer_late(message: base.Message) -> base.Message:
@@ -130,7 +128,7 @@
 
 
 @trios.clock_test
-async def test_unconfirmed_answer_is_given_up() -> None:
+async def test_unconfirmed_reply_is_abandoned() -> None:
     world = home_fakes.HomeWorld()
 
     async def answer_late(message: base.Message) -> base.Message:
@@ -147,7 +145,7 @@
 
 
 @trios.clock_test
-async def test_reset_of_the_empty_ack_cancels_the_work() -> None:
+async def test_reset_of_the_empty_ack_cancels_the_request() -> None:
     world = home_fakes.HomeWorld()
     cancelled: list[base.Message] = []
     world.handle_calls_with(home_fakes.make_hanging_keeper(cancelled))
@@ -193,7 +191,7 @@
 @trios.clock_test
 async def test_observe_on_a_plain_class_is_a_plain_request() -> None:
     world = home_fakes.HomeWorld()
-    world.handle_calls_with(_answer)
+    world.handle_calls_with(_answer_done)
     message = home_fakes.make_request(Code.GET, "/lots")
     message.opt.observe = 0
     async with world.running():
@@ -212,16 +210,16 @@
 
 
 @trios.clock_test
-async def test_stale_keeper_is_asked_again_without_cost() -> None:
+async def test_stale_keeper_is_retried_without_using_the_budget() -> None:
     world = home_fakes.HomeWorld()
     outcomes = [work.Outcome.STALE] * 14 + [work.Outcome.NOT_KEEPER]
 
-    async def agree_late(message: base.Message) -> base.Message:
+    async def answer_stale_first(message: base.Message) -> base.Message:
         if outcomes:
             return work.Dispatched(outcomes.pop())
         return home_fakes.make_answered(b"done")
 
-    world.handle_calls_with(agree_late)
+    world.handle_calls_with(answer_stale_first)
     async with world.running():
         reply = await world.send_request(Code.GET, "/lots")
     assert reply.payload == b"done"
@@ -257,7 +255,7 @@
     payload=strategies.binary(max_size=80),
 )
 @trios.clock_test
-async def test_hostile_datagrams_harm_nothing(
+async def test_hostile_datagrams_do_not_stop_the_host(
     header: tuple[int, int, bytes],
     path: tuple[int, bytes],
     options: list[tuple[int, bytes]],
@@ -280,7 +278,7 @@
     except errors.MalformedDatagramError:
         return
     world = home_fakes.HomeWorld()
-    world.handle_calls_with(_answer)
+    world.handle_calls_with(_answer_done)
     async with world.running():
         world.home.handle(home_fakes.FLOW, message)
         await trio.sleep(1)
@@ -289,17 +287,17 @@
 
 
 @trios.clock_test
-async def test_fault_in_one_request_ends_no_other() -> None:
+async def test_fault_in_one_request_does_not_stop_others() -> None:
     """Guards against one request that stops the host and all its feeds.
 
     An unforeseen datagram triggers a bug, which raises an exception.
     """
     world = home_fakes.HomeWorld()
 
-    async def break_down(message: base.Message) -> base.Message:
+    async def raise_error(message: base.Message) -> base.Message:
         raise KeyError("a fault")
 
-    world.handle_calls_with(break_down)
+    world.handle_calls_with(raise_error)
     logging.disable(logging.CRITICAL)
     async with world.running():
         echo = await world.get_ticket()
@@ -307,7 +305,7 @@
             reply = await world.send_request(code, path, echo=echo)
             assert reply.code is Code.GATEWAY_TIMEOUT
         world.home.handle(home_fakes.FLOW, None)
-        world.handle_calls_with(_answer)
+        world.handle_calls_with(_answer_done)
         assert (await world.send_request(Code.GET, "/lots")).payload == b"done"
     logging.disable(logging.NOTSET)
     assert world.counts.sum("home_faults_total") == 3
--- a/tests/test_flows/test_flows_requests.py
+++ b/tests/test_flows/test_flows_requests.py
@@ -34,7 +34,7 @@
     ),
 )
 @trios.clock_test
-async def test_no_interleaving_runs_a_request_twice(
+async def test_no_order_of_copies_runs_a_request_twice(
     sends: list[tuple[int, int, float]], delays: list[float]
 ) -> None:
     """Guards against a reservation that runs twice or gets differing replies.
@@ -72,7 +72,7 @@
 
 
 @trios.clock_test
-async def test_row_outlives_all_repetitions() -> None:
+async def test_row_outlives_all_retransmissions() -> None:
     world = home_fakes.HomeWorld()
     world.handle_calls_with(home_fakes.answer_done)
     async with world.running():
@@ -88,7 +88,7 @@
 
 
 @trios.clock_test
-async def test_expired_ticket_begins_nothing() -> None:
+async def test_expired_ticket_starts_no_request() -> None:
     world = home_fakes.HomeWorld()
     world.handle_calls_with(home_fakes.answer_done)
     async with world.running():
@@ -101,7 +101,7 @@
 
 
 @trios.clock_test
-async def test_refusal_is_kept_for_late_copies() -> None:
+async def test_refusal_is_stored_for_late_copies() -> None:
     world = home_fakes.HomeWorld()
     outcomes = [work.Dispatched(work.Outcome.NOT_RUN, retry_after_s=4)] * 2
 
@@ -118,7 +118,7 @@
 
 
 @trios.clock_test
-async def test_full_table_refuses_for_good() -> None:
+async def test_refusal_by_a_full_table_is_final() -> None:
     """Guards against a request that runs after it was refused as not run.
 
     The request table is full, so the request is refused. Then rows expire,
@@ -149,7 +149,7 @@
 
 
 @trios.clock_test
-async def test_changed_address_does_not_invite_a_second_run() -> None:
+async def test_changed_address_causes_no_second_run() -> None:
     """Guards against a second run after a NAT lost its entry for the caller.
 
     The request ran, but its reply went to the old port. The caller's next
--- a/tests/test_flows/test_flows_requests_contracts.py
+++ b/tests/test_flows/test_flows_requests_contracts.py
@@ -18,7 +18,7 @@
 
 
 @trios.clock_test
-async def test_lost_contract_is_not_called_not_run() -> None:
+async def test_missing_contract_is_not_reported_as_not_run() -> None:
     """Guards against a second run during a change of contracts.
 
     The request ran and its reply was lost. The host that receives the next
@@ -40,7 +40,7 @@
 
 
 @trios.clock_test
-async def test_work_that_became_non_idempotent_asks_for_a_ticket() -> None:
+async def test_request_that_became_non_idempotent_requires_a_ticket() -> None:
     """Guards against a non-idempotent request that runs twice.
 
     The operators declare the call class non-idempotent while an attempt that
@@ -52,14 +52,14 @@
     stricter["call_classes"][2]["idempotent"] = False
     body = json.dumps(stricter).encode()
 
-    async def learn_late(message: base.Message) -> base.Message:
+    async def answer_stale(message: base.Message) -> base.Message:
         record = control.ContractRecord(
             home_fakes.SERVICE, ids.Revision(2), body
         )
         world.contracts.offer(record)
         return work.Dispatched(work.Outcome.STALE)
 
-    world.handle_calls_with(learn_late)
+    world.handle_calls_with(answer_stale)
     async with world.running():
         reply = await world.send_request(Code.PUT, "/lots/1")
         assert reply.code is Code.SERVICE_UNAVAILABLE
--- a/tests/test_flows/test_flows_router.py
+++ b/tests/test_flows/test_flows_router.py
@@ -72,7 +72,7 @@
     return network, home
 
 
-def test_confirmation_reaches_the_home_that_leaves() -> None:
+def test_confirmation_reaches_the_leaving_home() -> None:
     """Guards against a planned stop that waits for callers without need.
 
     An ACK carries no ticket, so it is routed by the hash to the next home and
@@ -88,7 +88,7 @@
     assert len(home.handled) == 1
 
 
-def test_request_is_not_sent_to_a_host_that_leaves() -> None:
+def test_request_is_not_sent_to_a_leaving_host() -> None:
     network, home = _route(home_fakes.make_request(codes.Code.GET, "/lots"))
     assert not network.sent
     assert len(home.handled) == 1
--- a/tests/test_flows/test_flows_tickets.py
+++ b/tests/test_flows/test_flows_tickets.py
@@ -144,30 +144,30 @@
 
 
 @trios.clock_test
-async def test_ticket_begins_work_for_its_life_only() -> None:
+async def test_ticket_starts_requests_during_its_life_only() -> None:
     mint = _make_mint()
     ticket = mint.read(mint.mint(home_fakes.FLOW, _KEEPERS), home_fakes.FLOW)
     await trio.sleep(119)
-    assert mint.may_start_work(ticket)
+    assert mint.may_start_request(ticket)
     await trio.sleep(1.1)
-    assert not mint.may_start_work(ticket)
+    assert not mint.may_start_request(ticket)
     # Its rows are still retained for all retransmissions of a caller.
     assert ticket.expiry_ms - mint.uptime_ms() > 93_000
 
 
 @trios.clock_test
-async def test_closed_tickets_begin_nothing_and_later_ones_do() -> None:
+async def test_revoked_tickets_start_no_requests_but_later_tickets_do() -> None:
     mint = _make_mint()
     flow = home_fakes.FLOW
-    closed = mint.read(mint.mint(flow, _KEEPERS), flow)
+    revoked = mint.read(mint.mint(flow, _KEEPERS), flow)
     mint.revoke_issued()
     fresh = mint.read(mint.mint(flow, _KEEPERS), flow)
-    assert not mint.may_start_work(closed)
-    assert mint.may_start_work(fresh)
+    assert not mint.may_start_request(revoked)
+    assert mint.may_start_request(fresh)
 
 
 @trios.clock_test
-async def test_new_incarnation_of_a_woken_host_knows_its_old_tickets() -> None:
+async def test_new_incarnation_of_a_host_recognizes_its_old_tickets() -> None:
     keys = store.KeyStore()
     keys.offer(home_fakes.make_key_record())
     view = view_module.View(home_fakes.make_member(home_fakes.ME, 1))
