--- a/persimmonhinge/flows/server.py
+++ b/persimmonhinge/flows/server.py
@@ -49,7 +49,7 @@
         self,
         message_layer: exchanges.Exchanges,
         dispatcher: dispatcher_module.Dispatcher,
-        at_most_once: non_idempotent.NonIdempotentRequests,
+        non_idempotent_requests: non_idempotent.NonIdempotentRequests,
         issuer: ticket_issuer.TicketIssuer,
         feeds: feed_server.FeedServer,
         counts: counts_module.Counts,
@@ -57,7 +57,7 @@
     ) -> None:
         self._exchanges = message_layer
         self._dispatcher = dispatcher
-        self._at_most_once = at_most_once
+        self._non_idempotent = non_idempotent_requests
         self._issuer = issuer
         self._feeds = feeds
         self._counts = counts
@@ -128,7 +128,7 @@
         if call_class is None:
             return self._serve_feed_path(exchange, message, closed=closed)
         if call_class.runs_at_most_once:
-            return self._serve_at_most_once(
+            return self._serve_non_idempotent(
                 exchange, message, entry, call_class
             )
         return self._serve_idempotent(exchange, message, entry, call_class)
@@ -178,7 +178,7 @@
         self._start_task(exchange, caller_request, entry, None)
         return None
 
-    def _serve_at_most_once(
+    def _serve_non_idempotent(
         self,
         exchange: exchange_module.Exchange,
         message: codec.Message,
@@ -187,25 +187,27 @@
     ) -> ServeResult:
         echo = message.opt.echo or b""
         if message.opt.block1 is not None:
-            refusal = self._at_most_once.check_block(exchange.flow, entry, echo)
+            refusal = self._non_idempotent.check_block(
+                exchange.flow, entry, echo
+            )
             if refusal is not None:
                 return refusal
         body = self._collect_body(exchange, message, entry)
         if not isinstance(body, upload.CompleteRequest):
             return body
         caller_request = _make_caller_request(exchange, body, call_class)
-        exchange.block_params = _make_at_most_once_params(
+        exchange.block_params = _make_non_idempotent_params(
             exchange, message, echo
         )
         stored = self._find_stored_reply(exchange)
         if stored is not None:
             return stored
         if exchange.block_params.is_later_block:
-            admission = self._at_most_once.recover_answer(
+            admission = self._non_idempotent.recover_answer(
                 caller_request, entry, echo
             )
         else:
-            admission = self._at_most_once.admit(
+            admission = self._non_idempotent.admit(
                 caller_request,
                 entry,
                 echo,
@@ -332,7 +334,7 @@
     return replies.make_unavailable(_NO_CONTRACT_RETRY_S, "no contract")
 
 
-def _make_at_most_once_params(
+def _make_non_idempotent_params(
     exchange: exchange_module.Exchange, message: codec.Message, echo: bytes
 ) -> block_params.BlockParams:
     """Returns the block parameters of a request with a ticket.
--- a/tests/test_flows/test_flows_blocks.py
+++ b/tests/test_flows/test_flows_blocks.py
@@ -164,7 +164,7 @@
 
 
 @trios.clock_test
-async def test_block_without_the_earlier_ones_is_incomplete() -> None:
+async def test_block_without_earlier_blocks_is_incomplete() -> None:
     world = home_fakes.HomeWorld()
     async with world.running():
         sent = _split(b"z" * 2500, 6, b"t")
--- a/tests/test_flows/test_flows_home.py
+++ b/tests/test_flows/test_flows_home.py
@@ -334,8 +334,8 @@
 
 
 def _send_empty(
-    world: home_fakes.HomeWorld, kind: types.Type, mid: int
+    world: home_fakes.HomeWorld, message_type: types.Type, mid: int
 ) -> None:
     message = codec.Message(code=Code.EMPTY)
-    message.mtype, message.mid, message.token = kind, mid, b""
+    message.mtype, message.mid, message.token = message_type, mid, b""
     world.home.handle(home_fakes.FLOW, codec.decode(codec.encode(message)))
