--- a/tests/test_flows/home_fakes.py
+++ b/tests/test_flows/home_fakes.py
@@ -178,14 +178,10 @@
         """Passes a call to the handler of its host."""
         self.calls.append((host, message))
         if host not in self.handlers:
-            raise errors.PeerUnreachableError(
-                "host has no handler", step="call", peer=host
-            )
+            raise errors.PeerUnreachableError("gone", step="call", peer=host)
         with trio.move_on_after(timeout_s):
             return await self.handlers[host](message)
-        raise errors.PeerCallTimeoutError(
-            "call timed out", step="call", peer=host
-        )
+        raise errors.PeerCallTimeoutError("late", step="call", peer=host)
 
     def dispatches(self) -> list[work.Dispatch]:
         """Returns the recorded calls that are dispatches."""
