--- a/persimmonhinge/flows/chooser.py
+++ b/persimmonhinge/flows/chooser.py
@@ -74,29 +74,29 @@
         reachable = self._list_choices(entry, exclude, keeper_refs)
         if not reachable:
             return None
-        homes = self._placement.count_hosts()
+        home_count = self._placement.count_hosts()
         candidates = [
-            self._make_candidate(entry, choice.upstream, kind, homes)
+            self._make_candidate(entry, choice.upstream, kind, home_count)
             for choice in reachable.values()
         ]
         policy = self._get_policy(entry, kind)
-        chosen = policy.choose(candidates)
-        found = reachable[chosen.upstream]
-        self._recently_used_keepers.add(found.keeper)
+        candidate = policy.choose(candidates)
+        selected = reachable[candidate.upstream]
+        self._recently_used_keepers.add(selected.keeper)
         if kind is not contract.CallKind.REQUEST or len(reachable) < 2:
-            return found
+            return selected
         may_be_busy = policy.requires_free_slot and _may_be_busy(
-            found.upstream, chosen
+            selected.upstream, candidate
         )
-        return dataclasses.replace(found, may_be_busy=may_be_busy)
+        return dataclasses.replace(selected, may_be_busy=may_be_busy)
 
     def pick_keepers(
         self, entry: store.ContractEntry, count: int
     ) -> tuple[ids.HostRef, ...]:
-        """Returns keeper incarnations for a ticket, in turn by capacity.
+        """Picks keepers for a ticket, in proportion to their capacity.
 
-        The load of the keepers is ignored. A ticket is used seconds after it
-        was minted, so all callers with a ticket from the same time would then
+        The load of the keepers is ignored, because a ticket is used seconds
+        after it was minted: all callers with tickets from the same time would
         send their requests to the keepers that were idle at that time.
 
         This host is picked only if no other host is the keeper of an
@@ -109,8 +109,8 @@
             weights[choice.keeper_ref] += self._compute_capacity(
                 entry, upstream
             )
-        me = self._view.self_member.ref
-        others = {ref: w for ref, w in weights.items() if ref != me}
+        own_ref = self._view.self_member.ref
+        others = {ref: w for ref, w in weights.items() if ref != own_ref}
         service = ids.ServiceName(entry.contract.service)
         return self._keeper_scheduler.pick(service, others or weights, count)
 
@@ -150,7 +150,7 @@
             polled: set[ids.HostId] = set()
             while True:
                 version = self._view.changed.version
-                for member in self._view.role_takers():
+                for member in self._view.role_candidates():
                     if member.host not in polled:
                         polled.add(member.host)
                         nursery.start_soon(
@@ -163,7 +163,7 @@
     ) -> None:
         while True:
             member = self._view.get(host)
-            if member is None or not member.answers:
+            if member is None or not member.is_alive:
                 polled.discard(host)
                 return
             await self._query_load(host)
@@ -205,9 +205,10 @@
             return
         if isinstance(report, work.LoadReport):
             for load in report.loads:
-                self._record_load(load)
+                self._record_polled_load(load)
 
-    def _record_load(self, load: work.UpstreamLoad) -> None:
+    def _record_polled_load(self, load: work.UpstreamLoad) -> None:
+        """Records a load whose upstream id is prefixed with its service."""
         service, _, upstream = load.upstream.partition("/")
         self._load_tracker.record_load(
             ids.ServiceName(service),
@@ -221,9 +222,10 @@
         self,
         entry: store.ContractEntry,
         exclude: frozenset[ids.UpstreamId],
-        among: frozenset[ids.HostRef] | None,
+        keeper_refs: frozenset[ids.HostRef] | None,
     ) -> dict[ids.UpstreamId, port.Choice]:
-        found: dict[ids.UpstreamId, port.Choice] = {}
+        """Returns the upstreams that may be chosen, with their keepers."""
+        choices: dict[ids.UpstreamId, port.Choice] = {}
         for upstream in entry.contract.upstreams:
             upstream_id = ids.UpstreamId(upstream.id)
             if upstream_id in exclude or not self._accepts_work(
@@ -233,10 +235,12 @@
             keeper = self._find_keeper(entry, upstream)
             if keeper is None:
                 continue
-            if among is not None and keeper.ref not in among:
+            if keeper_refs is not None and keeper.ref not in keeper_refs:
                 continue
-            found[upstream_id] = port.Choice(upstream, keeper.host, keeper.ref)
-        return found
+            choices[upstream_id] = port.Choice(
+                upstream, keeper.host, keeper.ref
+            )
+        return choices
 
     def _find_keeper(
         self, entry: store.ContractEntry, upstream: contract.Upstream
@@ -260,14 +264,16 @@
         entry: store.ContractEntry,
         upstream: contract.Upstream,
         kind: contract.CallKind,
-        homes: int,
+        home_count: int,
     ) -> choice_module.Candidate:
         service = ids.ServiceName(entry.contract.service)
         upstream_id = ids.UpstreamId(upstream.id)
         return choice_module.Candidate(
             upstream_id,
             capacity=self._compute_capacity(entry, upstream, kind),
-            load=self._load_tracker.estimate(service, upstream_id, kind, homes),
+            load=self._load_tracker.estimate(
+                service, upstream_id, kind, home_count
+            ),
             own_load=self._load_tracker.count_own(service, upstream_id, kind),
             recent_load=self._load_tracker.count_recent(
                 service, upstream_id, kind
--- a/persimmonhinge/flows/feeds/exchange.py
+++ b/persimmonhinge/flows/feeds/exchange.py
@@ -1,4 +1,4 @@
-"""A confirmable message to a caller that waits for its acknowledgement."""
+"""Confirmable messages that await the caller's acknowledgement."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from persimmonhinge.coap import codec
 
 if TYPE_CHECKING:
-    from persimmonhinge.flows.feeds import feed as feeds
+    from persimmonhinge.flows.feeds import feed as feed_module
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Exchange:
-    """A confirmable message.
+    """A confirmable message and the state of its retransmission.
 
     Attributes:
-        feed: The feed that it belongs to.
-        message: What the next transmission carries.
-        ids: Message ids that it was sent under.
-        timeout_s: Time from the last transmission to the next.
-        renewed: True if `message` was replaced since it was last sent.
-        retransmissions: How often it was sent again.
+        feed: Feed that the message belongs to.
+        message: Message that the next transmission sends.
+        message_ids: Message ids under which it has been sent.
+        timeout_s: Seconds from the last transmission to the next one.
+        replaced: True if `message` was replaced after the last transmission.
+        retransmissions: Number of retransmissions.
     """
 
-    feed: feeds.Feed
+    feed: feed_module.Feed
     message: codec.Message
-    ids: list[int]
+    message_ids: list[int]
     timeout_s: float
-    renewed: bool = False
+    replaced: bool = False
     retransmissions: int = 0
--- a/persimmonhinge/flows/feeds/refusal.py
+++ b/persimmonhinge/flows/feeds/refusal.py
@@ -1,4 +1,4 @@
-"""What a caller is told when no upstream takes its feed."""
+"""Answers to callers whose feed no upstream accepts."""
 
 from __future__ import annotations
 
@@ -9,22 +9,24 @@
 from persimmonhinge import errors
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
-from persimmonhinge.flows.feeds import event as events
+from persimmonhinge.flows.feeds import event
 from persimmonhinge.flows.feeds import limits
-from persimmonhinge.flows.feeds import search as searches
-from persimmonhinge.flows.feeds import source as sources
-from persimmonhinge.peers.messages import feeds as messages
+from persimmonhinge.flows.feeds import search as search_module
+from persimmonhinge.flows.feeds import source as source_module
+from persimmonhinge.peers.messages import feeds
 
 _SUCCESS_CLASS = 2
 _CLIENT_ERROR_CLASS = 4
 _CLASS_SHIFT = 5
 
 
-def note(search: searches.Search, source: sources.Source) -> None:
-    """Notes an upstream that did not take the feed."""
+def record_failure(
+    search: search_module.Search, source: source_module.Source
+) -> None:
+    """Records in a search that an upstream did not accept the feed."""
     search.tried |= {ids.UpstreamId(source.upstream.id)}
     end = source.end
-    if end is None or end.cause is not messages.FeedEndCause.REFUSED:
+    if end is None or end.cause is not feeds.FeedEndCause.REFUSED:
         search.unreachable = True
         return
     search.answer = end.answer or search.answer
@@ -32,15 +34,16 @@
 
 
 def is_final(answer: bytes) -> bool:
-    """Tells whether a refusal would be the same at every upstream.
+    """Returns whether every upstream would answer in the same way.
 
-    So is an error of the request itself, but for 4.29, and a plain answer
-    of a resource that can't be observed (RFC 7641, 4.1).
+    This holds for client errors except 4.29 (Too Many Requests), and for
+    successful answers without Observe, because the resource can't be observed
+    (RFC 7641, 4.1).
     """
     if not answer:
         return False
     try:
-        code = events.read_answer(answer, "").code
+        code = event.read_answer(answer, "").code
     except errors.MalformedDatagramError:
         return False
     if code is aiocoap.TOO_MANY_REQUESTS:
@@ -54,13 +57,14 @@
     """Returns the last message of a feed.
 
     Args:
-        answer: What the upstreams answered, passed on if it is final.
-        retry_after_s: When the upstreams say to come back.
-        randomness: Spreads the callers that are sent away together.
+        answer: Encoded answer of the upstreams; sent to the caller if it is
+            final.
+        retry_after_s: Retry delay that the upstreams requested, in seconds.
+        randomness: Spreads the retries of callers whose feeds end together.
     """
     if is_final(answer):
-        return events.read_answer(answer, "")
-    wait_s = max(limits.REFUSED_RETRY_S, retry_after_s)
+        return event.read_answer(answer, "")
+    wait_s = max(limits.MIN_REFUSED_RETRY_S, retry_after_s)
     message = codec.Message(code=aiocoap.SERVICE_UNAVAILABLE)
     message.opt.max_age = randomness.randint(wait_s, 2 * wait_s)
     return message
--- a/persimmonhinge/flows/non_idempotent.py
+++ b/persimmonhinge/flows/non_idempotent.py
@@ -98,12 +98,14 @@
 
         Args:
             request: The request, with its ticket not yet set.
-            entry: Contract of the service.
+            entry: The service's contract, with its revision.
             echo: Value of the Echo option; empty if the request has none.
             has_capacity: False if this host can start no more requests.
         """
         if not echo:
-            return self._issuer.require_ticket(request.flow, entry, "none")
+            return self._issuer.make_ticket_required_reply(
+                request.flow, entry, "none"
+            )
         try:
             ticket = self._mint.read(echo, request.flow)
         except tickets.RefusedTicketError as error:
@@ -129,15 +131,15 @@
             None if the block may be stored, else the decision on it.
         """
         if not echo:
-            return self._issuer.require_ticket(flow, entry, "none")
+            return self._issuer.make_ticket_required_reply(flow, entry, "none")
         try:
             ticket = self._mint.read(echo, flow)
         except tickets.RefusedTicketError as error:
             if error.fault in _UNUSABLE_TICKET_FAULTS:
-                return self._issuer.require_ticket(
+                return self._issuer.make_ticket_required_reply(
                     flow, entry, error.fault.value
                 )
-            return self._issuer.report_unverified(flow, entry, error.fault)
+            return self._issuer.make_unverified_reply(flow, entry, error.fault)
         return self._defer_to_home(ticket)
 
     def recover_answer(
@@ -146,15 +148,15 @@
         entry: store.ContractEntry,
         echo: bytes,
     ) -> Admission:
-        """Recovers the answer to a request to serve its later blocks.
+        """Recovers an answer of which a caller requests a later block.
 
-        The body of the request is not available here, so the request is
-        never started. The keepers are queried by ticket and token alone.
+        The body of the original request is not available here, so the request
+        is never started. The keepers are queried by ticket and token alone.
         """
         try:
             ticket = self._mint.read(echo, request.flow)
         except tickets.RefusedTicketError as error:
-            return self._issuer.report_unverified(
+            return self._issuer.make_unverified_reply(
                 request.flow, entry, error.fault
             )
         request = dataclasses.replace(request, ticket=ticket, digest=b"")
@@ -178,15 +180,17 @@
         key yet.
         """
         if fault in _UNUSABLE_TICKET_FAULTS:
-            return self._issuer.require_ticket(request.flow, entry, fault.value)
+            return self._issuer.make_ticket_required_reply(
+                request.flow, entry, fault.value
+            )
         home = tickets.peek_home(echo)
         if home is not None and self._mint.is_own(home):
             key = request.make_row_key(home, tickets.peek_id(echo))
             if self._table.find(key) is None:
-                return self._issuer.require_ticket(
+                return self._issuer.make_ticket_required_reply(
                     request.flow, entry, fault.value
                 )
-        return self._issuer.report_unverified(request.flow, entry, fault)
+        return self._issuer.make_unverified_reply(request.flow, entry, fault)
 
     def _start_request(
         self,
@@ -196,8 +200,10 @@
         has_capacity: bool,
     ) -> Admission:
         ticket = request.required_ticket
-        if not self._mint.may_start_work(ticket):
-            return self._issuer.require_ticket(request.flow, entry, "expired")
+        if not self._mint.may_start_request(ticket):
+            return self._issuer.make_ticket_required_reply(
+                request.flow, entry, "expired"
+            )
         if self._issuer.leaving:
             # A host that leaves never resumes service, so a late copy of
             # the request is refused, too.
@@ -242,7 +248,7 @@
         """
         if self._mint.is_own(ticket.home):
             return None
-        if self._view.find_ref(ticket.home) is None:
+        if self._view.find_by_ref(ticket.home) is None:
             return None
         self._counts.add("home_elsewhere_total")
         return no_reply.NoReply()
--- a/persimmonhinge/membership/channel.py
+++ b/persimmonhinge/membership/channel.py
@@ -1,4 +1,4 @@
-"""Sends and receives heartbeat datagrams, counted and authenticated."""
+"""Sends, receives, authenticates and counts heartbeat datagrams."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 import logging
 
 from persimmonhinge import ids
-from persimmonhinge.membership import codec as codecs
-from persimmonhinge.membership import roster as rosters
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.membership import codec as codec_module
+from persimmonhinge.membership import roster as roster_module
+from persimmonhinge.metrics import counts as counts_module
 from persimmonhinge.peers import network
 from persimmonhinge.peers.messages import base
 
@@ -16,16 +16,16 @@
 
 
 class Channel:
-    """A datagram port that speaks in letters."""
+    """Sends and receives encoded heartbeats on a datagram port."""
 
     def __init__(
         self,
         datagrams: network.Datagrams,
-        codec: codecs.DatagramCodec,
-        roster: rosters.Roster,
-        counts: host_counts.Counts,
+        codec: codec_module.DatagramCodec,
+        roster: roster_module.Roster,
+        counts: counts_module.Counts,
     ) -> None:
-        """Takes over a datagram port."""
+        """Creates a channel that owns a datagram port."""
         self._datagrams = datagrams
         self._codec = codec
         self._roster = roster
@@ -36,42 +36,44 @@
         message: base.Message,
         address: tuple[str, int],
         *,
-        about: ids.HostId | None = None,
+        recipient: ids.HostId | None = None,
     ) -> None:
-        """Sends a message with the own record and some news.
+        """Sends a message with this host's record and gossip.
 
-        A datagram that the kernel refuses (no route, full buffer) counts as
-        lost: the protocol is made for losses.
+        A datagram that the kernel refuses (no route, full buffer) is treated
+        like one lost in the network, because the protocol tolerates loss.
 
         Args:
             message: The message.
-            address: Where to.
-            about: The host that is there, if known.
+            address: IP address and UDP port of the recipient.
+            recipient: The host at that address, if known.
         """
-        rumors = self._roster.gossip.take(about=about)
+        other_records = self._roster.gossip.choose_records(recipient=recipient)
         sender = self._roster.identity.record
-        data = self._codec.encode(codecs.Letter(sender, rumors, message))
+        data = self._codec.encode(
+            codec_module.Heartbeat(sender, other_records, message)
+        )
         try:
             await self._datagrams.send(data, address)
         except OSError as error:
             self._counts.add("heartbeat_send_failures_total")
-            logger.debug("Heartbeat to %s failed: %s.", address, error)
+            logger.debug("Cannot send heartbeat to %s: %s.", address, error)
             return
         self._counts.add("heartbeat_datagrams_sent_total")
         self._counts.add("heartbeat_octets_sent_total", len(data))
 
     async def receive(
         self,
-    ) -> AsyncIterator[tuple[codecs.Letter, tuple[str, int]]]:
-        """Yields the letters that arrive; refused ones are counted."""
+    ) -> AsyncIterator[tuple[codec_module.Heartbeat, tuple[str, int]]]:
+        """Yields received heartbeats; counts and discards refused ones."""
         async for data, source in self._datagrams:
             self._counts.add("heartbeat_datagrams_received_total")
             self._counts.add("heartbeat_octets_received_total", len(data))
             try:
-                letter = self._codec.decode(data)
-            except codecs.RefusedDatagramError as error:
+                heartbeat = self._codec.decode(data)
+            except codec_module.RefusedDatagramError as error:
                 self._counts.add(
                     "heartbeat_datagrams_refused_total", cause=error.cause.value
                 )
                 continue
-            yield letter, source
+            yield heartbeat, source
--- a/persimmonhinge/membership/codec.py
+++ b/persimmonhinge/membership/codec.py
@@ -1,4 +1,4 @@
-"""Heartbeat datagrams: msgpack with an HMAC in front."""
+"""Encodes heartbeat datagrams as msgpack, preceded by an HMAC."""
 
 from __future__ import annotations
 
@@ -10,25 +10,26 @@
 import msgspec
 
 from persimmonhinge import errors
-from persimmonhinge.membership import messages as _messages  # Registers kinds.
-from persimmonhinge.membership import record as records
+from persimmonhinge.membership import messages  # Registers message kinds.
+from persimmonhinge.membership import record as record_module
 from persimmonhinge.peers.messages import base
 
 MAX_DATAGRAM_OCTETS = 1400
-_PLAIN = b"\x01"
-_SIGNED = b"\x02"
-_TAG_OCTETS = 16
+_UNSIGNED_PREFIX = b"\x01"
+_SIGNED_PREFIX = b"\x02"
+_HMAC_OCTETS = 16
 
-assert _messages is not None
+assert messages is not None
 
 
 class RefusalCause(enum.Enum):
-    """Why a datagram was dropped.
+    """Why a datagram was refused.
 
-    TOO_LONG: It is longer than any that a host sends.
-    UNSIGNED: It has no HMAC although this host has a secret.
-    BAD_SIGNATURE: Its HMAC is of another secret, or it was changed.
-    MALFORMED: It is not a message.
+    TOO_LONG: The datagram exceeds the maximum length that hosts send.
+    UNSIGNED: The datagram has no HMAC although this host has a secret.
+    BAD_SIGNATURE: The HMAC was made with another secret, or the datagram was
+        modified.
+    MALFORMED: The datagram is not a valid heartbeat.
     """
 
     TOO_LONG = "too-long"
@@ -38,10 +39,10 @@
 
 
 class RefusedDatagramError(errors.PeerProtocolError):
-    """A datagram is not to be taken in.
+    """A received heartbeat datagram was refused.
 
     Attributes:
-        cause: Why.
+        cause: Why the datagram was refused.
     """
 
     def __init__(self, cause: RefusalCause) -> None:
@@ -51,60 +52,67 @@
 
 class _Envelope(msgspec.Struct, array_like=True, frozen=True):
     kind: str
-    sender: records.Record
-    rumors: tuple[records.Record, ...]
+    sender: record_module.Record
+    other_records: tuple[record_module.Record, ...]
     body: msgspec.Raw
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Letter:
-    """One datagram, read.
+class Heartbeat:
+    """The decoded content of one heartbeat datagram.
 
     Attributes:
-        sender: Own record of the host that sent it.
-        rumors: Records of other hosts, passed on with it.
-        message: The message; None if its kind is of a newer version.
+        sender: Record of the host that sent the datagram.
+        other_records: Gossiped records of other hosts.
+        message: The message; None if its kind is unknown because the sender
+            runs a newer version.
     """
 
-    sender: records.Record
-    rumors: tuple[records.Record, ...]
+    sender: record_module.Record
+    other_records: tuple[record_module.Record, ...]
     message: base.Message | None
 
 
 class DatagramCodec:
-    """Writes and reads datagrams under the deployment's secret."""
+    """Encodes and decodes datagrams, authenticated by a shared secret."""
 
     def __init__(self, secret: bytes | None) -> None:
-        """Takes the secret; None for open heartbeats."""
+        """Creates a codec.
+
+        Args:
+            secret: Secret of the deployment; None for heartbeats without
+                authentication.
+        """
         self._secret = secret
         self._encoder = msgspec.msgpack.Encoder()
-        self._envelopes = msgspec.msgpack.Decoder(_Envelope)
+        self._envelope_decoder = msgspec.msgpack.Decoder(_Envelope)
 
-    def encode(self, letter: Letter) -> bytes:
-        """Returns a datagram; its message is not None."""
-        assert letter.message is not None
+    def encode(self, heartbeat: Heartbeat) -> bytes:
+        """Returns the datagram for a heartbeat whose message is not None."""
+        assert heartbeat.message is not None
         envelope = _Envelope(
-            base.get_kind(letter.message),
-            letter.sender,
-            letter.rumors,
-            msgspec.Raw(self._encoder.encode(letter.message)),
+            base.get_kind(heartbeat.message),
+            heartbeat.sender,
+            heartbeat.other_records,
+            msgspec.Raw(self._encoder.encode(heartbeat.message)),
         )
         payload = self._encoder.encode(envelope)
         if self._secret is None:
-            return _PLAIN + payload
-        return _SIGNED + self._sign(payload) + payload
+            return _UNSIGNED_PREFIX + payload
+        return _SIGNED_PREFIX + self._sign(payload) + payload
 
-    def decode(self, data: bytes) -> Letter:
-        """Returns what a datagram holds.
+    def decode(self, data: bytes) -> Heartbeat:
+        """Returns the heartbeat that a datagram contains.
 
         Raises:
-            RefusedDatagramError: It is not to be taken in.
+            RefusedDatagramError: The datagram is too long, not authentic or
+                malformed.
         """
         if len(data) > MAX_DATAGRAM_OCTETS:
             raise RefusedDatagramError(RefusalCause.TOO_LONG)
-        payload = self._open(data)
+        payload = self._verify_payload(data)
         try:
-            envelope = self._envelopes.decode(payload)
+            envelope = self._envelope_decoder.decode(payload)
             message_type = base.find_type(envelope.kind)
             message = None
             if message_type is not None:
@@ -113,21 +121,21 @@
                 )
         except (msgspec.MsgspecError, RecursionError) as error:
             raise RefusedDatagramError(RefusalCause.MALFORMED) from error
-        return Letter(envelope.sender, envelope.rumors, message)
+        return Heartbeat(envelope.sender, envelope.other_records, message)
 
-    def measure(self, record: records.Record) -> int:
-        """Returns the octets that a record takes in a datagram."""
+    def measure_record(self, record: record_module.Record) -> int:
+        """Returns the encoded size of a record, octets."""
         return len(self._encoder.encode(record))
 
-    def _open(self, data: bytes) -> bytes:
+    def _verify_payload(self, data: bytes) -> bytes:
         if self._secret is None:
-            if data[:1] != _PLAIN:
+            if data[:1] != _UNSIGNED_PREFIX:
                 raise RefusedDatagramError(RefusalCause.MALFORMED)
             return data[1:]
-        if data[:1] != _SIGNED:
+        if data[:1] != _SIGNED_PREFIX:
             raise RefusedDatagramError(RefusalCause.UNSIGNED)
-        tag = data[1 : 1 + _TAG_OCTETS]
-        payload = data[1 + _TAG_OCTETS :]
+        tag = data[1 : 1 + _HMAC_OCTETS]
+        payload = data[1 + _HMAC_OCTETS :]
         if not hmac.compare_digest(tag, self._sign(payload)):
             raise RefusedDatagramError(RefusalCause.BAD_SIGNATURE)
         return payload
@@ -135,4 +143,4 @@
     def _sign(self, payload: bytes) -> bytes:
         assert self._secret is not None
         digest = hmac.digest(self._secret, payload, hashlib.sha256)
-        return digest[:_TAG_OCTETS]
+        return digest[:_HMAC_OCTETS]
--- a/persimmonhinge/membership/pauses.py
+++ b/persimmonhinge/membership/pauses.py
@@ -1,4 +1,4 @@
-"""Notices that this process itself did not run for a while."""
+"""Detects pauses in the execution of this process."""
 
 from __future__ import annotations
 
@@ -8,55 +8,57 @@
 
 logger = logging.getLogger(__name__)
 
-_PAUSE_INTERVALS = 2
+_MIN_PAUSE_INTERVALS = 2
 
 
-class PauseWatch:
-    """Measures gaps between its checks, which are due at each heartbeat.
+class PauseDetector:
+    """Measures the time between checks, which run at least every heartbeat.
 
-    A process that was stopped or starved does not notice it otherwise, and
-    takes what its peers have concluded meanwhile for an error of theirs. A
-    gap that lies back longer than they take to tell has had no consequences:
-    what they conclude later has another cause.
+    A process cannot otherwise detect that it was stopped or got no CPU time,
+    and would treat suspicions that its peers raised during the pause as
+    errors. Peers report the consequences of a pause within a limited time. A
+    pause is forgotten after that time, because any later suspicion has
+    another cause.
     """
 
     def __init__(
         self,
         interval_s: float,
         now: Callable[[], float],
-        memory_s: float = math.inf,
+        retention_s: float = math.inf,
     ) -> None:
-        """Begins to watch.
+        """Creates a detector; the first interval starts now.
 
         Args:
-            interval_s: Time between checks when all is well, seconds.
+            interval_s: Longest regular time between checks, seconds.
             now: Returns the monotonic time, seconds.
-            memory_s: How long a gap is remembered after its end, seconds.
+            retention_s: How long a pause is remembered after its end,
+                seconds.
         """
-        self._limit_s = _PAUSE_INTERVALS * interval_s
+        self._min_pause_s = _MIN_PAUSE_INTERVALS * interval_s
         self._now = now
-        self._memory_s = memory_s
-        self._last = now()
-        self._longest_s = 0.0
-        self._ended_at = -math.inf
+        self._retention_s = retention_s
+        self._last_check_at = now()
+        self._longest_pause_s = 0.0
+        self._last_pause_ended_at = -math.inf
 
     @property
-    def longest_s(self) -> float:
-        """The longest gap that is remembered, seconds; 0 for none."""
-        return self._longest_s
+    def longest_pause_s(self) -> float:
+        """The longest pause that is remembered, seconds; 0 for none."""
+        return self._longest_pause_s
 
     def check(self) -> None:
-        """Looks for a gap since the last check."""
+        """Records a pause if the last check was too long ago."""
         now = self._now()
-        gap_s = now - self._last
-        self._last = now
-        if gap_s > self._limit_s:
-            self._longest_s = max(self._longest_s, gap_s)
-            self._ended_at = now
+        gap_s = now - self._last_check_at
+        self._last_check_at = now
+        if gap_s > self._min_pause_s:
+            self._longest_pause_s = max(self._longest_pause_s, gap_s)
+            self._last_pause_ended_at = now
             logger.warning("This process did not run for %.1f s.", gap_s)
-        elif now - self._ended_at > self._memory_s:
+        elif now - self._last_pause_ended_at > self._retention_s:
             self.clear()
 
     def clear(self) -> None:
-        """Forgets the longest gap."""
-        self._longest_s = 0.0
+        """Forgets the longest pause."""
+        self._longest_pause_s = 0.0
--- a/persimmonhinge/membership/probes.py
+++ b/persimmonhinge/membership/probes.py
@@ -1,4 +1,4 @@
-"""Asks members for a sign of life, directly and through others."""
+"""Probes members with pings, directly and through other members."""
 
 from __future__ import annotations
 
@@ -8,177 +8,193 @@
 import trio
 
 from persimmonhinge import ids
-from persimmonhinge.membership import channel as channels
-from persimmonhinge.membership import member as members
+from persimmonhinge.membership import channel as channel_module
+from persimmonhinge.membership import member
 from persimmonhinge.membership import messages
-from persimmonhinge.membership import record as records
-from persimmonhinge.membership import roster as rosters
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.membership import record as record_module
+from persimmonhinge.membership import roster as roster_module
+from persimmonhinge.settings import entry
 
-ATTEMPTS = 3
-_HELPERS = 3
-_CANDIDATES = 12
-_MAX_RELAYS = 256
+MAX_ATTEMPTS = 3
+_DEFAULT_HELPER_COUNT = 3
+_MAX_HELPER_CANDIDATES = 12
+_MAX_CONCURRENT_RELAYS = 256
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Wait:
+class _PendingProbe:
     host: ids.HostId
     answered: trio.Event
-    record: records.Record | None = None
+    record: record_module.Record | None = None
 
 
 class Probes:
-    """Pings and the waits for their answers.
+    """Sends pings and waits for their answers.
 
-    A probe that gets no answer at once is repeated, and three members of
-    different domains are asked to ping as well. So a member counts as silent
-    only if all datagrams of three attempts were lost on all ways, and one
-    that this host can't reach, or not hear, is still found through others.
+    If the first attempt of a probe gets no answer, the ping is repeated, and
+    three members, of different domains where possible, are asked to ping the
+    target as well. A probe thus fails only if the datagrams of three attempts
+    are lost on all paths. A member is still reached through others if this
+    host cannot send to it or cannot receive from it.
 
-    The attempts also guard against pauses of this process. When it runs
-    again, the time for the answer to one attempt has run out although the
-    answer may lie in the socket; it is read while the next attempt waits.
+    Several attempts also protect against pauses of this process. When the
+    process resumes, the timeout of one attempt has expired although the
+    answer may be in the socket buffer; it is read during the next attempt.
     """
 
     def __init__(
         self,
-        peers: settings_entry.PeerSettings,
-        channel: channels.Channel,
-        roster: rosters.Roster,
+        peers: entry.PeerSettings,
+        channel: channel_module.Channel,
+        roster: roster_module.Roster,
         randomness: random.Random,
     ) -> None:
-        """Makes the part.
+        """Creates the prober of a host.
 
         Args:
             peers: Settings of heartbeats; all attempts of a probe together
-                take one interval at most.
-            channel: Where pings go out.
-            roster: Whom to ask for help.
-            randomness: Source of choices.
+                take at most one heartbeat interval.
+            channel: Sends the datagrams.
+            roster: Members and their records, for targets and helpers.
+            randomness: Source of random choices.
         """
         self._timeout_s = peers.heartbeat_interval_s
         self._channel = channel
         self._roster = roster
         self._randomness = randomness
         self._sequence = randomness.getrandbits(32)
-        self._waits: dict[int, _Wait] = {}
-        self._relays = 0
+        self._pending_probes: dict[int, _PendingProbe] = {}
+        self._active_relay_count = 0
 
-    async def probe(self, host: ids.HostId, helpers: int = _HELPERS) -> bool:
-        """Asks a member for a sign of life.
+    async def probe(
+        self, host: ids.HostId, helper_count: int = _DEFAULT_HELPER_COUNT
+    ) -> bool:
+        """Probes a member.
 
         Args:
             host: The member.
-            helpers: How many others are asked to ping as well, each time.
+            helper_count: Number of other members that are asked to ping the
+                member at each attempt after the first.
 
         Returns:
-            False if none came in time, on any way.
+            False if the host is unknown or no answer arrived in time, neither
+            directly nor through a helper.
         """
         target = self._roster.get(host)
         if target is None:
             return False
-        sequence, wait = self._open(host)
+        sequence, pending_probe = self._register_probe(host)
         try:
-            for attempt in range(ATTEMPTS):
-                await self._ask(sequence, target, helpers if attempt else 0)
-                with trio.move_on_after(self._timeout_s / ATTEMPTS):
-                    await wait.answered.wait()
+            for attempt in range(MAX_ATTEMPTS):
+                await self._send_attempt(
+                    sequence, target, helper_count if attempt else 0
+                )
+                with trio.move_on_after(self._timeout_s / MAX_ATTEMPTS):
+                    await pending_probe.answered.wait()
                     return True
         finally:
-            del self._waits[sequence]
+            del self._pending_probes[sequence]
         return False
 
-    async def greet(
+    async def ping_address(
         self, address: tuple[str, int], host: ids.HostId | None
     ) -> None:
-        """Pings an address at which a host may be; no answer is awaited."""
+        """Pings an address at which a host may be running.
+
+        Returns without waiting for an answer.
+        """
         message = messages.Ping(self._next_sequence())
-        await self._channel.send(message, address, about=host)
+        await self._channel.send(message, address, recipient=host)
 
-    async def answer(
+    async def answer_ping(
         self,
         ping: messages.Ping,
         address: tuple[str, int],
-        sender: records.Record,
+        sender: record_module.Record,
     ) -> None:
-        """Gives a sign of life."""
+        """Sends the acknowledgement of a ping to its sender."""
         ack = messages.Ack(ping.sequence)
-        await self._channel.send(ack, address, about=sender.host)
+        await self._channel.send(ack, address, recipient=sender.host)
 
-    async def relay(
+    async def relay_ping(
         self, request: messages.PingRequest, address: tuple[str, int]
     ) -> None:
-        """Pings for another host and passes the answer on."""
-        if self._relays >= _MAX_RELAYS:
+        """Pings a target for another host and relays the answer."""
+        if self._active_relay_count >= _MAX_CONCURRENT_RELAYS:
             return
-        self._relays += 1
-        sequence, wait = self._open(request.target.host)
+        self._active_relay_count += 1
+        sequence, pending_probe = self._register_probe(request.target.host)
         try:
             await self._channel.send(
                 messages.Ping(sequence),
                 request.target.heartbeat_address,
-                about=request.target.host,
+                recipient=request.target.host,
             )
             with trio.move_on_after(self._timeout_s):
-                await wait.answered.wait()
+                await pending_probe.answered.wait()
         finally:
-            del self._waits[sequence]
-            self._relays -= 1
-        if wait.record is not None:
-            answer = messages.Ack(request.sequence, wait.record)
+            del self._pending_probes[sequence]
+            self._active_relay_count -= 1
+        if pending_probe.record is not None:
+            answer = messages.Ack(request.sequence, pending_probe.record)
             await self._channel.send(answer, address)
 
-    def take_ack(self, ack: messages.Ack, sender: records.Record) -> None:
-        """Wakes whoever waits for this sign of life."""
-        wait = self._waits.get(ack.sequence)
+    def handle_ack(
+        self, ack: messages.Ack, sender: record_module.Record
+    ) -> None:
+        """Completes the pending probe that an acknowledgement answers."""
+        pending_probe = self._pending_probes.get(ack.sequence)
         record = ack.subject or sender
-        if wait is None or wait.host != record.host:
+        if pending_probe is None or pending_probe.host != record.host:
             return
-        wait.record = record
-        wait.answered.set()
+        pending_probe.record = record
+        pending_probe.answered.set()
 
-    async def _ask(
-        self, sequence: int, target: records.Record, helpers: int
+    async def _send_attempt(
+        self, sequence: int, target: record_module.Record, helper_count: int
     ) -> None:
         target = self._roster.get(target.host) or target
         await self._channel.send(
-            messages.Ping(sequence), target.heartbeat_address, about=target.host
+            messages.Ping(sequence),
+            target.heartbeat_address,
+            recipient=target.host,
         )
         request = messages.PingRequest(sequence, target)
-        for helper in self._choose_helpers(target.host, helpers):
+        for helper in self._choose_helpers(target.host, helper_count):
             await self._channel.send(
                 request,
                 (helper.address, helper.heartbeat_port),
-                about=helper.host,
+                recipient=helper.host,
             )
 
     def _choose_helpers(
-        self, target: ids.HostId, count: int
-    ) -> list[members.Member]:
-        """Chooses members, of as many domains as there are.
+        self, target: ids.HostId, helper_count: int
+    ) -> list[member.Member]:
+        """Chooses helpers from as many failure domains as possible.
 
-        A one-way cut between two domains is passed only by a third one, so
-        three helpers of one domain would be worth no more than one.
+        A one-way partition between two domains can be bypassed only through a
+        third one, so three helpers in one domain are no better than one.
         """
-        if not count:
+        if not helper_count:
             return []
-        candidates = self._roster.pick(_CANDIDATES, self._randomness)
+        candidates = self._roster.sample_members(
+            _MAX_HELPER_CANDIDATES, self._randomness
+        )
         candidates = [c for c in candidates if c.host != target]
-        chosen: dict[ids.DomainId, members.Member] = {}
-        spare = []
+        chosen: dict[ids.DomainId, member.Member] = {}
+        further_candidates = []
         for candidate in candidates:
             if candidate.domain in chosen:
-                spare.append(candidate)
+                further_candidates.append(candidate)
             else:
                 chosen[candidate.domain] = candidate
-        return [*chosen.values(), *spare][:count]
+        return [*chosen.values(), *further_candidates][:helper_count]
 
-    def _open(self, host: ids.HostId) -> tuple[int, _Wait]:
+    def _register_probe(self, host: ids.HostId) -> tuple[int, _PendingProbe]:
         sequence = self._next_sequence()
-        wait = _Wait(host, trio.Event())
-        self._waits[sequence] = wait
-        return sequence, wait
+        pending_probe = _PendingProbe(host, trio.Event())
+        self._pending_probes[sequence] = pending_probe
+        return sequence, pending_probe
 
     def _next_sequence(self) -> int:
         self._sequence = (self._sequence + 1) % 2**32
--- a/persimmonhinge/membership/table.py
+++ b/persimmonhinge/membership/table.py
@@ -1,4 +1,4 @@
-"""The newest record of each host, with digests to compare tables by."""
+"""The current record of each host, with digests for comparing tables."""
 
 from __future__ import annotations
 
@@ -11,70 +11,74 @@
 import xxhash
 
 from persimmonhinge import ids
-from persimmonhinge.membership import record as records
+from persimmonhinge.membership import record as record_module
 
-BUCKETS = 64
-_DIGESTS = struct.Struct(f">{BUCKETS}I")
+BUCKET_COUNT = 64
+_DIGESTS = struct.Struct(f">{BUCKET_COUNT}I")
 
 
 @dataclasses.dataclass(slots=True)
 class _Entry:
-    record: records.Record
+    record: record_module.Record
     digest: int
     died_at: float | None
 
 
 class Table:
-    """Records of all hosts, this one included.
+    """Records of all hosts, including this one.
 
-    Records fall into a fixed number of buckets by host name. Each bucket
-    has a digest, the exclusive or of those of its records, kept up to date
-    at each change; so comparing two tables costs the same at any size.
+    Records are assigned to a fixed number of buckets by host name. Each
+    bucket has a digest, the exclusive or of its records' digests, which is
+    updated at each change. The cost of comparing two tables therefore does
+    not depend on their size.
     """
 
     def __init__(self, forget_s: float, now: Callable[[], float]) -> None:
-        """Makes an empty table.
+        """Creates an empty table.
 
         Args:
-            forget_s: How long the dead are remembered, seconds.
+            forget_s: Retention time of dead hosts, seconds.
             now: Returns the monotonic time, seconds.
         """
         self._forget_s = forget_s
         self._now = now
         self._entries: dict[ids.HostId, _Entry] = {}
-        self._digests = [0] * BUCKETS
+        self._digests = [0] * BUCKET_COUNT
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def get(self, host: ids.HostId) -> records.Record | None:
-        """Returns the record of a host as it is to be told now."""
+    def get(self, host: ids.HostId) -> record_module.Record | None:
+        """Returns a host's record with its current age; None if unknown."""
         entry = self._entries.get(host)
-        return None if entry is None else self._tell(entry)
+        return None if entry is None else self._get_current_record(entry)
 
-    def all(self) -> list[records.Record]:
-        """Returns all records as they are to be told now."""
-        return [self._tell(entry) for entry in self._entries.values()]
+    def all(self) -> list[record_module.Record]:
+        """Returns all records with their current ages."""
+        return [
+            self._get_current_record(entry) for entry in self._entries.values()
+        ]
 
-    def offer(self, record: records.Record) -> bool:
-        """Takes in a record if it holds against the known one.
+    def merge_record(self, record: record_module.Record) -> bool:
+        """Stores a record if it prevails over the known record of the host.
 
-        A death that others have forgotten, or are about to, is not taken in
-        from those that remember it a moment longer.
+        A DEAD record that has reached the retention time is ignored. This
+        host may have removed it already, while others still hold it.
 
         Returns:
-            True if it is news; an older age of a known death is none.
+            True if the record is an update to send to other hosts; a higher
+            age of a known death is not.
         """
         if record.age_s >= self._forget_s:
             return False
         known = self.get(record.host)
         if known is None:
-            self._set(record)
+            self._store_record(record)
             return True
-        if records.merge(known, record) is known:
+        if record_module.merge(known, record) is known:
             return False
-        self._set(record)
-        return record.order != known.order
+        self._store_record(record)
+        return record.precedence != known.precedence
 
     def remove(self, host: ids.HostId) -> None:
         """Removes the record of a host."""
@@ -82,8 +86,8 @@
         if entry is not None:
             self._digests[find_bucket(host)] ^= entry.digest
 
-    def find_forgotten(self) -> list[ids.HostId]:
-        """Returns the hosts that died so long ago that they may go."""
+    def find_expired(self) -> list[ids.HostId]:
+        """Returns the hosts that have been dead for the retention time."""
         limit = self._now() - self._forget_s
         return [
             host
@@ -92,44 +96,47 @@
         ]
 
     def digests(self) -> bytes:
-        """Returns the digests of all buckets."""
+        """Returns the digests of all buckets, four octets each."""
         return _DIGESTS.pack(*self._digests)
 
-    def compare(self, digests: bytes) -> list[int]:
+    def find_differing_buckets(self, digests: bytes) -> list[int]:
         """Returns the numbers of the buckets that differ.
 
-        A digest of another length is of another version: all differ then.
+        Digests of another length come from another version of the program;
+        all buckets then count as different.
         """
         if len(digests) != _DIGESTS.size:
-            return list(range(BUCKETS))
-        theirs = _DIGESTS.unpack(digests)
+            return list(range(BUCKET_COUNT))
+        other_digests = _DIGESTS.unpack(digests)
         return [
             number
-            for number in range(BUCKETS)
-            if theirs[number] != self._digests[number]
+            for number in range(BUCKET_COUNT)
+            if other_digests[number] != self._digests[number]
         ]
 
-    def select(self, buckets: Iterable[int]) -> list[records.Record]:
-        """Returns the records of some buckets."""
-        wanted = frozenset(buckets)
+    def select_records(
+        self, buckets: Iterable[int]
+    ) -> list[record_module.Record]:
+        """Returns the records in the given buckets."""
+        numbers = frozenset(buckets)
         return [
-            self._tell(entry)
+            self._get_current_record(entry)
             for host, entry in self._entries.items()
-            if find_bucket(host) in wanted
+            if find_bucket(host) in numbers
         ]
 
-    def _set(self, record: records.Record) -> None:
+    def _store_record(self, record: record_module.Record) -> None:
         self.remove(record.host)
         died_at = None
-        if record.claim is records.Claim.DEAD:
+        if record.claim is record_module.Claim.DEAD:
             died_at = self._now() - record.age_s
         digest = xxhash.xxh32_intdigest(
-            msgspec.msgpack.encode((record.host, record.order))
+            msgspec.msgpack.encode((record.host, record.precedence))
         )
         self._entries[record.host] = _Entry(record, digest, died_at)
         self._digests[find_bucket(record.host)] ^= digest
 
-    def _tell(self, entry: _Entry) -> records.Record:
+    def _get_current_record(self, entry: _Entry) -> record_module.Record:
         if entry.died_at is None:
             return entry.record
         age_s = int(self._now() - entry.died_at)
@@ -137,5 +144,5 @@
 
 
 def find_bucket(host: ids.HostId) -> int:
-    """Returns the number of the bucket of a host."""
-    return xxhash.xxh32_intdigest(host.encode()) % BUCKETS
+    """Returns the number of the bucket to which a host is assigned."""
+    return xxhash.xxh32_intdigest(host.encode()) % BUCKET_COUNT
--- a/persimmonhinge/upstreams/__init__.py
+++ b/persimmonhinge/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""The keeper of an upstream: slots, queue and feeds."""
+"""The keeper: runs requests and feeds at the upstreams that a host keeps."""
--- a/persimmonhinge/upstreams/feed_server.py
+++ b/persimmonhinge/upstreams/feed_server.py
@@ -87,11 +87,11 @@
         target = self._roles.find_target(
             open_message.service, open_message.revision, open_message.upstream
         )
-        if target is None or not self._roles.keeps(target):
+        if target is None or not self._roles.is_kept_here(target):
             # The views of the two hosts differ for a moment; the home
             # determines the keeper again.
             return feeds.FeedEnd(_Cause.MOVED)
-        upstream = self._upstreams.get(target)
+        upstream = self._upstreams.get_or_create(target)
         load = upstream.read_load()
         if not upstream.is_accepting:
             return feeds.FeedEnd(_Cause.REFUSED, load=load)
@@ -168,7 +168,7 @@
         )
         if target is None or not feed.upstream.is_accepting:
             feed.request_move(_Cause.DRAINING)
-        elif not self._roles.keeps(target):
+        elif not self._roles.is_kept_here(target):
             feed.request_move(_Cause.MOVED)
 
     async def _open_feed(
--- a/persimmonhinge/upstreams/keeper.py
+++ b/persimmonhinge/upstreams/keeper.py
@@ -1,4 +1,4 @@
-"""The keeper of upstreams: all of its parts, and the messages they serve."""
+"""Assembles a host's keeper and registers its message handlers."""
 
 from __future__ import annotations
 
@@ -11,67 +11,69 @@
 
 from persimmonhinge import changes
 from persimmonhinge import ids
-from persimmonhinge.coap import transmission as transmissions
-from persimmonhinge.contracts import store as stores
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.peers import network as networks
+from persimmonhinge.coap import transmission
+from persimmonhinge.contracts import store
+from persimmonhinge.membership import member
+from persimmonhinge.membership import placement as placement_module
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.peers import network as network_module
 from persimmonhinge.peers.messages import feeds
 from persimmonhinge.peers.messages import handover
 from persimmonhinge.peers.messages import work
-from persimmonhinge.settings import entry as settings_entry
-from persimmonhinge.upstreams import context as contexts
-from persimmonhinge.upstreams import dispatching as dispatching_parts
+from persimmonhinge.settings import entry
+from persimmonhinge.upstreams import context as context_module
+from persimmonhinge.upstreams import dispatch_handler as dispatch_handler_module
 from persimmonhinge.upstreams import event_budget
-from persimmonhinge.upstreams import executed as executed_tables
-from persimmonhinge.upstreams import feed_server as feeding_parts
-from persimmonhinge.upstreams import handing as handing_parts
-from persimmonhinge.upstreams import inheritance as inheritances
-from persimmonhinge.upstreams import orphaned_feeds as orphan_parts
-from persimmonhinge.upstreams import recovering as recovering_parts
-from persimmonhinge.upstreams import roles as role_parts
-from persimmonhinge.upstreams import taking as taking_parts
+from persimmonhinge.upstreams import executed_table
+from persimmonhinge.upstreams import feed_server as feeding_module
+from persimmonhinge.upstreams import former_keepers
+from persimmonhinge.upstreams import (
+    handover_receiver as handover_receiver_module,
+)
+from persimmonhinge.upstreams import handover_sender as handover_sender_module
+from persimmonhinge.upstreams import orphaned_feeds as orphans_module
+from persimmonhinge.upstreams import recover_handler as recover_handler_module
+from persimmonhinge.upstreams import roles
 from persimmonhinge.upstreams import udp
 from persimmonhinge.upstreams import upstream_socket
-from persimmonhinge.upstreams import upstreams as upstream_sets
-from persimmonhinge.upstreams import uptimes as home_uptimes
+from persimmonhinge.upstreams import upstreams as upstreams_module
+from persimmonhinge.upstreams import uptimes
 
 logger = logging.getLogger(__name__)
 
-# Views and contracts change in bursts; one look at all upstreams serves
-# the whole burst.
-_BURST_S = 0.05
-_FORGET_INTERVAL_S = 1.0
-_TIDY_INTERVAL_S = 0.05
+# Minimum time between two refreshes of all upstreams. Views and contracts
+# change in bursts, and one refresh covers a whole burst.
+_REFRESH_INTERVAL_S = 0.05
+_EXPIRY_INTERVAL_S = 1.0
+_SWEEP_INTERVAL_S = 0.05
 
 
-class Keepers:
+class Keeper:
     """Runs requests and feeds at the upstreams that this host keeps."""
 
     def __init__(
         self,
-        settings: settings_entry.EntrySettings,
-        view: views.View,
-        placement: placements.Placement,
-        contracts: stores.ContractStore,
-        network: networks.PeerNetwork,
-        counts: host_counts.Counts,
+        settings: entry.EntrySettings,
+        view: view_module.View,
+        placement: placement_module.Placement,
+        contracts: store.ContractStore,
+        network: network_module.PeerNetwork,
+        counts: counts_module.Counts,
         open_socket: upstream_socket.SocketOpener | None = None,
-        timers: transmissions.Transmission | None = None,
+        timers: transmission.Transmission | None = None,
     ) -> None:
-        """Makes the keeper of a host.
+        """Initializes the keeper of a host.
 
         Args:
             settings: Settings of the host.
-            view: Its view of the members.
-            placement: Where roles are placed.
-            contracts: The contracts that it knows.
-            network: Calls to other hosts.
-            counts: Its counters.
-            open_socket: Opens a socket towards an upstream; UDP if None.
-            timers: Timers of retransmission; those of RFC 7252 if None.
+            view: The host's view of the members.
+            placement: Assigns the role of keeper to hosts.
+            contracts: Contracts that the host has received.
+            network: Carries calls from and to other hosts.
+            counts: Metrics of the host.
+            open_socket: Opens a socket to an upstream; a UDP socket if None.
+            timers: Retransmission timers; those of RFC 7252 if None.
         """
         self._view = view
         self._placement = placement
@@ -81,80 +83,93 @@
         self._open_socket = open_socket or functools.partial(
             udp.UdpSocket, settings.upstream_address, counts=counts
         )
-        self._timers = timers or transmissions.Transmission()
-        self._roles = role_parts.Roles(view, placement, contracts)
-        self._executed = executed_tables.ExecutedTable(
-            home_uptimes.Uptimes(trio.current_time)
+        self._timers = timers or transmission.Transmission()
+        self._roles = roles.Roles(view, placement, contracts)
+        self._executed = executed_table.ExecutedTable(
+            uptimes.Uptimes(trio.current_time)
+        )
+        self._former_keepers = former_keepers.FormerKeepers(trio.current_time)
+        self._upstreams: upstreams_module.KeptUpstreams | None = None
+        self._handover_sender: handover_sender_module.HandoverSender | None = (
+            None
         )
-        self._inheritance = inheritances.Inheritance(trio.current_time)
-        self._upstreams: upstream_sets.KeptUpstreams | None = None
-        self._handing: handing_parts.Handing | None = None
         counts.watch("keeper_executed_rows", lambda: len(self._executed))
         for name in ("busy", "queued", "feeds"):
-            counts.watch(f"keeper_{name}", functools.partial(self._sum, name))
+            counts.watch(
+                f"keeper_{name}", functools.partial(self._sum_loads, name)
+            )
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serves homes until it is cancelled."""
+        """Serves requests of homes and other hosts until it is cancelled."""
         async with trio.open_nursery() as nursery:
             context = self._make_context(nursery)
-            upstreams = upstream_sets.KeptUpstreams(context, self._roles)
-            handing = self._make_handing(upstreams)
+            upstreams = upstreams_module.KeptUpstreams(context, self._roles)
+            handover_sender = self._make_handover_sender(upstreams)
             self._upstreams = upstreams
-            self._handing = handing
-            self._register(context, upstreams)
+            self._handover_sender = handover_sender
+            self._register_handlers(context, upstreams)
             for changed in (self._view.changed, self._contracts.changed):
-                # Read before the first look, or a change that comes before
-                # the task runs would be missed.
+                # The version is read before the first refresh. Otherwise a
+                # change between that refresh and the start of the task would
+                # be missed.
                 version = changed.version
                 nursery.start_soon(
                     _follow_changes,
                     changed,
                     version,
                     upstreams,
-                    handing,
+                    handover_sender,
                     nursery,
                 )
             upstreams.refresh()
             nursery.start_soon(self._sweep, upstreams)
             task_status.started()
 
-    def note_incarnation(
-        self, former: members.Member, present: members.Member
+    def record_incarnation(
+        self, former: member.Member, present: member.Member
     ) -> None:
-        """Takes in that this host has become a new incarnation.
+        """Records that this host has changed to a new incarnation.
 
-        It is the same process with the same table, so it goes on to answer
-        for requests that ran through the former one.
+        The process and its table of executed requests are still the same,
+        so the host continues to answer recovery queries for the former
+        incarnation.
         """
-        logger.info("Answers for its former incarnation %08x.", former.ref)
-        self._inheritance.add_own(former.ref)
+        logger.info(
+            "Answering recovery queries for former incarnation %08x of this "
+            "host.",
+            former.ref,
+        )
+        self._former_keepers.add_own_incarnation(former.ref)
 
     async def leave(self) -> None:
-        """Hands over what this host keeps and waits for what runs.
+        """Hands over the table of executed requests and waits for running ones.
 
-        To be called once this host's own view says that it leaves, so that
-        nothing new begins. It takes as long as what runs takes.
+        Must be called after this host's own view shows it as leaving, so
+        that no new request starts. Returns only after all running requests
+        have finished and all feeds are closed.
         """
-        if self._handing is not None:
-            await self._handing.leave()
+        if self._handover_sender is not None:
+            await self._handover_sender.hand_over()
 
-    def loads(self) -> list[work.UpstreamLoad]:
-        """Returns the state of all upstreams kept, as `service/upstream`."""
+    def list_loads(self) -> list[work.UpstreamLoad]:
+        """Returns the loads of kept upstreams, named `service/upstream`."""
         if self._upstreams is None:
             return []
         return [
-            _name_fully(kept.target.key, kept.read_load())
+            _qualify_upstream(kept.target.key, kept.read_load())
             for kept in self._upstreams.list_kept()
         ]
 
-    def _sum(self, name: str) -> int:
-        return sum(getattr(load, name) for load in self.loads())
+    def _sum_loads(self, field: str) -> int:
+        return sum(getattr(load, field) for load in self.list_loads())
 
-    def _make_context(self, nursery: trio.Nursery) -> contexts.KeeperContext:
+    def _make_context(
+        self, nursery: trio.Nursery
+    ) -> context_module.KeeperContext:
         me = self._view.self_member
-        return contexts.KeeperContext(
+        return context_module.KeeperContext(
             self._contracts,
             self._counts,
             random.Random(f"{me.host}/{me.incarnation}"),
@@ -164,81 +179,81 @@
             event_budget.EventBudget(self._counts),
         )
 
-    def _register(
+    def _register_handlers(
         self,
-        context: contexts.KeeperContext,
-        upstreams: upstream_sets.KeptUpstreams,
+        context: context_module.KeeperContext,
+        upstreams: upstreams_module.KeptUpstreams,
     ) -> None:
-        dispatching = dispatching_parts.Dispatching(
+        dispatch_handler = dispatch_handler_module.DispatchHandler(
             self._roles, upstreams, self._executed, self._counts
         )
-        recovering = recovering_parts.Recovering(
-            self._view, self._executed, self._inheritance, self._counts
+        recover_handler = recover_handler_module.RecoverHandler(
+            self._view, self._executed, self._former_keepers, self._counts
         )
-        taking = taking_parts.Taking(
+        handover_receiver = handover_receiver_module.HandoverReceiver(
             self._roles,
             upstreams,
             self._executed,
-            self._inheritance,
+            self._former_keepers,
             self._counts,
         )
-        orphans = orphan_parts.OrphanedFeeds(
+        orphans = orphans_module.OrphanedFeeds(
             context, self._view, self._placement, self._network
         )
-        feeding = feeding_parts.FeedServer(
+        feeding = feeding_module.FeedServer(
             context, self._view, self._roles, upstreams, orphans
         )
-        self._network.handle(work.Dispatch, dispatching.handle)
-        self._network.handle(work.Recover, recovering.handle)
+        self._network.handle(work.Dispatch, dispatch_handler.handle)
+        self._network.handle(work.Recover, recover_handler.handle)
         self._network.handle(work.LoadQuery, self._report_loads)
-        self._network.handle(handover.KeeperHandover, taking.handle)
+        self._network.handle(handover.KeeperHandover, handover_receiver.handle)
         self._network.handle(feeds.FeedOpen, feeding.handle)
         self._network.handle(feeds.FeedLeft, orphans.handle_feed_left)
 
-    def _make_handing(
-        self, upstreams: upstream_sets.KeptUpstreams
-    ) -> handing_parts.Handing:
-        return handing_parts.Handing(
+    def _make_handover_sender(
+        self, upstreams: upstreams_module.KeptUpstreams
+    ) -> handover_sender_module.HandoverSender:
+        return handover_sender_module.HandoverSender(
             self._view,
             self._roles,
             upstreams,
             self._executed,
-            self._inheritance,
+            self._former_keepers,
             self._network,
         )
 
     async def _report_loads(
-        self, caller: networks.Caller, query: work.LoadQuery
+        self, caller: network_module.Caller, query: work.LoadQuery
     ) -> work.LoadReport:
-        return work.LoadReport(tuple(self.loads()))
+        return work.LoadReport(tuple(self.list_loads()))
 
-    async def _sweep(self, upstreams: upstream_sets.KeptUpstreams) -> None:
-        """Does what only time brings about."""
-        forget_at = trio.current_time()
+    async def _sweep(self, upstreams: upstreams_module.KeptUpstreams) -> None:
+        """Periodically fills slots and removes idle and expired entries."""
+        next_expiry_at = trio.current_time()
         while True:
-            await trio.sleep(_TIDY_INTERVAL_S)
-            upstreams.tidy()
-            if trio.current_time() >= forget_at:
-                self._executed.forget_all_expired()
-                self._inheritance.forget_old()
-                forget_at = trio.current_time() + _FORGET_INTERVAL_S
+            await trio.sleep(_SWEEP_INTERVAL_S)
+            upstreams.run_periodic_tasks()
+            if trio.current_time() >= next_expiry_at:
+                self._executed.remove_all_expired()
+                self._former_keepers.remove_expired()
+                next_expiry_at = trio.current_time() + _EXPIRY_INTERVAL_S
 
 
 async def _follow_changes(
     changed: changes.ChangeSignal,
     version: int,
-    upstreams: upstream_sets.KeptUpstreams,
-    handing: handing_parts.Handing,
+    upstreams: upstreams_module.KeptUpstreams,
+    handover_sender: handover_sender_module.HandoverSender,
     nursery: trio.Nursery,
 ) -> None:
     while True:
         version = await changed.wait_beyond(version)
         upstreams.refresh()
-        handing.follow_moved(nursery)
-        await trio.sleep(_BURST_S)
+        handover_sender.start_reports(nursery)
+        await trio.sleep(_REFRESH_INTERVAL_S)
 
 
-def _name_fully(
+def _qualify_upstream(
     key: ids.UpstreamId, load: work.UpstreamLoad
 ) -> work.UpstreamLoad:
     return msgspec.structs.replace(load, upstream=key)
--- a/tests/test_flows/feeds_caller.py
+++ b/tests/test_flows/feeds_caller.py
@@ -1,4 +1,4 @@
-"""A caller that checks the order of what it sees."""
+"""A fake caller that discards notifications that arrive out of order."""
 
 from __future__ import annotations
 
@@ -19,13 +19,21 @@
 
 
 class FakeCaller:
-    """A caller that acknowledges, and notes what it sees in order."""
+    """A caller that records messages and acknowledges confirmable ones.
+
+    Attributes:
+        world: World that the caller belongs to.
+        messages: All messages received.
+        ticks: States accepted as newer than the previous ones, in order.
+        senders: Names of the hosts that sent `messages`.
+        acknowledges: False to send no acknowledgements.
+    """
 
     def __init__(self, world: feeds_world.World) -> None:
         self.world = world
         self.messages: list[codec.Message] = []
         self.ticks: list[int] = []
-        self.sent_by: list[str] = []
+        self.senders: list[str] = []
         self.acknowledges = True
         self._order = order.NotificationOrder()
         self._ids = 0
@@ -35,10 +43,10 @@
         self._ids += 1
         return self._ids
 
-    def take(self, host: feeds_hosts.Host, message: codec.Message) -> None:
-        """Takes a message that a host sends."""
+    def receive(self, host: feeds_hosts.Host, message: codec.Message) -> None:
+        """Processes a message that a host sends."""
         self.messages.append(codec.decode(codec.encode(message)))
-        self.sent_by.append(host.name)
+        self.senders.append(host.name)
         if message.mtype is aiocoap.CON and self.acknowledges:
             host.feeds.acknowledge(feeds_values.FLOW, message.mid)
         if message.opt.observe is None or message.opt.block2 is not None:
@@ -46,8 +54,8 @@
         if self._order.take(message.opt.observe, trio.current_time()):
             self.ticks.append(json.loads(message.payload)["tick"])
 
-    def last(self) -> codec.Message:
-        """Returns the newest message."""
+    def get_last_message(self) -> codec.Message:
+        """Returns the last message received."""
         return self.messages[-1]
 
     def make_get(
--- a/tests/test_flows/feeds_hosts.py
+++ b/tests/test_flows/feeds_hosts.py
@@ -1,4 +1,4 @@
-"""One host with the product's feeds between fakes."""
+"""A fake host with real feeds and fakes of its other components."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from persimmonhinge.contracts import store
 from persimmonhinge.flows import feeds
 from persimmonhinge.flows import port
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.membership import placement
+from persimmonhinge.membership import view
+from persimmonhinge.metrics import counts
 from tests.test_flows import feeds_chooser
 from tests.test_flows import feeds_network
 from tests.test_flows import feeds_values
@@ -18,20 +18,20 @@
 
 
 class Host:
-    """One host with the product's feeds between fakes."""
+    """A host with real feeds and fakes of its other components."""
 
     def __init__(
         self, world: feeds_world.World, name: str, names: tuple[str, ...]
     ) -> None:
         self.world = world
         self.name = name
-        self.view = views.View(feeds_values.make_member(name))
+        self.view = view.View(feeds_values.make_member(name))
         for other in names:
             if other != name:
                 self.view.put(feeds_values.make_member(other))
-        self.placement = placements.Placement(self.view)
+        self.placement = placement.Placement(self.view)
         self.contracts = store.ContractStore()
-        self.counts = host_counts.Counts()
+        self.counts = counts.Counts()
         self.scope = trio.CancelScope()
         self.network = feeds_network.FakeNetwork(self)
         self.chooser = feeds_chooser.FakeChooser(world)
@@ -49,7 +49,7 @@
         world.hosts[name] = self
 
     def is_home(self) -> bool:
-        """Tells whether this host is home of the flow in its view."""
+        """Returns whether this host is home of the flow in its own view."""
         ranked = self.placement.rank_homes(
             feeds_values.FLOW.service, feeds_values.FLOW.caller
         )
@@ -60,13 +60,13 @@
         with self.scope:
             await self.feeds.run(task_status)
 
-    def stop_at_once(self) -> None:
-        """Dies: its streams close, and it sends no more."""
-        self.world.down.add(self.name)
+    def crash(self) -> None:
+        """Crashes the host: its streams close and it sends no more."""
+        self.world.down_hosts.add(self.name)
         self.scope.cancel()
 
     def register(self, message: codec.Message | None = None) -> None:
-        """Takes a request for the feed, a new one by default."""
+        """Registers the feed by a request, a new one by default."""
         entry = self.contracts.get(feeds_values.SERVICE)
         assert entry is not None
         message = message or self.world.caller.make_get()
@@ -76,7 +76,7 @@
 
 
 class FakeAnswers:
-    """Sends what a host answers to the fake caller."""
+    """Sends the answers of a host to the fake caller."""
 
     def __init__(self, host: Host) -> None:
         self._host = host
@@ -86,6 +86,6 @@
         return self._host.world.caller.next_id()
 
     def send(self, flow: port.Flow, message: codec.Message) -> None:
-        """Hands a message to the caller."""
-        if self._host.name not in self._host.world.down:
-            self._host.world.caller.take(self._host, message)
+        """Delivers a message to the caller unless the host has crashed."""
+        if self._host.name not in self._host.world.down_hosts:
+            self._host.world.caller.receive(self._host, message)
--- a/tests/test_flows/home_fakes.py
+++ b/tests/test_flows/home_fakes.py
@@ -132,14 +132,16 @@
     return codec.decode(codec.encode(message))
 
 
-def make_answer(payload: bytes, code: codes.Code = codes.Code.CHANGED) -> bytes:
+def encode_reply(
+    payload: bytes, code: codes.Code = codes.Code.CHANGED
+) -> bytes:
     reply = codec.Message(code=code, payload=payload)
     reply.mtype, reply.mid, reply.token = types.NON, 0, b""
     return codec.encode(reply)
 
 
 def make_answered(payload: bytes) -> work.Dispatched:
-    return work.Dispatched(work.Outcome.ANSWERED, make_answer(payload))
+    return work.Dispatched(work.Outcome.ANSWERED, encode_reply(payload))
 
 
 async def answer_done(message: base.Message) -> base.Message:
@@ -205,7 +207,7 @@
             KEEPERS, entry.contract.upstreams, strict=True
         ):
             member = self._view.get(host)
-            if member is None or not member.takes_roles:
+            if member is None or not member.accepts_roles:
                 continue
             if keeper_refs is not None and member.ref not in keeper_refs:
                 continue
@@ -223,7 +225,7 @@
     ) -> tuple[ids.HostRef, ...]:
         """Returns all keepers."""
         found = [self._view.get(host) for host in KEEPERS]
-        return tuple(m.ref for m in found if m and m.takes_roles)
+        return tuple(m.ref for m in found if m and m.accepts_roles)
 
     def record_start(self, *args: object) -> None:
         """Ignores the call."""
@@ -243,14 +245,14 @@
         self.calls.append("open")
 
     def close(self, flow: port.Flow, message: codec.Message) -> bool:
-        """Records the call."""
+        """Records the call and reports an open feed."""
         self.calls.append("close")
         return True
 
     def read_state(
         self, flow: port.Flow, message: codec.Message
     ) -> codec.Message | None:
-        """Returns a large notification."""
+        """Returns a notification that is larger than one block."""
         return codec.Message(code=codes.Code.CONTENT, payload=b"p" * 3000)
 
     def acknowledge(self, flow: port.Flow, message_id: int) -> bool:
--- a/tests/test_flows/rescue_caller.py
+++ b/tests/test_flows/rescue_caller.py
@@ -1,4 +1,4 @@
-"""A caller that follows RFC 7252 and RFC 7641 to the letter."""
+"""A fake caller that conforms to RFC 7252 and RFC 7641."""
 
 from __future__ import annotations
 
@@ -19,22 +19,25 @@
 
 
 class RescueCaller:
-    """Keeps one feed open and notes the states that it takes for news.
+    """A caller with one feed that records the states it accepts.
+
+    It ignores duplicates and notifications that are older than the newest one
+    by the rules of RFC 7641.
 
     Attributes:
-        flow: Its flow.
-        states: What it took, in order.
-        seen_at: When it took each, trio's time.
-        numbers: Their Observe numbers.
-        acknowledges: False to acknowledge nothing.
-        hosts: Names of the hosts that sent them.
+        flow: Flow of the caller.
+        states: Accepted states, in order.
+        seen_at: Time at which each state was accepted, by trio's clock.
+        sequences: Observe numbers of the accepted states.
+        hosts: Names of the hosts that sent the accepted states.
+        acknowledges: False to send no acknowledgements.
     """
 
     def __init__(self, flow: port.Flow) -> None:
         self.flow = flow
         self.states: list[bytes] = []
         self.seen_at: list[float] = []
-        self.numbers: list[int] = []
+        self.sequences: list[int] = []
         self.hosts: list[str] = []
         self.acknowledges = True
         self._order = order.NotificationOrder()
@@ -46,8 +49,8 @@
         self._id += 1
         return self._id
 
-    def take(self, host: rescue_host.RescueHost, data: bytes) -> None:
-        """Takes a datagram of a host."""
+    def receive(self, host: rescue_host.RescueHost, data: bytes) -> None:
+        """Processes a datagram of a host."""
         message = codec.decode(data)
         if message.mtype is aiocoap.CON and self.acknowledges:
             host.feeds.acknowledge(self.flow, message.mid)
@@ -62,7 +65,7 @@
             return
         self.states.append(message.payload[:_STATE_OCTETS].rstrip(b"."))
         self.seen_at.append(now)
-        self.numbers.append(message.opt.observe)
+        self.sequences.append(message.opt.observe)
         self.hosts.append(host.name)
 
     def make_get(self, mtype: Any = aiocoap.NON) -> codec.Message:
--- a/tests/test_flows/rescue_host.py
+++ b/tests/test_flows/rescue_host.py
@@ -1,4 +1,4 @@
-"""One host with the product's feeds and keepers between fakes."""
+"""A fake host with real feeds and keepers on a fake network."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
 from persimmonhinge.coap import transmission
-from persimmonhinge.contracts import contract as contracts
+from persimmonhinge.contracts import contract
 from persimmonhinge.contracts import store
 from persimmonhinge.flows import feeds
 from persimmonhinge.flows import port
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.upstreams import keeper as keepers
+from persimmonhinge.membership import member as member_module
+from persimmonhinge.membership import placement as placement_module
+from persimmonhinge.membership import view
+from persimmonhinge.metrics import counts
+from persimmonhinge.upstreams import keeper as keeper_module
 from tests.test_flows import feeds_values
 from tests.test_flows import rescue_links
 from tests.test_flows import rescue_network
@@ -28,26 +28,26 @@
 
 
 class RescueHost:
-    """One host with the product's feeds and keepers between fakes.
+    """A host that runs the real feeds and keepers on a fake network.
 
     Attributes:
-        wire: What it sends to the caller.
+        wire: Wire from this host to the caller.
     """
 
     def __init__(
-        self, world: rescue_world.RescueWorld, me: members.Member
+        self, world: rescue_world.RescueWorld, me: member_module.Member
     ) -> None:
         self.name = me.host
         self.is_up = True
         self.wire = rescue_links.Wire()
-        self.view = views.View(me)
+        self.view = view.View(me)
         self.contracts = store.ContractStore(trio.current_time)
-        self.counts = host_counts.Counts()
+        self.counts = counts.Counts()
         self.network = rescue_network.WorldNetwork(world, me.host)
         self.nursery: trio.Nursery
         self._world = world
         settings = feeds_values.make_settings(me.host)
-        placement = placements.Placement(self.view)
+        placement = placement_module.Placement(self.view)
         self.placement = placement
         self.feeds = feeds.Feeds(
             settings,
@@ -60,7 +60,7 @@
             self.counts,
             world.random,
         )
-        self.keepers = keepers.Keepers(
+        self.keepers = keeper_module.Keeper(
             settings,
             self.view,
             placement,
@@ -72,7 +72,7 @@
         )
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Runs the parts until the host dies."""
+        """Runs feeds and keepers until the host is killed."""
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
             await nursery.start(self.keepers.run)
@@ -81,7 +81,7 @@
             await trio.sleep_forever()
 
     def register(self, message: codec.Message | None = None) -> None:
-        """Takes a registration of the caller."""
+        """Registers the caller's feed, by a new request by default."""
         entry = self.contracts.get(feeds_values.SERVICE)
         assert entry is not None
         self.feeds.open(
@@ -99,21 +99,21 @@
         """Sends a datagram to the caller."""
         data = codec.encode(message)
         if self.is_up:
-            self.wire.carry(lambda: self._world.caller.take(self, data))
+            self.wire.send(lambda: self._world.caller.receive(self, data))
 
-    def put(self, member: members.Member) -> None:
-        """Takes in what is believed of a host; links to a dead one break."""
+    def update_member(self, member: member_module.Member) -> None:
+        """Updates a host in the view; breaks the links to a dead host."""
         self.view.put(member)
-        if not member.answers and member.host != self.name:
-            self.network.lose(member.host)
+        if not member.is_alive and member.host != self.name:
+            self.network.break_links(member.host)
 
-    def become_new(self) -> members.Member:
-        """Becomes a new incarnation, as a host that was given up does."""
+    def start_new_incarnation(self) -> member_module.Member:
+        """Starts a new incarnation, as a host that was declared dead does."""
         former = self.view.self_member
         present = dataclasses.replace(
             former, incarnation=ids.Incarnation(former.incarnation + 1)
         )
-        self.keepers.note_incarnation(former, present)
+        self.keepers.record_incarnation(former, present)
         self.view.put(present)
         return present
 
@@ -127,14 +127,14 @@
     def choose(
         self,
         entry: store.ContractEntry,
-        kind: contracts.CallKind,
+        kind: contract.CallKind,
         *,
         exclude: frozenset[ids.UpstreamId] = frozenset(),
         keeper_refs: frozenset[ids.HostRef] | None = None,
     ) -> port.Choice | None:
-        """Chooses among the active upstreams whose keeper answers."""
+        """Chooses the first active upstream that has a keeper in the view."""
         for upstream in entry.contract.upstreams:
-            if upstream.state is not contracts.UpstreamState.ACTIVE:
+            if upstream.state is not contract.UpstreamState.ACTIVE:
                 continue
             if upstream.id in exclude:
                 continue
@@ -151,10 +151,10 @@
         return ()
 
     def record_load(self, *args: Any) -> None:
-        """Takes no account of loads."""
+        """Ignores loads."""
 
     def record_start(self, *args: Any) -> None:
-        """Takes no account of loads."""
+        """Ignores loads."""
 
     def record_end(self, *args: Any) -> None:
-        """Takes no account of loads."""
+        """Ignores loads."""
--- a/tests/test_membership/hosts.py
+++ b/tests/test_membership/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts that run membership, on a network in memory or on loopback."""
+"""Hosts that run membership on an in-memory network or on loopback."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 from persimmonhinge import errors
 from persimmonhinge import ids
-from persimmonhinge.membership import member as members
+from persimmonhinge.membership import member as member_module
 from persimmonhinge.membership import service
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
-from persimmonhinge.settings import entry as settings_entry
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
+from persimmonhinge.settings import entry
 from tests.test_membership import lossy_network
 
 DOMAINS = ("dom-a", "dom-b", "dom-c")
@@ -31,19 +31,19 @@
     """One running host.
 
     Attributes:
-        name: Its name.
-        settings: Its settings.
-        view: What it believes.
-        counts: Its counters.
-        membership: The part under test.
-        scope: Cancels it.
-        error: Why it stopped of itself, if it did.
+        name: Name of the host.
+        settings: Settings of the host.
+        view: The host's view of all hosts.
+        counts: Counters of the host.
+        membership: The membership service under test.
+        scope: Cancel scope that stops the host.
+        error: Error that stopped the host; None if there was none.
     """
 
     name: ids.HostId
-    settings: settings_entry.EntrySettings
-    view: views.View
-    counts: host_counts.Counts
+    settings: entry.EntrySettings
+    view: view_module.View
+    counts: counts_module.Counts
     membership: service.Membership
     scope: trio.CancelScope = dataclasses.field(
         default_factory=trio.CancelScope
@@ -51,7 +51,7 @@
     error: errors.PersimmonhingeError | None = None
 
     def states(self) -> dict[str, str]:
-        """Returns what it believes of each host."""
+        """Returns the state of each host in the view, by host name."""
         return {m.host: m.state.value for m in self.view.all()}
 
     async def run(
@@ -73,14 +73,14 @@
     number: int,
     seeds: list[dict[str, Any]],
     **peers: Any,
-) -> settings_entry.EntrySettings:
-    """Returns settings of a host; hosts go round over the domains."""
+) -> entry.EntrySettings:
+    """Returns settings of a host; domains are assigned round-robin."""
     defaults = {
         "address": f"10.0.0.{number + 1}",
         "port": _PORT,
         "heartbeat_port": _PORT,
     }
-    return settings_entry.EntrySettings.model_validate(
+    return entry.EntrySettings.model_validate(
         {
             "host": name,
             "domain": DOMAINS[number % len(DOMAINS)],
@@ -92,7 +92,7 @@
 
 
 def make_seed(number: int, name: str = "", **fields: Any) -> dict[str, Any]:
-    """Returns the seed entry of a host by its number."""
+    """Returns the seed entry of the host with the given number."""
     defaults = {
         "host": name or f"host-{number}",
         "domain": DOMAINS[number % len(DOMAINS)],
@@ -104,13 +104,13 @@
 
 
 def make_host(
-    settings: settings_entry.EntrySettings,
+    settings: entry.EntrySettings,
     incarnation: int,
     randomness: random.Random,
     **options: Any,
 ) -> Host:
-    """Returns a host that does not run yet."""
-    me = members.Member(
+    """Returns a host that is not yet running."""
+    me = member_module.Member(
         host=ids.HostId(settings.host),
         domain=ids.DomainId(settings.domain),
         address=settings.peers.address,
@@ -118,8 +118,8 @@
         heartbeat_port=settings.peers.heartbeat_port,
         incarnation=ids.Incarnation(incarnation),
     )
-    view = views.View(me)
-    counts = host_counts.Counts()
+    view = view_module.View(me)
+    counts = counts_module.Counts()
     membership = service.Membership(
         settings, view, counts, randomness=randomness, **options
     )
@@ -127,12 +127,12 @@
 
 
 class Fleet:
-    """Hosts on a network in memory; all that is random hangs on one seed.
+    """Hosts on an in-memory network; one seed determines all random choices.
 
     Attributes:
         network: The network.
         hosts: Running hosts by number.
-        peers: Settings of heartbeats of hosts that are started.
+        peers: Heartbeat settings of the hosts that are started.
     """
 
     def __init__(
@@ -143,7 +143,7 @@
         self._nursery = nursery
         self._seed = seed
         self.peers = peers
-        self._starts = 0
+        self._start_count = 0
         _seed_scheduler(seed)
 
     async def start(self, count: int) -> None:
@@ -160,22 +160,21 @@
         seeds: list[dict[str, Any]] | None = None,
         platform_hosts: Sequence[dict[str, Any]] = (),
     ) -> Host:
-        """Starts a host; its seeds are hosts 0 and 1 if not told."""
-        self._starts += 1
+        """Starts a host; by default, its seeds are hosts 0 and 1."""
+        self._start_count += 1
         if seeds is None:
             seeds = [make_seed(0), make_seed(1)]
         settings = make_settings(
             name or f"host-{number}", number, seeds, **self.peers
         )
         listed = [
-            settings_entry.SeedHost.model_validate(fields)
-            for fields in platform_hosts
+            entry.SeedHost.model_validate(fields) for fields in platform_hosts
         ]
         port = self.network.open((settings.peers.address, _PORT))
         host = make_host(
             settings,
-            incarnation or 1000 + self._starts,
-            random.Random(self._seed * 1000 + self._starts),
+            incarnation or 1000 + self._start_count,
+            random.Random(self._seed * 1000 + self._start_count),
             datagrams=port,
             platform_hosts=lambda: listed,
         )
@@ -184,53 +183,66 @@
         return host
 
     def kill(self, number: int) -> None:
-        """Ends a host without a word."""
+        """Stops a host abruptly, without a farewell."""
         host = self.hosts.pop(number)
         self.network.close((host.settings.peers.address, _PORT))
         host.scope.cancel()
 
-    def let_all_pause(self, duration_s: float) -> None:
-        """Lets time pass in which no host runs."""
+    def pause_all_hosts(self, duration_s: float) -> None:
+        """Advances the clock without running any host."""
         clock = trio.lowlevel.current_clock()
         assert isinstance(clock, trio.testing.MockClock)
         clock.jump(duration_s)
 
-    def cut(self, is_cut: Callable[[int, int], bool]) -> None:
-        """Cuts datagrams between hosts, told by their numbers."""
+    def partition(self, is_blocked: Callable[[int, int], bool]) -> None:
+        """Drops datagrams between hosts for which the predicate is true.
 
-        def blocks(
+        Args:
+            is_blocked: Returns whether datagrams are dropped, given the numbers
+                of the sending and the receiving host.
+        """
+
+        def is_address_blocked(
             source: lossy_network.Address, target: lossy_network.Address
         ) -> bool:
-            return is_cut(_get_number(source), _get_number(target))
+            return is_blocked(_get_number(source), _get_number(target))
 
-        self.network.blocks = blocks
+        self.network.is_blocked = is_address_blocked
 
     def heal(self) -> None:
-        """Ends all cuts."""
-        self.network.blocks = lambda a, b: False
+        """Ends all partitions."""
+        self.network.is_blocked = lambda a, b: False
 
     def agrees(self, **states: str) -> bool:
-        """Tells whether all running hosts believe the same.
+        """Returns whether the views of all running hosts are as expected.
 
         Args:
-            **states: State by name (`host_1`) where it isn't alive.
+            **states: Expected states other than alive, by host name with an
+                underscore (`host_1`).
         """
-        wanted = {host.name: "alive" for host in self.hosts.values()}
+        expected = {host.name: "alive" for host in self.hosts.values()}
         for name, state in states.items():
-            wanted[ids.HostId(name.replace("_", "-"))] = state
-        return all(host.states() == wanted for host in self.hosts.values())
+            expected[ids.HostId(name.replace("_", "-"))] = state
+        return all(host.states() == expected for host in self.hosts.values())
 
-    def count(self, name: str) -> int:
+    def sum_counter(self, name: str) -> int:
         """Returns the sum of a counter over the running hosts."""
         return sum(host.counts.sum(name) for host in self.hosts.values())
 
-    async def watch(
+    async def watch_views(
         self, duration_s: float
-    ) -> AsyncIterator[tuple[Host, members.Member]]:
-        """Yields each change that a running host sees, for some seconds."""
-        send, receive = trio.open_memory_channel[tuple[Host, members.Member]](
-            math.inf
-        )
+    ) -> AsyncIterator[tuple[Host, member_module.Member]]:
+        """Yields each change in the views of the running hosts.
+
+        Args:
+            duration_s: How long changes are yielded, seconds.
+
+        Yields:
+            The host whose view changed, and the new or changed member.
+        """
+        send, receive = trio.open_memory_channel[
+            tuple[Host, member_module.Member]
+        ](math.inf)
 
         async def follow(host: Host) -> None:
             before = set(host.view.all())
@@ -252,22 +264,22 @@
     async def wait_until(
         self, condition: Callable[[], bool], limit_s: float
     ) -> float:
-        """Waits until a condition holds and returns how long it took.
+        """Waits until a condition holds and returns how long it took, seconds.
 
         Raises:
-            AssertionError: It did not hold within the limit.
+            AssertionError: The condition did not hold within the limit.
         """
         start = trio.current_time()
         while not condition():
             if trio.current_time() - start > limit_s:
-                believed = {n: h.states() for n, h in self.hosts.items()}
-                raise AssertionError(f"still not so: {believed}")
+                states = {n: h.states() for n, h in self.hosts.items()}
+                raise AssertionError(f"condition not met in time: {states}")
             await trio.sleep(0.05)
         return trio.current_time() - start
 
 
 def _seed_scheduler(seed: int) -> None:
-    """Has trio run tasks that are ready together in an order that repeats."""
+    """Makes trio schedule simultaneously ready tasks deterministically."""
     scheduler: Any = trio._core._run
     scheduler._ALLOW_DETERMINISTIC_SCHEDULING = True
     scheduler._r.seed(seed)
--- a/tests/test_membership/test_membership_convergence.py
+++ b/tests/test_membership/test_membership_convergence.py
@@ -1,4 +1,4 @@
-"""Whatever happens to hosts, in the end all of them agree."""
+"""Tests that the views of all hosts converge after arbitrary failures."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     deadline=None, derandomize=True, max_examples=15
 )
 _COUNT = 5
-# The longest wait between tries to reach a host that was cut off, with
-# jitter, and time for what follows.
-_CALM_S = 40.0
+# Time for convergence: the longest retry delay for contacting a partitioned
+# host, with jitter, and the exchange of state that follows.
+_MAX_CONVERGENCE_S = 40.0
 
 number_strategy = strategies.integers(0, _COUNT - 1)
 event_strategy = strategies.one_of(
@@ -30,14 +30,21 @@
 )
 
 
-async def cause(fleet: hosts.Fleet, event: str, number: int) -> None:
-    """Lets one thing happen; for cuts the number is a set of hosts."""
+async def apply_event(fleet: hosts.Fleet, event: str, number: int) -> None:
+    """Applies one event to the fleet.
+
+    Args:
+        fleet: The hosts.
+        event: Kind of event.
+        number: Number of the host; for partitions ("cut" and "one-way"), a
+            bit set of the hosts on one side; for "wait", tenths of a second.
+    """
     if event == "wait":
         await trio.sleep(number / 10)
     elif event == "cut":
-        fleet.cut(lambda a, b: (number >> a & 1) != (number >> b & 1))
+        fleet.partition(lambda a, b: (number >> a & 1) != (number >> b & 1))
     elif event == "one-way":
-        fleet.cut(lambda a, b: (number >> a & 1) > (number >> b & 1))
+        fleet.partition(lambda a, b: (number >> a & 1) > (number >> b & 1))
     elif event == "heal":
         fleet.heal()
     elif event == "start" and number not in fleet.hosts:
@@ -65,12 +72,12 @@
             fleet = hosts.Fleet(nursery, seed, loss)
             await fleet.start(_COUNT)
             for event, number in events:
-                await cause(fleet, event, number)
+                await apply_event(fleet, event, number)
             fleet.heal()
             for number in range(_COUNT):
-                await cause(fleet, "start", number)
-                await cause(fleet, "rejoin", number)
-            await fleet.wait_until(fleet.agrees, _CALM_S)
+                await apply_event(fleet, "start", number)
+                await apply_event(fleet, "rejoin", number)
+            await fleet.wait_until(fleet.agrees, _MAX_CONVERGENCE_S)
             nursery.cancel_scope.cancel()
 
     run()
--- a/tests/test_membership/test_membership_pauses.py
+++ b/tests/test_membership/test_membership_pauses.py
@@ -1,4 +1,4 @@
-"""Processes that are stopped and run on."""
+"""Tests of processes that are paused and resumed."""
 
 from __future__ import annotations
 
@@ -12,50 +12,50 @@
 
 import trio
 
-from persimmonhinge.membership import pauses as pause_watches
+from persimmonhinge.membership import pauses as pauses_module
 from tests.support import trios
 
-_LIMIT_S = 60
-# State and incarnation by host.
-Believed = dict[str, tuple[str, int]]
+_TIMEOUT_S = 60
+# State and incarnation of each host, by host name.
+HostStates = dict[str, tuple[str, int]]
 
 
 class Process:
-    """A process that runs membership alone."""
+    """A process that runs only membership."""
 
     def __init__(self, process: trio.Process) -> None:
         assert process.stdout is not None
         self._process = process
         self._stdout = process.stdout
-        self._rest = b""
+        self._buffer = b""
         self.port = 0
 
     async def wait_until(
-        self, condition: Callable[[Believed], bool]
-    ) -> Believed:
-        """Reads on until it reports what satisfies a condition."""
-        with trio.fail_after(_LIMIT_S):
+        self, condition: Callable[[HostStates], bool]
+    ) -> HostStates:
+        """Reads reported states until one satisfies the condition."""
+        with trio.fail_after(_TIMEOUT_S):
             while True:
-                self.port, believed = json.loads(await self._read_line())
-                if condition(believed):
-                    return believed
+                self.port, states = json.loads(await self._read_line())
+                if condition(states):
+                    return states
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends a signal to this process alone."""
+        """Sends a signal to this process only."""
         self._process.send_signal(number)
 
     async def _read_line(self) -> bytes:
-        while b"\n" not in self._rest:
+        while b"\n" not in self._buffer:
             data = await self._stdout.receive_some()
             assert data, "the process ended"
-            self._rest += data
-        line, _, self._rest = self._rest.partition(b"\n")
+            self._buffer += data
+        line, _, self._buffer = self._buffer.partition(b"\n")
         return line
 
 
 @contextlib.asynccontextmanager
 async def run_process(name: str, seed_port: int) -> AsyncIterator[Process]:
-    """Runs one process and ends it."""
+    """Runs a process and kills it on exit."""
     module = "tests.test_membership.pausable_host"
     command = [sys.executable, "-m", module, name, str(seed_port)]
     process = await trio.lowlevel.open_process(command, stdout=subprocess.PIPE)
@@ -68,60 +68,75 @@
 
 
 @trios.trio_test
-async def test_a_paused_host_wakes_as_a_new_incarnation() -> None:
-    """A host that was stopped woke up and went on as if nothing happened.
+async def test_resumed_host_starts_new_incarnation() -> None:
+    """Guards against a resumed host continuing in its old incarnation.
 
-    Its peers had declared it dead and given its roles to others. It has to
-    learn of that, come back as another incarnation, and must not take its
-    peers for dead because it could not read their answers meanwhile.
+    While the host was paused, its peers declared it dead and assigned its
+    roles to others. It must learn this and return with a new incarnation. It
+    must not declare its peers dead because it could not read their answers
+    during the pause.
     """
     async with (
         run_process("host-0", 0) as first,
         contextlib.AsyncExitStack() as stack,
     ):
-        await first.wait_until(lambda believed: True)
+        await first.wait_until(lambda reported: True)
         others = [
             await stack.enter_async_context(run_process(name, first.port))
             for name in ("host-1", "host-2")
         ]
         paused = others[1]
-        before = await first.wait_until(lambda b: len(b) == 3)
+        before = await first.wait_until(
+            lambda host_states: len(host_states) == 3
+        )
         for process in others:
-            await process.wait_until(lambda b: len(b) == 3)
+            await process.wait_until(lambda host_states: len(host_states) == 3)
         paused.signal(signal.SIGSTOP)
-        await first.wait_until(lambda b: b["host-2"][0] == "dead")
+        await first.wait_until(
+            lambda host_states: host_states["host-2"][0] == "dead"
+        )
         paused.signal(signal.SIGCONT)
-        after = await first.wait_until(lambda b: b["host-2"][0] == "alive")
+        after = await first.wait_until(
+            lambda host_states: host_states["host-2"][0] == "alive"
+        )
         assert after["host-2"][1] > before["host-2"][1]
-        seen: list[Believed] = []
+        seen: list[HostStates] = []
 
-        def note(believed: Believed) -> bool:
-            seen.append(believed)
-            return believed["host-2"] == after["host-2"]
+        def record_states(reported: HostStates) -> bool:
+            seen.append(reported)
+            return reported["host-2"] == after["host-2"]
 
-        await paused.wait_until(note)
-        states = {state for b in seen for state, _ in b.values()}
+        await paused.wait_until(record_states)
+        states = {
+            state for host_states in seen for state, _ in host_states.values()
+        }
         assert "dead" not in states
 
 
 def test_only_long_gaps_count_as_pauses() -> None:
     times = iter([0.0, 1.0, 2.9, 9.4, 12.4])
-    pauses = pause_watches.PauseWatch(1.0, lambda: next(times))
+    pauses = pauses_module.PauseDetector(1.0, lambda: next(times))
     longest = []
     for _ in range(4):
         pauses.check()
-        longest.append(pauses.longest_s)
+        longest.append(pauses.longest_pause_s)
     assert longest == [0, 0, 6.5, 6.5]
     pauses.clear()
-    assert pauses.longest_s == 0
+    assert pauses.longest_pause_s == 0
 
 
-def test_pause_that_lies_back_is_forgotten() -> None:
-    """A host takes a new incarnation in a cut for a pause of long ago."""
+def test_pause_is_forgotten_after_retention_time() -> None:
+    """Guards against a new incarnation because of a pause long ago.
+
+    A partitioned host that is suspected for another reason must keep its
+    incarnation, so a pause has to be forgotten after the retention time.
+    """
     times = iter([0.0, 5.0, 6.0, 7.0, 8.0])
-    pauses = pause_watches.PauseWatch(1.0, lambda: next(times), memory_s=2.0)
+    pauses = pauses_module.PauseDetector(
+        1.0, lambda: next(times), retention_s=2.0
+    )
     longest = []
     for _ in range(4):
         pauses.check()
-        longest.append(pauses.longest_s)
+        longest.append(pauses.longest_pause_s)
     assert longest == [5.0, 5.0, 5.0, 0]
--- a/tests/test_membership/test_membership_placement.py
+++ b/tests/test_membership/test_membership_placement.py
@@ -1,4 +1,4 @@
-"""Placement: even, the same on every host, and moved by as little as can be."""
+"""Tests that placement is even, consistent and moves as little as possible."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from hypothesis import strategies
 
 from persimmonhinge import ids
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
+from persimmonhinge.membership import member as member_module
+from persimmonhinge.membership import placement as placement_module
+from persimmonhinge.membership import view as view_module
 from tests.test_membership import hosts
 
 _REPEATABLE = hypothesis.settings(
@@ -24,8 +24,8 @@
 )
 
 
-def make_member(number: int) -> members.Member:
-    return members.Member(
+def make_member(number: int) -> member_module.Member:
+    return member_module.Member(
         host=ids.HostId(f"host-{number}"),
         domain=ids.DomainId(hosts.DOMAINS[number % len(hosts.DOMAINS)]),
         address="127.0.0.1",
@@ -35,22 +35,26 @@
     )
 
 
-def make_placement(numbers: Iterable[int]) -> placements.Placement:
+def make_placement(numbers: Iterable[int]) -> placement_module.Placement:
     first, *others = numbers
-    view = views.View(make_member(first))
+    view = view_module.View(make_member(first))
     for number in others:
         view.put(make_member(number))
-    return placements.Placement(view)
+    return placement_module.Placement(view)
 
 
-def place(placement: placements.Placement) -> list[ids.HostId]:
+def place_flows(placement: placement_module.Placement) -> list[ids.HostId]:
     return [placement.rank_homes(_SERVICE, flow)[0].host for flow in _FLOWS]
 
 
 def test_flows_are_spread_evenly_over_uneven_domains() -> None:
-    """Hosts of a small domain had half as many flows again as the others."""
+    """Guards against uneven load of hosts in domains of different size.
+
+    Hosts of a small domain must not get more flows than the others; in the
+    failure, they got half as many flows again.
+    """
     for numbers in (range(6), range(7), range(24), (0, 1, 2, 3, 6)):
-        counts = collections.Counter(place(make_placement(numbers)))
+        counts = collections.Counter(place_flows(make_placement(numbers)))
         mean = len(_FLOWS) / len(numbers)
         assert len(counts) == len(numbers)
         # Four standard deviations of a binomial distribution.
@@ -79,22 +83,22 @@
 @hypothesis.given(numbers_strategy)
 def test_a_join_moves_only_what_the_new_host_gets(numbers: list[int]) -> None:
     *before, joined = numbers
-    former = place(make_placement(before))
-    present = place(make_placement(numbers))
+    former = place_flows(make_placement(before))
+    present = place_flows(make_placement(numbers))
     for old, new in zip(former, present, strict=True):
         assert new in (old, f"host-{joined}")
 
 
 @_REPEATABLE
 @hypothesis.given(numbers_strategy)
-def test_the_second_home_takes_the_place_of_a_dead_one(
+def test_second_home_replaces_dead_home(
     numbers: list[int],
 ) -> None:
-    """A caller sees an older tick after its home died.
+    """Guards against a caller receiving older events after its home died.
 
-    Until the death is known, hosts pass the home over and use the second in
-    rank. That must be who becomes home once it is known, or both are home
-    of the same feed for a while.
+    Until the death is known, hosts skip the home and use the second host in
+    the ranking. If another host became home once the death is known, two
+    hosts would be home of the same feed for a while.
     """
     placement = make_placement(numbers)
     without = {
@@ -109,7 +113,7 @@
         assert home == placement.find_home(_SERVICE, flow)
 
 
-def test_homes_are_ranked_beyond_each_domain() -> None:
+def test_alternative_homes_cover_all_domains() -> None:
     placement = make_placement(range(9))
     for flow in _FLOWS[:100]:
         home, *others = placement.rank_homes(_SERVICE, flow)
@@ -118,7 +122,7 @@
         assert home not in others
 
 
-def test_the_keeper_stands_in_the_domain_of_the_upstream() -> None:
+def test_keeper_is_in_domain_of_upstream() -> None:
     placement = make_placement(range(6))
     for number in range(50):
         upstream = ids.UpstreamId(f"floor-trading/u-{number}")
--- a/tests/test_membership/test_membership_service.py
+++ b/tests/test_membership/test_membership_service.py
@@ -1,4 +1,4 @@
-"""Membership as a whole, on a network in memory with a mock clock."""
+"""Tests of the membership service on an in-memory network with a mock clock."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 from persimmonhinge import ids
 from persimmonhinge.membership import identity
-from persimmonhinge.membership import member as members
+from persimmonhinge.membership import member as member_module
 from tests.support import trios
 from tests.test_membership import hosts
 
-# What the default settings promise, seconds: all hosts know of a join, of a
-# death and of the end of a cut after at most so long.
-_JOIN_S = 3.0
-_DEATH_S = 4.0
-_HEAL_S = 20.0
+# Times, seconds, within which the views of all hosts must show a join, a death
+# and the end of a partition with the default settings.
+_MAX_JOIN_S = 3.0
+_MAX_DEATH_DETECTION_S = 4.0
+_MAX_HEAL_S = 20.0
 
 
 @contextlib.asynccontextmanager
 async def run_fleet(
     count: int, seed: int, loss: float = 0.0, **peers: Any
 ) -> AsyncIterator[hosts.Fleet]:
-    """Runs hosts that have found each other."""
+    """Runs hosts and waits until each has discovered all others."""
     async with trio.open_nursery() as nursery:
         fleet = hosts.Fleet(nursery, seed, loss, **peers)
         await fleet.start(count)
-        await fleet.wait_until(fleet.agrees, _JOIN_S + 20 * loss)
+        await fleet.wait_until(fleet.agrees, _MAX_JOIN_S + 20 * loss)
         yield fleet
         nursery.cancel_scope.cancel()
 
@@ -39,90 +39,102 @@
 @trios.clock_test
 async def test_hosts_find_each_other_by_seeds() -> None:
     async with run_fleet(count=16, seed=1) as fleet:
-        assert fleet.count("membership_suspicions_total") == 0
+        assert fleet.sum_counter("membership_suspicions_total") == 0
 
 
 @trios.clock_test
-async def test_a_death_is_seen_in_time() -> None:
+async def test_death_is_detected_in_time() -> None:
     for count in (6, 20):
         async with run_fleet(count=count, seed=count) as fleet:
             fleet.kill(3)
             await fleet.wait_until(
-                lambda: fleet.agrees(host_3="dead"), _DEATH_S
+                lambda: fleet.agrees(host_3="dead"), _MAX_DEATH_DETECTION_S
             )
 
 
 @trios.clock_test
 async def test_no_false_death_under_loss() -> None:
-    """Under 10% loss a healthy host was dropped and its flows moved.
+    """Guards against declaring a healthy host dead under 10% packet loss.
 
-    The ping and all that was asked through others got lost, the suspicion
-    spread, and the refutation did not reach one host before its time ran
-    out. That host must try the member itself before it gives it up. (Three
-    times the loss is there to have suspicions at all.)
+    The failure moved the flows of the host. The ping and the indirect pings
+    were lost, the suspicion spread, and the refutation did not reach one host
+    before its suspicion timeout. That host must probe the member itself
+    before it declares the member dead. The run with three times the loss
+    makes sure that suspicions occur at all.
     """
     for loss in (0.1, 0.3):
         async with run_fleet(count=6, seed=1, loss=loss) as fleet:
             await trio.sleep(100)
-            assert fleet.count("membership_deaths_total") == 0
-            await fleet.wait_until(fleet.agrees, _JOIN_S)
-    assert fleet.count("membership_suspicions_total") > 0
+            assert fleet.sum_counter("membership_deaths_total") == 0
+            await fleet.wait_until(fleet.agrees, _MAX_JOIN_S)
+    assert fleet.sum_counter("membership_suspicions_total") > 0
 
 
 @trios.clock_test
-async def test_no_false_death_under_a_one_way_cut_of_two_hosts() -> None:
-    """A host stopped relaying to one that it could not reach directly.
+async def test_no_false_death_under_one_way_partition_of_two_hosts() -> None:
+    """Guards against declaring a host dead that one host cannot reach.
 
-    Datagrams from host 0 to host 1 are lost, those back arrive. Both are
-    well and others reach them, so neither may be given up by anyone.
+    In the failure, a host stopped relaying to one that it could not reach
+    directly. Datagrams from host 0 to host 1 are lost, but those in the other
+    direction arrive. Both hosts are healthy and reachable through others, so
+    no host may declare either of them dead.
     """
     async with run_fleet(count=6, seed=4, loss=0.05) as fleet:
-        fleet.cut(lambda source, target: (source, target) == (0, 1))
+        fleet.partition(lambda source, target: (source, target) == (0, 1))
         await trio.sleep(40)
-        assert fleet.count("membership_deaths_total") == 0
+        assert fleet.sum_counter("membership_deaths_total") == 0
 
 
 @trios.clock_test
-async def test_no_false_death_under_a_one_way_cut_of_two_domains() -> None:
-    """All hosts of a domain were given up by those of another.
+async def test_no_false_death_under_one_way_partition_of_two_domains() -> None:
+    """Guards against one domain declaring all hosts of another domain dead.
 
-    Nothing from domain a arrives in domain b, all else does. Only the third
-    domain can pass answers on, so it has to be among those asked for help.
+    Datagrams from domain a to domain b are lost; all others arrive. Only the
+    third domain can relay answers, so helpers must include a host of it.
     """
     async with run_fleet(count=9, seed=5) as fleet:
-        fleet.cut(lambda source, target: source % 3 == 0 and target % 3 == 1)
+        fleet.partition(
+            lambda source, target: source % 3 == 0 and target % 3 == 1
+        )
         await trio.sleep(40)
-        assert fleet.count("membership_deaths_total") == 0
+        assert fleet.sum_counter("membership_deaths_total") == 0
 
 
 @trios.clock_test
-async def test_a_deaf_host_convinces_nobody() -> None:
-    """One host with a broken receiver made all others drop each other.
+async def test_host_that_receives_nothing_does_not_split_fleet() -> None:
+    """Guards against one host with a broken receiver splitting the fleet.
 
-    Host 0 hears nothing, so it declares host after host dead and says so to
-    all. The others reach each other and must not believe it.
+    Host 0 receives nothing, so it declares one host after another dead and
+    gossips this to all. In the failure, the other hosts then removed each
+    other. They can reach each other and must not accept the claims.
     """
     async with run_fleet(count=6, seed=6) as fleet:
-        fleet.cut(lambda source, target: target == 0)
+        fleet.partition(lambda source, target: target == 0)
         changes = [
             (host.name, member.host, member.state)
-            async for host, member in fleet.watch(duration_s=30)
+            async for host, member in fleet.watch_views(duration_s=30)
             if host.name != "host-0" and member.host != "host-0"
         ]
-        assert members.MemberState.DEAD not in {state for *_, state in changes}
+        assert member_module.MemberState.DEAD not in {
+            state for *_, state in changes
+        }
         assert fleet.hosts[1].states()["host-0"] == "dead"
 
 
 @trios.clock_test
-async def test_cut_domains_heal_without_flapping() -> None:
-    """After a cut hosts came back, were lost again and came back again.
-
-    Domain a is cut off for a while. Each side gives the other up, then
-    claims of both sides meet. A host that is alive on one side must never
-    be given up there, and each comes back exactly once on the other.
+async def test_partition_of_domains_heals_without_flapping() -> None:
+    """Guards against flapping after a partition ends.
+
+    Domain a is partitioned for a while. Each side declares the other dead,
+    and after the partition both sides receive each other's claims. In the
+    failure, hosts returned, were declared dead again and returned again. A
+    host that is alive on one side must never be declared dead there, and each
+    host must return exactly once on the other side.
     """
     async with run_fleet(count=9, seed=7) as fleet:
-        fleet.cut(lambda source, target: (source % 3 == 0) != (target % 3 == 0))
+        fleet.partition(
+            lambda source, target: (source % 3 == 0) != (target % 3 == 0)
+        )
         await trio.sleep(40)
         assert fleet.hosts[0].states()["host-1"] == "dead"
         assert fleet.hosts[0].states()["host-3"] == "alive"
@@ -130,51 +142,52 @@
         fleet.heal()
         deaths = [
             member
-            async for _, member in fleet.watch(duration_s=_HEAL_S)
-            if member.state is members.MemberState.DEAD
+            async for _, member in fleet.watch_views(duration_s=_MAX_HEAL_S)
+            if member.state is member_module.MemberState.DEAD
         ]
         assert not deaths
         assert fleet.agrees()
-        assert fleet.count("membership_deaths_total") == 2 * 3 * 6
+        assert fleet.sum_counter("membership_deaths_total") == 2 * 3 * 6
         assert {m.incarnation for m in fleet.hosts[0].view.all()} == {
             host.view.self_member.incarnation for host in fleet.hosts.values()
         }
 
 
 @trios.clock_test
-async def test_a_cut_heals_when_the_seeds_are_gone() -> None:
-    """Two halves never found each other again.
+async def test_partition_heals_without_seeds() -> None:
+    """Guards against a partition that lasts forever because no seed is left.
 
-    The hosts that the settings name as seeds were replaced long ago, so only
-    who is believed to be dead tells where the other half may be.
+    The hosts that the settings name as seeds no longer exist, so only the
+    addresses of dead members lead to the other half.
     """
     async with run_fleet(count=6, seed=21) as fleet:
         fleet.kill(0)
         fleet.kill(1)
-        fleet.cut(lambda source, target: (source < 4) != (target < 4))
+        fleet.partition(lambda source, target: (source < 4) != (target < 4))
         await trio.sleep(20)
         assert fleet.hosts[2].states()["host-4"] == "dead"
         fleet.heal()
         await fleet.wait_until(
-            lambda: fleet.agrees(host_0="dead", host_1="dead"), _HEAL_S
+            lambda: fleet.agrees(host_0="dead", host_1="dead"), _MAX_HEAL_S
         )
 
 
 @trios.clock_test
 async def test_a_restart_is_a_new_incarnation() -> None:
-    """Tickets of a former process were taken for those of the new one.
+    """Guards against attributing tickets of a former process to the new one.
 
-    A host is killed and starts under the same name and address before
-    anyone noticed; all must see that it is another process.
+    A host is killed and restarts with the same name and address before any
+    host detects the death. All hosts must see that it is another process.
     """
     async with run_fleet(count=4, seed=8) as fleet:
         former = fleet.hosts[2].view.self_member
         fleet.kill(2)
         await fleet.start_host(2)
         await fleet.wait_until(
-            lambda: fleet.hosts[0].view.find_ref(former.ref) is None, _JOIN_S
+            lambda: fleet.hosts[0].view.find_by_ref(former.ref) is None,
+            _MAX_JOIN_S,
         )
-        await fleet.wait_until(fleet.agrees, _JOIN_S)
+        await fleet.wait_until(fleet.agrees, _MAX_JOIN_S)
         assert fleet.hosts[0].view.get(former.host) == (
             fleet.hosts[2].view.self_member
         )
@@ -182,10 +195,12 @@
 
 @trios.clock_test
 async def test_a_restart_with_a_clock_that_went_back() -> None:
-    """A restarted host stayed unknown until its clock had caught up.
+    """Guards against a restarted host being ignored because of its clock.
 
-    Its incarnation is below that of its former process, so peers take its
-    heartbeats for old ones; it has to learn of it and go above.
+    The clock went back, so the incarnation of the host is lower than that of
+    its former process, and peers treat its records as outdated. The host must
+    learn of the former incarnation and start a higher one. Otherwise it stays
+    unknown until its clock catches up.
     """
     async with run_fleet(count=4, seed=9) as fleet:
         former = fleet.hosts[2].view.self_member
@@ -195,34 +210,35 @@
             lambda: (
                 fleet.hosts[2].view.self_member.incarnation > former.incarnation
             ),
-            _JOIN_S,
+            _MAX_JOIN_S,
         )
-        await fleet.wait_until(fleet.agrees, _JOIN_S)
+        await fleet.wait_until(fleet.agrees, _MAX_JOIN_S)
 
 
 @trios.clock_test
-async def test_a_replaced_host_gives_way() -> None:
-    """Two hosts of one name outbid each other and each role moved for ever.
+async def test_replaced_host_stops() -> None:
+    """Guards against two hosts with one name competing for roles forever.
 
-    Host 2 is cut off, and a new host gets its name at another address. When
-    the cut ends the old one has to stop, not the new one.
+    Host 2 is partitioned, and a new host with its name starts at another
+    address. After the partition, the old host has to stop, not the new one.
+    If both kept raising their incarnations, each role would keep moving.
     """
     async with run_fleet(count=4, seed=10) as fleet:
         await trio.sleep(30)
         old = fleet.hosts.pop(2)
-        fleet.cut(lambda source, target: 2 in (source, target))
+        fleet.partition(lambda source, target: 2 in (source, target))
         await trio.sleep(10)
         new = await fleet.start_host(7, name="host-2")
-        await fleet.wait_until(fleet.agrees, _JOIN_S)
+        await fleet.wait_until(fleet.agrees, _MAX_JOIN_S)
         fleet.heal()
-        await fleet.wait_until(lambda: old.error is not None, _HEAL_S)
+        await fleet.wait_until(lambda: old.error is not None, _MAX_HEAL_S)
         assert isinstance(old.error, identity.NameTakenError)
         assert fleet.agrees()
         assert new.error is None
 
 
 @trios.clock_test
-async def test_a_planned_stop_is_told_before_it_happens() -> None:
+async def test_planned_stop_is_announced() -> None:
     async with run_fleet(count=6, seed=11) as fleet:
         await fleet.hosts[3].membership.leave()
         assert fleet.agrees(host_3="leaving")
@@ -233,7 +249,7 @@
 
 
 @trios.clock_test
-async def test_a_drained_host_comes_back() -> None:
+async def test_leaving_host_rejoins() -> None:
     async with run_fleet(count=6, seed=12) as fleet:
         await fleet.hosts[3].membership.leave()
         await fleet.hosts[3].membership.rejoin()
@@ -241,87 +257,93 @@
 
 
 @trios.clock_test
-async def test_a_host_that_leaves_and_dies_takes_no_role_again() -> None:
-    """A host that had handed its roles over was given new ones.
+async def test_leaving_host_that_dies_accepts_no_roles() -> None:
+    """Guards against assigning roles to a host that has handed them over.
 
-    It dies while it leaves; were it shown as suspect meanwhile, it would
-    count among the hosts that may be home or keeper.
+    The host dies while it leaves. If the view showed it as SUSPECT until its
+    death is confirmed, it would again be a candidate for home or keeper.
     """
     async with run_fleet(count=6, seed=13) as fleet:
         await fleet.hosts[3].membership.leave()
         fleet.kill(3)
-        async for _, member in fleet.watch(duration_s=10):
-            assert member.host != "host-3" or not member.takes_roles
+        async for _, member in fleet.watch_views(duration_s=10):
+            assert member.host != "host-3" or not member.accepts_roles
         assert fleet.agrees(host_3="dead")
 
 
 @trios.clock_test
-async def test_old_gossip_does_not_revive_the_dead() -> None:
-    """A dead host got flows again because a late datagram named it.
+async def test_replayed_datagrams_do_not_revive_dead_host() -> None:
+    """Guards against a late datagram making a dead host appear alive.
 
-    What a peer said while the host lived arrives again after the others
-    have buried it, and once more after they have forgotten it.
+    In the failure, the dead host got flows again. Datagrams that were sent
+    while the host was alive are delivered again after the other hosts have
+    declared it dead. The host must stay dead and then be forgotten.
     """
     async with run_fleet(count=5, seed=14, forget_s=60) as fleet:
-        recorded = fleet.network.record()
+        recorded = fleet.network.start_recording()
         await trio.sleep(3)
         recorded.stop()
         fleet.kill(4)
-        await fleet.wait_until(lambda: fleet.agrees(host_4="dead"), _DEATH_S)
+        await fleet.wait_until(
+            lambda: fleet.agrees(host_4="dead"), _MAX_DEATH_DETECTION_S
+        )
         await trio.sleep(30)
         recorded.replay()
         await trio.sleep(1)
         assert fleet.agrees(host_4="dead")
-        await fleet.wait_until(fleet.agrees, 60 + _JOIN_S)
+        await fleet.wait_until(fleet.agrees, 60 + _MAX_JOIN_S)
         assert ids.HostId("host-4") not in fleet.hosts[0].states()
 
 
 @trios.clock_test
-async def test_a_gap_in_running_is_no_evidence() -> None:
-    """Each host gave all others up after the whole machine had stood still.
+async def test_pause_of_all_hosts_raises_no_suspicions() -> None:
+    """Guards against suspicions after a pause of the whole machine.
 
-    All processes do not run for ten seconds, as on a machine that is
-    suspended or overloaded. Then all timers have run out, and answers that
-    nobody could read look like answers that never came.
+    No process runs for ten seconds, as on a suspended or overloaded machine.
+    Afterwards, all timers have expired, and unread answers look like missing
+    answers. In the failure, each host declared all others dead.
     """
     async with run_fleet(count=6, seed=19) as fleet:
         for _ in range(20):
-            fleet.let_all_pause(duration_s=10)
+            fleet.pause_all_hosts(duration_s=10)
             await trio.sleep(0.001)
-            fleet.let_all_pause(duration_s=10)
+            fleet.pause_all_hosts(duration_s=10)
             await trio.sleep(0.7)
-        assert fleet.count("membership_suspicions_total") == 0
+        assert fleet.sum_counter("membership_suspicions_total") == 0
 
 
 @trios.clock_test
-async def test_a_host_that_was_away_for_long_starts_anew() -> None:
-    """A host that woke after an hour brought a forgotten host back to life.
+async def test_host_paused_too_long_starts_new_incarnation() -> None:
+    """Guards against a long-paused host reporting a forgotten host as alive.
 
-    It still believed it to live, and nobody else remembered its death.
+    In the failure, a host resumed after an hour. Its view still contained the
+    dead host as alive, and no other host remembered the death.
     """
     async with run_fleet(count=4, seed=20, forget_s=60) as fleet:
         former = {n: h.view.self_member for n, h in fleet.hosts.items()}
         fleet.kill(3)
-        fleet.let_all_pause(duration_s=40)
+        fleet.pause_all_hosts(duration_s=40)
         await trio.sleep(1)
         assert "host-3" not in fleet.hosts[0].states()
-        await fleet.wait_until(fleet.agrees, _JOIN_S)
+        await fleet.wait_until(fleet.agrees, _MAX_JOIN_S)
         for number, host in fleet.hosts.items():
             present = host.view.self_member
             assert present.incarnation > former[number].incarnation
 
 
 @trios.clock_test
-async def test_the_platform_list_is_only_a_hint() -> None:
-    """A lagging list kept a dead host alive, and a missing entry killed one.
+async def test_platform_list_is_not_authoritative() -> None:
+    """Guards against treating the platform's host list as authoritative.
 
-    The list names a host that never was and lacks one that lives; without
-    seeds it is still enough to find the others.
+    In the failure, an outdated entry kept a dead host alive, and a missing
+    entry caused a live host to be declared dead. The list here names a host
+    that never existed and lacks live hosts. Without seeds, the list must
+    still suffice to discover the others.
     """
     listed = [hosts.make_seed(0), hosts.make_seed(9, "ghost")]
     async with run_fleet(count=4, seed=15) as fleet:
         host = await fleet.start_host(5, seeds=[], platform_hosts=listed)
-        await fleet.wait_until(fleet.agrees, _JOIN_S)
+        await fleet.wait_until(fleet.agrees, _MAX_JOIN_S)
         await trio.sleep(30)
         assert fleet.agrees()
         assert "ghost" not in host.states()
@@ -329,10 +351,10 @@
 
 @trios.clock_test
 async def test_a_host_with_another_secret_is_no_member() -> None:
-    """A host of another deployment was given flows.
+    """Guards against assigning flows to a host of another deployment.
 
-    Its settings name seeds of this deployment by mistake; both sides have
-    heartbeats with a secret, but not the same one.
+    The settings of that host name seeds of this deployment by mistake. Both
+    deployments authenticate heartbeats, but with different secrets.
     """
     with tempfile.TemporaryDirectory() as folder:
         paths = [pathlib.Path(folder, name) for name in ("ours", "theirs")]
@@ -341,9 +363,9 @@
         ours, theirs = (str(path) for path in paths)
         async with run_fleet(4, seed=22, heartbeat_secret_file=ours) as fleet:
             fleet.peers["heartbeat_secret_file"] = theirs
-            stranger = await fleet.start_host(5)
+            other_host = await fleet.start_host(5)
             await trio.sleep(10)
-            assert len(stranger.states()) == 1
+            assert len(other_host.states()) == 1
             del fleet.hosts[5]
             assert fleet.agrees()
             name = "heartbeat_datagrams_refused_total"
@@ -353,24 +375,26 @@
 
 @trios.clock_test
 async def test_two_changes_at_once_under_loss() -> None:
-    """A host dies while another restarts and a third one joins, with loss."""
+    """Checks a death, a restart and a join at the same time under loss."""
     async with run_fleet(count=6, seed=16, loss=0.1) as fleet:
         fleet.kill(1)
         fleet.kill(2)
         await fleet.start_host(2)
         await fleet.start_host(6)
         await fleet.wait_until(
-            lambda: fleet.agrees(host_1="dead"), _DEATH_S + _JOIN_S
+            lambda: fleet.agrees(host_1="dead"),
+            _MAX_DEATH_DETECTION_S + _MAX_JOIN_S,
         )
 
 
 @trios.clock_test
-async def test_a_check_speeds_up_the_discovery() -> None:
+async def test_probe_host_speeds_up_death_detection() -> None:
     async with run_fleet(count=6, seed=17) as fleet:
         fleet.kill(3)
-        fleet.hosts[0].membership.check(ids.HostId("host-3"))
+        fleet.hosts[0].membership.probe_host(ids.HostId("host-3"))
         took_s = await fleet.wait_until(
-            lambda: fleet.hosts[0].states()["host-3"] == "dead", _DEATH_S
+            lambda: fleet.hosts[0].states()["host-3"] == "dead",
+            _MAX_DEATH_DETECTION_S,
         )
         peers = fleet.hosts[0].settings.peers
         limit_s = peers.heartbeat_interval_s + peers.suspicion_s
--- a/tests/test_upstreams/scene.py
+++ b/tests/test_upstreams/scene.py
@@ -1,4 +1,4 @@
-"""A keeper with a contract, and requests to ask it with."""
+"""Runs a keeper for tests and makes contracts and messages for it."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 
 from persimmonhinge import ids
 from persimmonhinge.coap import codec
-from persimmonhinge.coap import transmission as transmissions
-from persimmonhinge.contracts import contract as contracts
-from persimmonhinge.contracts import store as stores
-from persimmonhinge.membership import member as members
-from persimmonhinge.membership import placement as placements
-from persimmonhinge.membership import view as views
-from persimmonhinge.metrics import counts as host_counts
+from persimmonhinge.coap import transmission
+from persimmonhinge.contracts import contract as contract_module
+from persimmonhinge.contracts import store as store_module
+from persimmonhinge.membership import member
+from persimmonhinge.membership import placement
+from persimmonhinge.membership import view as view_module
+from persimmonhinge.metrics import counts as counts_module
 from persimmonhinge.peers.messages import control
 from persimmonhinge.peers.messages import feeds
 from persimmonhinge.peers.messages import work
-from persimmonhinge.settings import entry as settings_entry
-from persimmonhinge.upstreams import job as jobs
-from persimmonhinge.upstreams import keeper as keepers
+from persimmonhinge.settings import entry
+from persimmonhinge.upstreams import job
+from persimmonhinge.upstreams import keeper as keeper_module
 from tests.standins import upstream
 from tests.standins import upstream_settings
 from tests.test_upstreams import fake_network
 
 SERVICE = ids.ServiceName("floor-trading")
 HOME = ids.HostRef(77)
-FAST = transmissions.Transmission(ack_timeout_s=0.2)
+FAST_TIMERS = transmission.Transmission(ack_timeout_s=0.2)
 
 
 def make_member(
     host: str,
     domain: str = "east",
-    state: members.MemberState = members.MemberState.ALIVE,
-) -> members.Member:
-    """Returns a member, a live one unless told otherwise."""
-    return members.Member(
+    state: member.MemberState = member.MemberState.ALIVE,
+) -> member.Member:
+    """Returns a member of the group of hosts, alive by default."""
+    return member.Member(
         ids.HostId(host),
         ids.DomainId(domain),
         "127.0.0.1",
@@ -56,8 +56,15 @@
 
 def make_contract(
     ports: dict[str, int], service: str = SERVICE, **changes: Any
-) -> contracts.Contract:
-    """Returns a contract over upstreams at ports of this machine."""
+) -> contract_module.Contract:
+    """Returns a contract for upstreams on the loopback address.
+
+    Args:
+        ports: UDP port of each upstream, by upstream id.
+        service: Name of the service.
+        **changes: Fields of the contract to set or override; `limits` and
+            `upstream` are merged into the default limits and upstreams.
+    """
     limits = changes.pop("limits", {})
     upstream_changes = changes.pop("upstream", {})
     document = {
@@ -93,23 +100,27 @@
         "limits": {"upstream_timeout_s": 2.0, **limits},
         **changes,
     }
-    return contracts.Contract.model_validate(document)
+    return contract_module.Contract.model_validate(document)
 
 
 def make_job(
-    contract: contracts.Contract, name: str, number: int, deadline_s: float
-) -> jobs.Job:
-    """Returns a job of a class of calls.
+    contract: contract_module.Contract,
+    name: str,
+    number: int,
+    deadline_s: float,
+) -> job.Job:
+    """Returns a job of a call class.
 
     Args:
-        contract: Contract of its service.
-        name: Name of the class.
-        number: Its number, also in the order of jobs.
-        deadline_s: When it is due, seconds from now.
+        contract: Contract of the service.
+        name: Name of the call class.
+        number: Number of the request, also its position in the order of
+            arrival.
+        deadline_s: Time until the deadline, seconds.
     """
     call_class = contract.get_class(ids.CallClassName(name))
     assert call_class is not None
-    return jobs.Job(
+    return job.Job(
         make_dispatch(number=number),
         codec.Message(),
         call_class,
@@ -119,9 +130,9 @@
 
 
 def make_record(
-    contract: contracts.Contract, revision: int
+    contract: contract_module.Contract, revision: int
 ) -> control.ContractRecord:
-    """Returns a contract as hosts pass it on."""
+    """Returns a contract in the form in which hosts send it to each other."""
     return control.ContractRecord(
         ids.ServiceName(contract.service),
         ids.Revision(revision),
@@ -132,7 +143,7 @@
 def make_request(
     path: str, body: bytes = b"", code: aiocoap.Code = aiocoap.POST
 ) -> bytes:
-    """Returns a request as a home sends it on."""
+    """Returns a request in the form in which a home dispatches it."""
     message = codec.Message(code=code, payload=body)
     message.mtype = aiocoap.NON
     message.mid = 0
@@ -143,11 +154,11 @@
 def make_dispatch(
     upstream_id: str = "u1", number: int = 1, **changes: Any
 ) -> work.Dispatch:
-    """Returns a reservation; each number is another one."""
+    """Returns the dispatch of a reservation; each number is a new request."""
     key = f"key-{number}"
     uptime_ms = 1_000 + int(trio.current_time() * 1_000)
     body = json.dumps({"key": key}).encode()
-    members_ = {
+    fields = {
         "service": SERVICE,
         "revision": ids.Revision(1),
         "upstream": ids.UpstreamId(upstream_id),
@@ -163,12 +174,12 @@
         "ticket_expiry_ms": uptime_ms + 120_000,
         **changes,
     }
-    return work.Dispatch(**members_)
+    return work.Dispatch(**fields)
 
 
 def make_recover(dispatch: work.Dispatch, **changes: Any) -> work.Recover:
-    """Returns the question what became of a dispatch."""
-    members_ = {
+    """Returns the recovery query for a dispatched request."""
+    fields = {
         "service": dispatch.service,
         "ticket": dispatch.ticket,
         "token": dispatch.token,
@@ -177,12 +188,12 @@
         "ticket_expiry_ms": dispatch.ticket_expiry_ms,
         **changes,
     }
-    return work.Recover(**members_)
+    return work.Recover(**fields)
 
 
 def make_feed_open(upstream_id: str = "u1", **changes: Any) -> feeds.FeedOpen:
-    """Returns a feed as a home opens it."""
-    members_ = {
+    """Returns the message by which a home opens a feed."""
+    fields = {
         "service": SERVICE,
         "revision": ids.Revision(1),
         "upstream": ids.UpstreamId(upstream_id),
@@ -193,68 +204,87 @@
         "last_sequence": 40,
         **changes,
     }
-    return feeds.FeedOpen(**members_)
+    return feeds.FeedOpen(**fields)
 
 
 @dataclasses.dataclass
 class Scene:
-    """A keeper that runs, and what it is made of."""
+    """A running keeper and the objects that it was created with.
+
+    Attributes:
+        view: The host's view of the members.
+        store: The contracts of the host.
+        network: Fake network that calls the keeper's handlers.
+        counts: Metrics of the host.
+        keeper: The keeper under test.
+        nursery: Runs tasks until the scene is closed.
+    """
 
-    view: views.View
-    store: stores.ContractStore
+    view: view_module.View
+    store: store_module.ContractStore
     network: fake_network.FakeNetwork
-    counts: host_counts.Counts
-    keepers: keepers.Keepers
+    counts: counts_module.Counts
+    keeper: keeper_module.Keeper
     nursery: trio.Nursery
 
-    async def ask(self, message: Any, home: str = "home") -> Any:
-        """Calls the keeper as a home does."""
-        return await self.network.ask(message, home)
+    async def call_keeper(self, message: Any, home: str = "home") -> Any:
+        """Sends a message to the keeper like a home; returns the answer."""
+        return await self.network.call_keeper(message, home)
 
 
 @contextlib.asynccontextmanager
 async def open_scene(
     host: str = "east-1", **options: Any
 ) -> AsyncIterator[Scene]:
-    """Runs a keeper on a host of domain `east`."""
-    view = views.View(make_member(host))
-    store = stores.ContractStore(trio.current_time)
+    """Runs a keeper on a host in the domain `east`.
+
+    Args:
+        host: Name of the host.
+        **options: Further arguments of `Keeper`.
+    """
+    view = view_module.View(make_member(host))
+    store = store_module.ContractStore(trio.current_time)
     network = fake_network.FakeNetwork(ids.HostId(host))
-    counts = host_counts.Counts()
-    options.setdefault("timers", FAST)
+    counts = counts_module.Counts()
+    options.setdefault("timers", FAST_TIMERS)
     async with trio.open_nursery() as nursery:
-        part = keepers.Keepers(
+        keeper_part = keeper_module.Keeper(
             _make_settings(),
             view,
-            placements.Placement(view),
+            placement.Placement(view),
             store,
             network,
             counts,
             **options,
         )
-        await nursery.start(part.run)
-        yield Scene(view, store, network, counts, part, nursery)
+        await nursery.start(keeper_part.run)
+        yield Scene(view, store, network, counts, keeper_part, nursery)
         nursery.cancel_scope.cancel()
 
 
 @dataclasses.dataclass
 class StandIn:
-    """An upstream stand-in in this process."""
+    """An upstream stand-in that runs in this process.
+
+    Attributes:
+        port: Its UDP port.
+        log: File of its log, one JSON document per line.
+    """
 
     port: int
     log: pathlib.Path
 
     def read_log(self, kind: str = "run") -> list[dict[str, Any]]:
-        """Returns the log's lines of one kind."""
+        """Returns the log entries of one kind."""
         lines = self.log.read_text(encoding="utf-8").splitlines()
         found = [json.loads(line) for line in lines]
         return [line for line in found if line["kind"] == kind]
 
 
-async def tell_standin(
+async def send_to_standin(
     port: int, path: str, document: Any = None
 ) -> dict[str, Any]:
-    """Sends a test's request to a stand-in and returns its JSON answer."""
+    """Sends a control request to a stand-in; returns its JSON answer."""
     message = codec.Message(
         code=aiocoap.GET if path.endswith("stats") else aiocoap.POST
     )
@@ -273,7 +303,12 @@
 async def open_standin(
     name: str = "u1", **changes: Any
 ) -> AsyncIterator[StandIn]:
-    """Runs an upstream stand-in."""
+    """Runs an upstream stand-in.
+
+    Args:
+        name: Id of the upstream.
+        **changes: Settings of the stand-in to override.
+    """
     with tempfile.TemporaryDirectory() as folder:
         log = pathlib.Path(folder, f"{name}.jsonl")
         settings = upstream_settings.UpstreamSettings(
@@ -296,8 +331,8 @@
             nursery.cancel_scope.cancel()
 
 
-def _make_settings() -> settings_entry.EntrySettings:
-    return settings_entry.EntrySettings.model_validate(
+def _make_settings() -> entry.EntrySettings:
+    return entry.EntrySettings.model_validate(
         {
             "host": "east-1",
             "domain": "east",
--- a/tests/test_upstreams/test_upstreams_message_layer.py
+++ b/tests/test_upstreams/test_upstreams_message_layer.py
@@ -134,7 +134,7 @@
         )
         here.store.offer(scene.make_record(contract, 1))
         dispatch = scene.make_dispatch(deadline_ms=30_000)
-        result = await here.ask(dispatch)
+        result = await here.call_keeper(dispatch)
         assert upstream.runs <= 1
         if result.outcome is work.Outcome.ANSWERED:
             assert upstream.runs == 1
@@ -179,7 +179,7 @@
             dispatch = scene.make_dispatch(
                 request=request, idempotent=True, call_class=reads
             )
-            result = await here.ask(dispatch)
+            result = await here.call_keeper(dispatch)
         opened = scene.make_feed_open()
         async with here.network.open_call(opened) as caller:
             with trio.fail_after(60):
--- a/tests/test_upstreams/test_upstreams_recovery.py
+++ b/tests/test_upstreams/test_upstreams_recovery.py
@@ -1,4 +1,4 @@
-"""Tests of recovery: what a keeper says of a dead home's requests."""
+"""Tests of recovery queries and of the handover between keepers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from persimmonhinge import errors
 from persimmonhinge import ids
-from persimmonhinge.membership import member as members
+from persimmonhinge.membership import member
 from persimmonhinge.peers.messages import base
 from persimmonhinge.peers.messages import handover
 from persimmonhinge.peers.messages import work
@@ -24,13 +24,13 @@
 def acknowledge(
     socket: fake_upstream.FakeSocket, request: aiocoap.Message
 ) -> None:
-    """Acknowledges a request and leaves it running."""
+    """Acknowledges a request without answering it."""
     fake_upstream.send_empty(socket, aiocoap.ACK, request.mid)
 
 
-def make_scene_contract(here: scene.Scene) -> None:
-    """Gives a keeper its contract."""
-    here.store.offer(
+def offer_contract(env: scene.Scene) -> None:
+    """Adds the contract of the tests to a keeper."""
+    env.store.offer(
         scene.make_record(
             scene.make_contract({"u1": 9}, limits={"upstream_timeout_s": 10}),
             1,
@@ -39,31 +39,34 @@
 
 
 @trios.clock_test
-async def test_recovery_returns_the_kept_answer() -> None:
+async def test_recovery_returns_the_stored_answer() -> None:
     upstream = fake_upstream.FakeUpstream()
-    async with scene.open_scene(open_socket=upstream.open) as here:
-        make_scene_contract(here)
+    async with scene.open_scene(open_socket=upstream.open) as env:
+        offer_contract(env)
         dispatch = scene.make_dispatch()
-        ran = await here.ask(dispatch)
+        original = await env.call_keeper(dispatch)
         for digest in (dispatch.digest, b""):
-            question = scene.make_recover(dispatch, digest=digest)
-            found = await here.ask(question)
-            assert (found.outcome, found.answer) == (ran.outcome, ran.answer)
+            query = scene.make_recover(dispatch, digest=digest)
+            found = await env.call_keeper(query)
+            assert (found.outcome, found.answer) == (
+                original.outcome,
+                original.answer,
+            )
 
 
 @trios.clock_test
-async def test_recovery_waits_for_what_still_runs() -> None:
+async def test_recovery_waits_for_a_running_request() -> None:
     upstream = fake_upstream.FakeUpstream(acknowledge)
-    async with scene.open_scene(open_socket=upstream.open) as here:
-        make_scene_contract(here)
+    async with scene.open_scene(open_socket=upstream.open) as env:
+        offer_contract(env)
         dispatch = scene.make_dispatch()
-        async with here.network.open_call(dispatch) as caller:
+        async with env.network.open_call(dispatch) as caller:
             await trio.sleep(0.1)
-            caller.lost = True
+            caller.link_lost = True
         found: list[work.Dispatched] = []
 
         async def recover() -> None:
-            found.append(await here.ask(scene.make_recover(dispatch)))
+            found.append(await env.call_keeper(scene.make_recover(dispatch)))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(recover)
@@ -75,57 +78,61 @@
 
 @trios.clock_test
 async def test_fenced_request_never_runs() -> None:
-    """A home is paused, its successor asks, and the paused home wakes.
+    """Guards against a run of a request that was reported as not run.
 
-    The successor has told the caller "not run" and the caller has reserved
-    elsewhere. What the woken home then dispatches must not run.
+    A home is paused, and its successor sends a recovery query and reports
+    "not run" to the caller, which reserves elsewhere. The paused home then
+    resumes and dispatches the request.
     """
     for digest in (None, b""):
         upstream = fake_upstream.FakeUpstream()
-        async with scene.open_scene(open_socket=upstream.open) as here:
-            make_scene_contract(here)
+        async with scene.open_scene(open_socket=upstream.open) as env:
+            offer_contract(env)
             dispatch = scene.make_dispatch()
-            question = scene.make_recover(dispatch)
+            query = scene.make_recover(dispatch)
             if digest is not None:
-                question = scene.make_recover(dispatch, digest=digest)
-            assert (await here.ask(question)).outcome is Outcome.NOT_RUN
+                query = scene.make_recover(dispatch, digest=digest)
+            assert (await env.call_keeper(query)).outcome is Outcome.NOT_RUN
             await trio.sleep(1)
-            woken = scene.make_dispatch(
+            resumed = scene.make_dispatch(
                 ticket_expiry_ms=dispatch.ticket_expiry_ms
             )
-            assert (await here.ask(woken)).outcome is Outcome.NOT_RUN
+            assert (await env.call_keeper(resumed)).outcome is Outcome.NOT_RUN
             assert not upstream.received
 
 
 @trios.clock_test
-async def test_recovery_says_unknown_once_the_ticket_has_expired() -> None:
-    """A question comes so late that the keeper has forgotten the request.
+async def test_recovery_returns_unknown_after_the_ticket_has_expired() -> None:
+    """Guards against a wrong "not run" after a row has been removed.
 
-    An empty place in the table then says nothing: "not run" could be wrong.
+    The recovery query arrives after the ticket has expired. The row of the
+    request has been removed, so the keeper can't tell whether it ran.
     """
     upstream = fake_upstream.FakeUpstream()
-    async with scene.open_scene(open_socket=upstream.open) as here:
-        make_scene_contract(here)
+    async with scene.open_scene(open_socket=upstream.open) as env:
+        offer_contract(env)
         dispatch = scene.make_dispatch()
-        await here.ask(dispatch)
+        await env.call_keeper(dispatch)
         await trio.sleep(125)
-        found = await here.ask(scene.make_recover(dispatch))
+        found = await env.call_keeper(scene.make_recover(dispatch))
         assert found.outcome is Outcome.UNKNOWN
-        again = await here.ask(dispatch)
+        again = await env.call_keeper(dispatch)
         assert again.outcome is Outcome.UNKNOWN
         assert len(upstream.requests()) == 1
 
 
 @trios.clock_test
 async def test_copy_of_a_refused_dispatch_does_not_run_later() -> None:
-    """A home hands a reservation in on a link that breaks, and once more.
+    """Guards against a late copy of a dispatch that was refused.
 
-    The second copy is refused and the caller told "not run". Then the first
-    one is read from the broken link, when the upstream has room again.
+    A home dispatches a reservation on a link that fails, and then again on
+    a new link. The second copy is refused and the caller receives "not run".
+    The first copy is read from the failed link when the upstream has free
+    slots again, and must not run.
     """
     upstream = fake_upstream.FakeUpstream(acknowledge)
-    async with scene.open_scene(open_socket=upstream.open) as here:
-        here.store.offer(
+    async with scene.open_scene(open_socket=upstream.open) as env:
+        env.store.offer(
             scene.make_record(
                 scene.make_contract({"u1": 9}, limits={"queue": 0}), 1
             )
@@ -133,122 +140,136 @@
         late = scene.make_dispatch(number=9)
         await trio.sleep(0.1)
         for number in (1, 2):
-            here.nursery.start_soon(
-                here.ask, scene.make_dispatch(number=number)
+            env.nursery.start_soon(
+                env.call_keeper, scene.make_dispatch(number=number)
             )
         await trio.sleep(0.1)
         second = scene.make_dispatch(number=9)
-        assert (await here.ask(second)).outcome is Outcome.NOT_RUN
+        assert (await env.call_keeper(second)).outcome is Outcome.NOT_RUN
         for request in tuple(upstream.received):
             fake_upstream.send_separate(upstream.sockets[0], request)
         upstream.handle_request = fake_upstream.reply
         await trio.sleep(1)
-        assert here.keepers.loads()[0].busy == 0
-        assert (await here.ask(late)).outcome is Outcome.NOT_RUN
+        assert env.keeper.list_loads()[0].busy == 0
+        assert (await env.call_keeper(late)).outcome is Outcome.NOT_RUN
         await trio.sleep(5)
-        assert (await here.ask(late)).outcome is Outcome.NOT_RUN
+        assert (await env.call_keeper(late)).outcome is Outcome.NOT_RUN
         assert len(upstream.requests()) == 2
         retry = scene.make_dispatch(number=9)
-        assert (await here.ask(retry)).outcome is Outcome.ANSWERED
+        assert (await env.call_keeper(retry)).outcome is Outcome.ANSWERED
 
 
 @trios.clock_test
 async def test_other_incarnation_does_not_answer_for_a_keeper() -> None:
-    """A keeper restarts under its name with an empty table.
+    """Guards against a wrong "not run" from a restarted keeper.
 
-    It has no row for what its former incarnation ran, and must not call
-    that not run.
+    A keeper restarts under the same name with an empty table. It has no
+    rows of the requests that its former incarnation ran.
     """
-    async with scene.open_scene() as here:
-        question = scene.make_recover(
-            scene.make_dispatch(), keeper=ids.HostRef(5)
-        )
-        assert (await here.ask(question)).outcome is Outcome.NOT_KEEPER
-        me = here.view.self_member.ref
+    async with scene.open_scene() as env:
+        query = scene.make_recover(scene.make_dispatch(), keeper=ids.HostRef(5))
+        assert (await env.call_keeper(query)).outcome is Outcome.NOT_KEEPER
+        me = env.view.self_member.ref
         own = scene.make_recover(scene.make_dispatch(), keeper=me)
-        assert (await here.ask(own)).outcome is Outcome.NOT_RUN
+        assert (await env.call_keeper(own)).outcome is Outcome.NOT_RUN
 
 
 @trios.clock_test
 async def test_successor_answers_for_a_keeper_that_left() -> None:
-    """A keeper leaves as planned, and soon after a home dies.
+    """Guards against lost or early answers for a keeper that has left.
 
-    The reservations that ran at the former keeper are known only from what
-    it handed over. Before the last part has come nobody can answer.
+    A keeper leaves as planned, and soon afterwards a home fails. Only the
+    rows that the keeper handed over show which reservations ran. Before the
+    last part has arrived, the successor must not answer.
     """
     upstream = fake_upstream.FakeUpstream()
     parts: list[handover.KeeperHandover] = []
     dispatch = scene.make_dispatch()
     async with scene.open_scene(open_socket=upstream.open) as leaver:
-        make_scene_contract(leaver)
-        ran = await leaver.ask(dispatch)
+        offer_contract(leaver)
+        original = await leaver.call_keeper(dispatch)
         former = leaver.view.self_member.ref
         leaver.view.put(scene.make_member("east-2"))
         leaver.view.put(
-            scene.make_member("east-1", state=members.MemberState.LEAVING)
+            scene.make_member("east-1", state=member.MemberState.LEAVING)
         )
         leaver.network.replies[handover.KeeperHandover] = (
             handover.HandoverTaken()
         )
-        await leaver.keepers.leave()
+        await leaver.keeper.leave()
         for host, part in leaver.network.sent:
             assert host == "east-2"
             assert isinstance(part, handover.KeeperHandover)
             parts.append(part)
-    question = scene.make_recover(dispatch, keeper=former)
+    query = scene.make_recover(dispatch, keeper=former)
     async with scene.open_scene("east-2") as successor:
         assert [part.final for part in parts] == [False, True]
-        await successor.ask(parts[0])
-        before = await successor.ask(question)
+        await successor.call_keeper(parts[0])
+        before = await successor.call_keeper(query)
         assert before.outcome is Outcome.NOT_KEEPER
-        await successor.ask(parts[1])
-        found = await successor.ask(question)
-        assert (found.outcome, found.answer) == (ran.outcome, ran.answer)
+        await successor.call_keeper(parts[1])
+        found = await successor.call_keeper(query)
+        assert (found.outcome, found.answer) == (
+            original.outcome,
+            original.answer,
+        )
         other = scene.make_recover(
             dispatch, keeper=former, digest=b"other request"
         )
-        assert (await successor.ask(other)).outcome is Outcome.NOT_RUN
+        assert (await successor.call_keeper(other)).outcome is Outcome.NOT_RUN
 
 
 @trios.clock_test
-async def test_new_incarnation_declares_nothing_not_run_for_the_former() -> (
-    None
-):
-    """A buyer hears "not run" of a lot after "unknown", as its keeper wakes."""
-    async with scene.open_scene() as here:
-        make_scene_contract(here)
-        former = here.view.self_member
+async def test_new_incarnation_never_reports_not_run_for_the_former() -> None:
+    """Guards against "not run" after the caller has received "unknown".
+
+    A buyer received "unknown" while the keeper was paused. The keeper
+    resumes as a new incarnation and is queried about the former one.
+    """
+    async with scene.open_scene() as env:
+        offer_contract(env)
+        former = env.view.self_member
         present = dataclasses.replace(
             former, incarnation=ids.Incarnation(former.incarnation + 1)
         )
-        here.view.put(present)
-        here.keepers.note_incarnation(former, present)
+        env.view.put(present)
+        env.keeper.record_incarnation(former, present)
         dispatch = scene.make_dispatch()
-        question = scene.make_recover(dispatch, keeper=former.ref)
-        assert (await here.ask(question)).outcome is Outcome.UNKNOWN
-        # It is fenced all the same.
-        assert (await here.ask(dispatch)).outcome is Outcome.NOT_RUN
+        query = scene.make_recover(dispatch, keeper=former.ref)
+        assert (await env.call_keeper(query)).outcome is Outcome.UNKNOWN
+        # The request is fenced although the outcome is unknown.
+        assert (await env.call_keeper(dispatch)).outcome is Outcome.NOT_RUN
 
 
 def _break_link_for(seconds: float) -> Callable[[base.Message], base.Message]:
-    """Returns replies of a successor whose link is down for a while."""
-    heals_at = trio.current_time() + seconds
+    """Returns a reply function whose first calls fail.
+
+    Args:
+        seconds: Time during which the calls fail.
+    """
+    restored_at = trio.current_time() + seconds
 
     def reply(part: base.Message) -> base.Message:
-        if trio.current_time() < heals_at:
-            raise errors.PeerUnreachableError("broken", step="call")
+        if trio.current_time() < restored_at:
+            raise errors.PeerUnreachableError("link is down", step="call")
         return handover.HandoverTaken()
 
     return reply
 
 
-async def _leave(leaver: scene.Scene, successor: members.Member) -> list[bool]:
-    """Has a keeper leave; returns which parts its successor got."""
+async def _leave_with_successor(
+    leaver: scene.Scene, successor: member.Member
+) -> list[bool]:
+    """Has a keeper leave with one successor.
+
+    Returns:
+        The `final` flag of each part that the keeper sent.
+    """
     leaver.view.put(successor)
     leaver.view.put(
-        scene.make_member("east-1", state=members.MemberState.LEAVING)
+        scene.make_member("east-1", state=member.MemberState.LEAVING)
     )
-    await leaver.keepers.leave()
+    await leaver.keeper.leave()
     parts = [part for _, part in leaver.network.sent]
     return [
         part.final
@@ -258,45 +279,53 @@
 
 
 @trios.clock_test
-async def test_hand_over_outlasts_a_link_that_breaks_for_a_moment() -> None:
-    """A buyer hears "unknown" of a lot after a planned change of hosts."""
+async def test_handover_survives_a_brief_link_failure() -> None:
+    """Guards against rows lost when a link fails briefly during a handover.
+
+    After a planned change of hosts, a buyer would receive "unknown" for a
+    reservation that ran.
+    """
     upstream = fake_upstream.FakeUpstream()
     async with scene.open_scene(open_socket=upstream.open) as leaver:
-        make_scene_contract(leaver)
-        await leaver.ask(scene.make_dispatch())
+        offer_contract(leaver)
+        await leaver.call_keeper(scene.make_dispatch())
         replies = leaver.network.replies
         replies[handover.KeeperHandover] = _break_link_for(1.0)
-        parts = await _leave(leaver, scene.make_member("east-2"))
-    assert parts[-1]
+        final_flags = await _leave_with_successor(
+            leaver, scene.make_member("east-2")
+        )
+    assert final_flags[-1]
 
 
 @trios.clock_test
-async def test_hand_over_does_not_wait_for_a_dead_successor() -> None:
-    """A planned stop waits for a host that is gone."""
+async def test_handover_does_not_wait_for_a_dead_successor() -> None:
+    """Guards against a planned stop that waits for a failed host."""
     upstream = fake_upstream.FakeUpstream()
     async with scene.open_scene(open_socket=upstream.open) as leaver:
-        make_scene_contract(leaver)
-        await leaver.ask(scene.make_dispatch())
-        leaver.nursery.start_soon(_bury_after, leaver, 0.5)
-        began = trio.current_time()
-        await _leave(leaver, scene.make_member("east-2"))
-        assert trio.current_time() - began < 1
+        offer_contract(leaver)
+        await leaver.call_keeper(scene.make_dispatch())
+        leaver.nursery.start_soon(_mark_dead_after, leaver, 0.5)
+        started_at = trio.current_time()
+        await _leave_with_successor(leaver, scene.make_member("east-2"))
+        assert trio.current_time() - started_at < 1
 
 
-async def _bury_after(leaver: scene.Scene, seconds: float) -> None:
+async def _mark_dead_after(leaver: scene.Scene, seconds: float) -> None:
     await trio.sleep(seconds)
-    leaver.view.put(scene.make_member("east-2", state=members.MemberState.DEAD))
+    leaver.view.put(scene.make_member("east-2", state=member.MemberState.DEAD))
 
 
 @trios.clock_test
 async def test_requests_of_a_former_keeper_count_against_the_slots() -> None:
-    """The role moves while the former keeper's requests still run.
+    """Guards against an overloaded upstream after a change of its keeper.
 
-    If the new one counted from zero, the upstream would have to shed.
+    The role of keeper moves while requests of the former keeper still run.
+    If the new keeper started to count at zero, it would send more requests
+    than the upstream has slots, and the upstream would shed them.
     """
     upstream = fake_upstream.FakeUpstream()
-    async with scene.open_scene(open_socket=upstream.open) as here:
-        make_scene_contract(here)
+    async with scene.open_scene(open_socket=upstream.open) as env:
+        offer_contract(env)
         key = ids.UpstreamId("floor-trading/u1")
 
         def make_part(busy: int) -> handover.KeeperHandover:
@@ -304,34 +333,34 @@
                 ids.HostRef(5), (key,), (), (busy,), False
             )
 
-        await here.ask(make_part(2))
-        here.nursery.start_soon(here.ask, scene.make_dispatch())
+        await env.call_keeper(make_part(2))
+        env.nursery.start_soon(env.call_keeper, scene.make_dispatch())
         await trio.sleep(1)
         assert not upstream.received
-        await here.ask(make_part(1))
+        await env.call_keeper(make_part(1))
         await trio.sleep(0.1)
         assert len(upstream.requests()) == 1
 
 
 @trios.clock_test
-async def test_leaving_keeper_waits_for_what_runs() -> None:
+async def test_leaving_keeper_waits_for_running_requests() -> None:
     upstream = fake_upstream.FakeUpstream(acknowledge)
-    async with scene.open_scene(open_socket=upstream.open) as here:
-        make_scene_contract(here)
+    async with scene.open_scene(open_socket=upstream.open) as env:
+        offer_contract(env)
         results: list[work.Dispatched] = []
 
-        async def ask() -> None:
-            results.append(await here.ask(scene.make_dispatch()))
+        async def dispatch_request() -> None:
+            results.append(await env.call_keeper(scene.make_dispatch()))
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ask)
+            nursery.start_soon(dispatch_request)
             await trio.sleep(0.1)
-            here.view.put(
-                scene.make_member("east-1", state=members.MemberState.LEAVING)
+            env.view.put(
+                scene.make_member("east-1", state=member.MemberState.LEAVING)
             )
-            nursery.start_soon(here.keepers.leave)
+            nursery.start_soon(env.keeper.leave)
             await trio.sleep(2)
-            late = await here.ask(scene.make_dispatch(number=2))
+            late = await env.call_keeper(scene.make_dispatch(number=2))
             assert late.outcome is Outcome.NOT_KEEPER
             fake_upstream.send_separate(
                 upstream.sockets[0], upstream.received[0]
@@ -341,18 +370,25 @@
 
 @trios.clock_test
 async def test_new_incarnation_answers_for_the_former_one() -> None:
-    """A buyer hears "unknown" of a lot because its keeper was paused."""
+    """Guards against lost outcomes after a keeper changes its incarnation.
+
+    A keeper was paused and resumes as a new incarnation of the same process.
+    A buyer would receive "unknown" for a reservation that ran.
+    """
     upstream = fake_upstream.FakeUpstream()
-    async with scene.open_scene(open_socket=upstream.open) as here:
-        make_scene_contract(here)
+    async with scene.open_scene(open_socket=upstream.open) as env:
+        offer_contract(env)
         dispatch = scene.make_dispatch()
-        ran = await here.ask(dispatch)
-        former = here.view.self_member
+        original = await env.call_keeper(dispatch)
+        former = env.view.self_member
         present = dataclasses.replace(
             former, incarnation=ids.Incarnation(former.incarnation + 1)
         )
-        here.view.put(present)
-        here.keepers.note_incarnation(former, present)
-        question = scene.make_recover(dispatch, keeper=former.ref)
-        found = await here.ask(question)
-        assert (found.outcome, found.answer) == (ran.outcome, ran.answer)
+        env.view.put(present)
+        env.keeper.record_incarnation(former, present)
+        query = scene.make_recover(dispatch, keeper=former.ref)
+        found = await env.call_keeper(query)
+        assert (found.outcome, found.answer) == (
+            original.outcome,
+            original.answer,
+        )
