--- a/benchmarks/ablation/variants.py
+++ b/benchmarks/ablation/variants.py
@@ -29,7 +29,7 @@
 @variants.register("reports between hosts")
 def ignore_reports(host: scenes.Scene) -> None:
     """Sees the requests of its own flows alone."""
-    mechanism.replace(host.loads, "add_others", mechanism.do_nothing)
+    mechanism.replace(host.loads, "add_reported", mechanism.do_nothing)
 
 
 @variants.register("average in the score")
@@ -38,7 +38,7 @@
 
     def make(upstream: object, now: float) -> choice.Candidate:
         candidate: choice.Candidate = make_all(upstream, now)
-        return records.replace(candidate, recent=candidate.load)
+        return records.replace(candidate, recent_load=candidate.load)
 
     make_all = mechanism.read(host.chooser, "_make_candidate")
     mechanism.replace(host.chooser, "_make_candidate", make)
@@ -54,8 +54,8 @@
 @variants.register("learned limit")
 def fix_limit(host: scenes.Scene) -> None:
     """Waits for the same time wherever its callers are."""
-    limit = mechanism.read(host.openings, "_limit")
-    mechanism.replace(limit, "add", mechanism.do_nothing)
+    limit = mechanism.read(host.openings, "_answer_timeout")
+    mechanism.replace(limit, "add_answer_time", mechanism.do_nothing)
     assert limit.value_s == answer_timeout.MIN_ANSWER_TIMEOUT_S
 
 
@@ -63,20 +63,20 @@
 def try_once(host: scenes.Scene) -> None:
     """Leaves unanswered openings to their callers."""
     budget = mechanism.read(host.forwarder, "_budget")
-    mechanism.replace(budget, "take_try", mechanism.say_no)
+    mechanism.replace(budget, "spend_retry", mechanism.say_no)
 
 
 @variants.register("budget of tries")
 def try_always(host: scenes.Scene) -> None:
     """Sends each unanswered opening elsewhere."""
     budget = mechanism.read(host.forwarder, "_budget")
-    mechanism.replace(budget, "take_try", mechanism.say_yes)
+    mechanism.replace(budget, "spend_retry", mechanism.say_yes)
 
 
 @variants.register("own pauses")
 def forget_misses(host: scenes.Scene) -> None:
     """Goes on choosing upstreams that left its openings unanswered."""
-    until = mechanism.read(host.suspicions, "_until")
+    until = mechanism.read(host.suspicions, "_paused_until")
     record = host.suspicions.record_miss
 
     def record_only(upstream: ids.UpstreamId, now: float) -> None:
@@ -89,21 +89,23 @@
 @variants.register("others' doubts")
 def ignore_doubts(host: scenes.Scene) -> None:
     """Sees its own unanswered openings alone."""
-    mechanism.replace(host.suspicions, "add_others", mechanism.do_nothing)
+    mechanism.replace(
+        host.suspicions, "add_reported_misses", mechanism.do_nothing
+    )
 
 
 @variants.register("copies sent the same way")
 def choose_for_copies(host: scenes.Scene) -> None:
     """Chooses anew for a copy of an opening that nobody has answered yet."""
-    mechanism.replace(host.openings, "find_waiting", mechanism.do_nothing)
+    mechanism.replace(host.openings, "find_pending", mechanism.do_nothing)
 
 
 @variants.register("resets without an upstream")
 def drop_unservable(host: scenes.Scene) -> None:
     """Drops openings that no upstream can serve."""
-    drop = mechanism.read(host.forwarder, "_drop")
+    drop = mechanism.read(host.forwarder, "_drop_packet")
 
     def refuse(packet: object, now: float) -> None:
         drop(packet, "no-upstream")
 
-    mechanism.replace(host.forwarder, "_refuse_unservable", refuse)
+    mechanism.replace(host.forwarder, "_reject_opening", refuse)
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -291,7 +291,7 @@
     )
     results = {}
     for policy, sight in itertools.product(names, ("own", "all")):
-        with mock.patch.object(candidates, "COMPARED", arguments.drawn):
+        with mock.patch.object(candidates, "SAMPLE_SIZE", arguments.drawn):
             runs = [
                 Play(
                     layout,
--- a/benchmarks/feed_rescue.py
+++ b/benchmarks/feed_rescue.py
@@ -79,8 +79,8 @@
         return feed
 
     with (
-        mock.patch.object(limits, "ACK_EVENTS", 0),
-        mock.patch.object(adoption.Adoption, "_make", renumber),
+        mock.patch.object(limits, "EVENTS_PER_ACK", 0),
+        mock.patch.object(adoption.Adoption, "_make_feed", renumber),
     ):
         yield
 
--- a/persimmonhinge/forwarding/follower.py
+++ b/persimmonhinge/forwarding/follower.py
@@ -11,7 +11,7 @@
 
 from persimmonhinge import errors
 from persimmonhinge.forwarding import entry_replica
-from persimmonhinge.forwarding.peers import follower_role as following_module
+from persimmonhinge.forwarding.peers import follower_role
 from persimmonhinge.store import port
 
 logger = logging.getLogger(__name__)
@@ -57,7 +57,7 @@
         self,
         store: port.PlatformReader,
         entries: entry_replica.EntryReplica,
-        following: following_module.FollowerRole,
+        following: follower_role.FollowerRole,
         min_call_interval_s: float,
     ) -> None:
         """Creates a follower; it reads nothing before `run` is called.
--- a/persimmonhinge/forwarding/gauges.py
+++ b/persimmonhinge/forwarding/gauges.py
@@ -6,11 +6,11 @@
 import time
 
 from persimmonhinge.forwarding import core as core_module
-from persimmonhinge.forwarding.peers import follower_role as following_module
+from persimmonhinge.forwarding.peers import follower_role
 
 
 def register_gauges(
-    core: core_module.ForwardCore, following: following_module.FollowerRole
+    core: core_module.ForwardCore, following: follower_role.FollowerRole
 ) -> None:
     """Registers the gauges of a host with its metrics page.
 
--- a/persimmonhinge/membership/messages.py
+++ b/persimmonhinge/membership/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from persimmonhinge.membership import record as record_module
+from persimmonhinge.membership import record
 from persimmonhinge.peers.messages import base
 
 _SEQUENCE = msgspec.Meta(ge=0, lt=2**32)
@@ -34,7 +34,7 @@
     """
 
     sequence: Annotated[int, _SEQUENCE]
-    subject: record_module.Record | None = None
+    subject: record.Record | None = None
 
 
 @base.message_kind("hb-ping-request")
@@ -47,7 +47,7 @@
     """
 
     sequence: Annotated[int, _SEQUENCE]
-    target: record_module.Record
+    target: record.Record
 
 
 @base.message_kind("hb-digest")
@@ -72,7 +72,7 @@
         equal: True if no bucket differed.
     """
 
-    records: tuple[record_module.Record, ...] = ()
+    records: tuple[record.Record, ...] = ()
     requested_buckets: bytes = b""
     equal: bool = False
 
--- a/persimmonhinge/upstreams/dispatch_handler.py
+++ b/persimmonhinge/upstreams/dispatch_handler.py
@@ -14,7 +14,7 @@
 from persimmonhinge.peers.messages import work
 from persimmonhinge.upstreams import executed_table
 from persimmonhinge.upstreams import job as job_module
-from persimmonhinge.upstreams import kept_upstream as kept_module
+from persimmonhinge.upstreams import kept_upstream
 from persimmonhinge.upstreams import requests
 from persimmonhinge.upstreams import roles as roles_module
 from persimmonhinge.upstreams import target as target_module
@@ -193,7 +193,7 @@
 
 
 def _add_load(
-    outcome: work.Dispatched, kept: kept_module.KeptUpstream
+    outcome: work.Dispatched, kept: kept_upstream.KeptUpstream
 ) -> work.Dispatched:
     return msgspec.structs.replace(outcome, load=kept.read_load())
 
--- a/persimmonhinge/upstreams/handover_sender.py
+++ b/persimmonhinge/upstreams/handover_sender.py
@@ -16,7 +16,7 @@
 from persimmonhinge.upstreams import executed_row
 from persimmonhinge.upstreams import executed_table
 from persimmonhinge.upstreams import former_keepers as former_keepers_module
-from persimmonhinge.upstreams import kept_upstream as kept_module
+from persimmonhinge.upstreams import kept_upstream
 from persimmonhinge.upstreams import roles as roles_module
 from persimmonhinge.upstreams import upstreams as upstreams_module
 
@@ -50,7 +50,7 @@
         self._executed = executed
         self._former_keepers = former_keepers
         self._network = network
-        self._reporting: set[kept_module.KeptUpstream] = set()
+        self._reporting: set[kept_upstream.KeptUpstream] = set()
 
     def start_reports(self, nursery: trio.Nursery) -> None:
         """Starts reports on running requests of upstreams with a new keeper.
@@ -86,7 +86,7 @@
         while any(kept.open_feeds for kept in self._upstreams.list_all()):
             await trio.sleep(_POLL_INTERVAL_S)
 
-    async def _report_running(self, kept: kept_module.KeptUpstream) -> None:
+    async def _report_running(self, kept: kept_upstream.KeptUpstream) -> None:
         """Reports an upstream's running requests to its new keeper.
 
         Sends each change of their number, until no request runs any more.
@@ -109,7 +109,7 @@
             self._reporting.discard(kept)
 
     def _find_successor(
-        self, kept: kept_module.KeptUpstream
+        self, kept: kept_upstream.KeptUpstream
     ) -> ids.HostId | None:
         keeper = self._roles.find_keeper(kept.target)
         if keeper is None or keeper.host == self._view.me:
--- a/persimmonhinge/upstreams/keeper.py
+++ b/persimmonhinge/upstreams/keeper.py
@@ -26,13 +26,13 @@
 from persimmonhinge.upstreams import dispatch_handler as dispatch_handler_module
 from persimmonhinge.upstreams import event_budget
 from persimmonhinge.upstreams import executed_table
-from persimmonhinge.upstreams import feed_server as feeding_module
+from persimmonhinge.upstreams import feed_server
 from persimmonhinge.upstreams import former_keepers
 from persimmonhinge.upstreams import (
     handover_receiver as handover_receiver_module,
 )
 from persimmonhinge.upstreams import handover_sender as handover_sender_module
-from persimmonhinge.upstreams import orphaned_feeds as orphans_module
+from persimmonhinge.upstreams import orphaned_feeds
 from persimmonhinge.upstreams import recover_handler as recover_handler_module
 from persimmonhinge.upstreams import roles
 from persimmonhinge.upstreams import udp
@@ -197,10 +197,10 @@
             self._former_keepers,
             self._counts,
         )
-        orphans = orphans_module.OrphanedFeeds(
+        orphans = orphaned_feeds.OrphanedFeeds(
             context, self._view, self._placement, self._network
         )
-        feeding = feeding_module.FeedServer(
+        feeding = feed_server.FeedServer(
             context, self._view, self._roles, upstreams, orphans
         )
         self._network.handle(work.Dispatch, dispatch_handler.handle)
--- a/persimmonhinge/upstreams/upstreams.py
+++ b/persimmonhinge/upstreams/upstreams.py
@@ -10,7 +10,7 @@
 from persimmonhinge.peers.messages import work
 from persimmonhinge.upstreams import added_upstreams
 from persimmonhinge.upstreams import context as context_module
-from persimmonhinge.upstreams import kept_upstream as kept_module
+from persimmonhinge.upstreams import kept_upstream
 from persimmonhinge.upstreams import roles as roles_module
 from persimmonhinge.upstreams import slow_start as slow_start_module
 from persimmonhinge.upstreams import target as target_module
@@ -32,14 +32,14 @@
     ) -> None:
         self._context = context
         self._roles = roles
-        self._kept: dict[_KeyAndAddress, kept_module.KeptUpstream] = {}
+        self._kept: dict[_KeyAndAddress, kept_upstream.KeptUpstream] = {}
         self._added_upstreams = added_upstreams.AddedUpstreams(
             context.contracts
         )
 
     def get_or_create(
         self, target: target_module.Target
-    ) -> kept_module.KeptUpstream:
+    ) -> kept_upstream.KeptUpstream:
         """Returns the `KeptUpstream` of a target; creates it if missing."""
         key_and_address = (target.key, target.upstream.address)
         kept = self._kept.get(key_and_address)
@@ -48,17 +48,17 @@
                 target.service, target.upstream
             )
             slow_start = slow_start_module.SlowStart(added_at)
-            kept = kept_module.KeptUpstream(self._context, target, slow_start)
+            kept = kept_upstream.KeptUpstream(self._context, target, slow_start)
             self._kept[key_and_address] = kept
         elif kept.target != target:
             kept.update(target)
         return kept
 
-    def list_kept(self) -> list[kept_module.KeptUpstream]:
+    def list_kept(self) -> list[kept_upstream.KeptUpstream]:
         """Returns the upstreams of which this host is currently the keeper."""
         return [k for k in self._kept.values() if self._is_kept(k)]
 
-    def list_all(self) -> list[kept_module.KeptUpstream]:
+    def list_all(self) -> list[kept_upstream.KeptUpstream]:
         """Returns all upstreams, including those that have a new keeper."""
         return list(self._kept.values())
 
@@ -87,12 +87,12 @@
                 )
                 del self._kept[key_and_address]
 
-    def _is_kept(self, kept: kept_module.KeptUpstream) -> bool:
+    def _is_kept(self, kept: kept_upstream.KeptUpstream) -> bool:
         current = self._find_current_target(kept)
         return current is not None and self._roles.is_kept_here(current)
 
     def _find_current_target(
-        self, kept: kept_module.KeptUpstream
+        self, kept: kept_upstream.KeptUpstream
     ) -> target_module.Target | None:
         upstream = kept.target.upstream
         entry = self._context.contracts.get(kept.target.service)
@@ -103,7 +103,7 @@
             return None
         return target_module.Target(entry, found)
 
-    def _release_if_moved(self, kept: kept_module.KeptUpstream) -> None:
+    def _release_if_moved(self, kept: kept_upstream.KeptUpstream) -> None:
         current = self._find_current_target(kept)
         if current is None:
             kept.slots.finish_queued_jobs(work.Dispatched(work.Outcome.STALE))
--- a/tests/test_forwarding/test_forwarding_eligibility.py
+++ b/tests/test_forwarding/test_forwarding_eligibility.py
@@ -58,7 +58,7 @@
 def add_warming_up(scene: scenes.Scene, number: int) -> upstream.Upstream:
     """Adds an upstream that is warming up."""
     warming_up = records.replace(
-        scenes.make_upstream(number), cold_s=_WARM_UP_S
+        scenes.make_upstream(number), warm_up_s=_WARM_UP_S
     )
     return scene.add(warming_up)
 
--- a/tests/test_forwarding/test_forwarding_follower.py
+++ b/tests/test_forwarding/test_forwarding_follower.py
@@ -76,19 +76,19 @@
         raise errors.PlatformUnavailableError("down", step="get", peer="store")
 
 
-class FakeFollowing:
-    """A fake of `Following` in a domain whose hosts are all due to follow."""
+class FakeFollowerRole:
+    """A fake of `FollowerRole` in a domain whose hosts all should follow."""
 
     reaches_store = True
 
     def __init__(self, hosts: int = 1) -> None:
         self._hosts = hosts
 
-    def is_due(self, now: float) -> bool:
+    def should_follow(self, now: float) -> bool:
         """Returns true."""
         return True
 
-    def is_next(self) -> bool:
+    def is_selected(self) -> bool:
         """Returns true."""
         return True
 
@@ -96,25 +96,27 @@
         """Waits for a short time."""
         await trio.sleep(_POLL_INTERVAL_S)
 
-    def is_told_since(self, moment: float, now: float) -> bool:
+    def has_other_follower_since(self, failed_at: float, now: float) -> bool:
         """Returns false: no other host follows."""
         return False
 
-    def count_domain(self) -> int:
+    def count_domain_hosts(self) -> int:
         """Returns the number of hosts in its domain."""
         return self._hosts
 
 
 def make_follower(store: object, hosts: int = 1) -> follower.Follower:
     """Returns the follower of a host in a domain with `hosts` hosts."""
-    following = FakeFollowing(hosts)
+    following = FakeFollowerRole(hosts)
     return make_follower_with(store, make_entries(), following)
 
 
 def make_follower_with(
-    store: object, entries: entry_replica.EntryReplica, following: FakeFollowing
+    store: object,
+    entries: entry_replica.EntryReplica,
+    following: FakeFollowerRole,
 ) -> follower.Follower:
-    """Returns a follower with the given replica and fake of `Following`."""
+    """Returns a follower with the given replica and fake of `FollowerRole`."""
     return follower.Follower(store, entries, following, _MIN_CALL_INTERVAL_S)  # type: ignore[arg-type]
 
 
@@ -207,7 +209,7 @@
 ) -> entry_replica.EntryReplica:
     """Lets a host follow a store for some time; returns its replica."""
     entries = make_entries()
-    host_follower = make_follower_with(store, entries, FakeFollowing())
+    host_follower = make_follower_with(store, entries, FakeFollowerRole())
     with trio.move_on_after(time_s):
         await host_follower.run()
     return entries
@@ -254,7 +256,9 @@
     entries = make_entries()
     reported_counts: list[int] = []
     entries.on_changes = lambda _, changes: reported_counts.append(len(changes))
-    following = make_follower_with(UnchangedStore(), entries, FakeFollowing())
+    following = make_follower_with(
+        UnchangedStore(), entries, FakeFollowerRole()
+    )
     with trio.move_on_after(_FOLLOWING_AT_S + 4 * _WATCH_LIMIT_S):
         await following.run()
     assert reported_counts.count(0) >= 3
@@ -301,25 +305,27 @@
             yield ()
 
 
-class SharedFollowing(FakeFollowing):
-    """A fake of `Following` in a domain whose hosts learn of each answer."""
+class SharedFollowerRole(FakeFollowerRole):
+    """A fake of `FollowerRole` in a domain whose hosts learn of each answer."""
 
     def __init__(self, store: RecoveringStore, number: int) -> None:
         super().__init__(_DOMAIN_HOSTS)
         self._store = store
         self._is_first = number == 0
 
-    def is_due(self, now: float) -> bool:
+    def should_follow(self, now: float) -> bool:
         """Returns true for the first host, or without a recent answer."""
         return self._is_first or now - self._store.answered_at > _MAX_AGE_S
 
-    def is_next(self) -> bool:
+    def is_selected(self) -> bool:
         """Returns true for the first host."""
         return self._is_first
 
-    def is_told_since(self, moment: float, now: float) -> bool:
+    def has_other_follower_since(self, failed_at: float, now: float) -> bool:
         """Returns true if the store has answered and another host follows."""
-        return self._store.answered_at > moment and not self.is_due(now)
+        return self._store.answered_at > failed_at and not self.should_follow(
+            now
+        )
 
 
 @trios.clock_test
@@ -336,7 +342,7 @@
         with trio.move_on_after(_AVAILABLE_AT_S + 5.0):
             async with trio.open_nursery() as nursery:
                 for number in range(_DOMAIN_HOSTS):
-                    following = SharedFollowing(store, number)
+                    following = SharedFollowerRole(store, number)
                     host_follower = make_follower_with(
                         store, make_entries(), following
                     )
